--- a/include/loftrouter/core/configuration.hpp
+++ b/include/loftrouter/core/configuration.hpp
@@ -49,6 +49,10 @@
   }
 
 private:
+  struct Listed {
+    std::optional<wire::Json> value; // nothing: the copy had this revision when the page came
+    std::uint64_t revision = 0;
+  };
   void list(const std::string &from);
   void listed();
   void follow();
@@ -57,8 +61,9 @@
   Port &port_;
   Events &events_;
   const Settings &settings_;
-  std::map<std::string, Record> records_, listing_; // by key; the latter: pages so far
-  std::map<std::string, std::uint64_t> removed_;    // by this node, since the list under way has begun
+  std::map<std::string, Record> records_;        // by key
+  std::map<std::string, Listed> listing_;        // pages so far
+  std::map<std::string, std::uint64_t> removed_; // by this node, since the list under way has begun
   std::uint64_t follow_from_ = 0, revision_ = 0;
   double next_ = 0; // a list is due
   double begun_at_ = -1e9, list_begun_at_ = -1e9, current_at_ = -1e9, next_follow_ = 0;
--- a/include/loftrouter/core/configuration_desk.hpp
+++ b/include/loftrouter/core/configuration_desk.hpp
@@ -36,15 +36,18 @@
 
   void quotas(RequestId req) const;
   void change_quota(RequestId req, const wire::QuotaChange &change);
-  void status(RequestId req) const;
+  void status(RequestId req, const std::string &from) const;
+  void one_order(RequestId req, const std::string &machine) const;
+  void orders_page(RequestId req, wire::MachineOrders::const_iterator first) const;
   void history(RequestId req, const std::string &team) const;
   void change(RequestId req, const wire::AdminRequest &ask);
   void write(Change change);
-  void commit(Change change, const wire::Json &document, std::uint64_t revision);
+  // `before`: the document as it is stored, at `revision`; `edited`: with the fields that were asked for.
+  void commit(Change change, const wire::Json &before, wire::Json edited, std::uint64_t revision);
   // The document with what was asked for; or the answer that refuses it.
   std::optional<wire::Json> edited(const Change &change, const wire::Json &before) const;
   bool takes_entry(const Change &change, const wire::Json &document, const std::string &name) const;
-  void answer(RequestId req, wire::AdminRequest::Kind kind) const;
+  void answer(RequestId req, const wire::AdminRequest &ask) const;
   void fail(RequestId req, int status, std::string_view text) const;
 
   Port &port_;
--- a/include/loftrouter/core/effects.hpp
+++ b/include/loftrouter/core/effects.hpp
@@ -23,7 +23,9 @@
   std::string key;
 };
 struct StoreList {
+  static constexpr int kDefaultPage = 200, kMaxPage = 1000; // entries; the latter by the state service's protocol
   std::string prefix, from;
+  int page = kDefaultPage; // most entries of an answer
 };
 struct StoreCommit {
   std::vector<wire::Guard> guards;
--- a/include/loftrouter/core/events.hpp
+++ b/include/loftrouter/core/events.hpp
@@ -128,7 +128,9 @@
   bool spot;
   double lived_s, up_s, used_share; // the last: of its CPU time
 };
-struct OrdersChanged {}; // operators' orders about machines
+struct OrdersChanged { // operators' orders about machines
+  std::string machine; // whose; empty: any of them
+};
 
 // ---- configuration ----
 struct ConfigurationChanged { // a record or document of it, in this node's copy
--- a/include/loftrouter/core/fleet.hpp
+++ b/include/loftrouter/core/fleet.hpp
@@ -126,7 +126,7 @@
   void on(const JobCancelled &e) { stop_all(e.job, 0); }
   void on(const JobOver &e);
   void on(const MachineCondemned &e) { give_back(e.machine); }
-  void on(const OrdersChanged &);
+  void on(const OrdersChanged &e);
   void on(const TermBegun &) { gone_.clear(); }
   void on(const TermEnded &);
   bool consistent(int m) const; // for asserts and tests
--- a/include/loftrouter/core/operators.hpp
+++ b/include/loftrouter/core/operators.hpp
@@ -37,6 +37,7 @@
   void read_budgets();
   void read_cell_rules();
   void read_orders();
+  void read_order(const std::string &machine);
 
   Port &port_;
   Events &events_;
--- a/include/loftrouter/wire/admin.hpp
+++ b/include/loftrouter/wire/admin.hpp
@@ -25,7 +25,10 @@
 };
 enum class MachineOrder : std::uint8_t { Drain, Quarantine };
 using MachineOrders = std::map<std::string, MachineOrder>;
+// In the document alone, without records of their own: the production version reads no more of it.
 constexpr std::size_t kMostMachineOrders = 100;
+// Of the entries of one answer that lists what is configured; what is beyond stands on the next page.
+constexpr std::size_t kMaxListingBytes = 48 * 1024;
 // What a team may use of the machines in a period.
 struct TeamBudget {
   double cpu_hours = -1;   // negative: as much as there is
@@ -64,11 +67,11 @@
     Configuration,
     QuotaHistory
   } kind = Kind::Status;
-  std::string team, from;                                            // jobs, report: only this team's; after this job
-  double period_s = 86400;                                           // report
-  Json change;                                                       // settings or budgets, checked
-  std::string period;                                                // statement: by name; empty: the present one
-  std::string machine;                                               // machine order
+  std::string team, from;  // jobs, report: only this team's; after this job. Settings, configuration: after this entry
+  double period_s = 86400; // report
+  Json change;             // settings or budgets, checked
+  std::string period;      // statement: by name; empty: the present one
+  std::string machine;     // machine order
   std::optional<MachineOrder> order;                                 // nothing: release
   std::optional<QuotaChange> quota;                                  // ChangeQuota
   double round_p50 = 0, round_p99 = 0, queue_p50 = 0, queue_p99 = 0; // ms, measured by the program around the core
@@ -184,7 +187,10 @@
 };
 std::string encode_statement(const AdminStatement &s);
 std::string encode_budgets(const Budgets &b);
-std::string encode_settings(const Tunables &t, const MachineOrders &orders);
+// Bytes that an order takes in `encode_settings`, at the most.
+std::size_t listed_bytes(const std::string &machine);
+// `next`: where to go on, if there are more orders.
+std::string encode_settings(const Tunables &t, const MachineOrders &orders, std::string_view next);
 std::string encode_admin_error(std::string_view text);
 
 std::string clock_time(double wall); // "02:14:05Z"
--- a/include/loftrouter/wire/admin_configuration.hpp
+++ b/include/loftrouter/wire/admin_configuration.hpp
@@ -33,7 +33,10 @@
   double current_s = -1;          // since the copy was last known to be complete; negative: never
   std::vector<std::string> nodes; // of this cell
   std::vector<AdminConfigRecord> records;
+  std::string next; // where to go on; empty: this is all
 };
+// Bytes that a record takes in `encode_configuration`, at the most.
+std::size_t listed_bytes(const AdminConfigRecord &record, std::size_t nodes);
 std::string encode_configuration(const AdminConfiguration &configuration);
 std::string encode_quota_history(const std::string &team, const std::vector<QuotaRecord::Change> &history);
 
--- a/include/loftrouter/wire/configuration.hpp
+++ b/include/loftrouter/wire/configuration.hpp
@@ -22,9 +22,11 @@
 constexpr std::string_view kConfigMachine = "config/machine/"; // by machine
 constexpr std::string_view kConfigChange = "config-change/";   // changes passed to another cell, by number
 constexpr std::string_view kConfigApplied = "config-applied/"; // by node
-constexpr std::size_t kMostConfigRecords = 2000;               // of a kind
-constexpr std::size_t kMostConfigChanges = 64;                 // under way
-constexpr std::size_t kMostQuotaHistory = 8;                   // changes kept in a quota's record
+// Of a kind. Every one of 11,000 machines may be cordoned or drained at once, with some of machines that are gone.
+// A node keeps them all: 0.5 KB each, 6.1 MB, and 1.7 MB more while it lists.
+constexpr std::size_t kMostConfigRecords = 12'000;
+constexpr std::size_t kMostConfigChanges = 64; // under way
+constexpr std::size_t kMostQuotaHistory = 8;   // changes kept in a quota's record
 
 // CPUs and GPUs; infinite where there is no limit.
 struct Amounts {
--- a/src/client/verbs.cpp
+++ b/src/client/verbs.cpp
@@ -35,8 +35,8 @@
   return query + (query.empty() || more.empty() ? "" : "&") + more;
 }
 
-// All pages of a list of jobs.
-json pages(Service &service, const std::string &path, const std::string &query) {
+// All pages of a list, in one answer; `entries` is the field that holds them.
+json pages(Service &service, const std::string &path, const std::string &query, const char *entries = "jobs") {
   json all;
   for (std::string from;;) {
     const std::string q = joined(query, from.empty() ? "" : "from=" + from);
@@ -44,8 +44,8 @@
     if (all.is_null())
       all = page;
     else
-      for (auto &x : page["jobs"])
-        all["jobs"].push_back(std::move(x));
+      for (auto &x : page[entries])
+        all[entries].push_back(std::move(x));
     const auto next = page.value("next", json());
     if (!next.is_string() || next == from) return all;
     from = next.get<std::string>();
@@ -138,7 +138,7 @@
       const auto all = only_team(ask(service, "PUT", "/admin/v1/quotas/" + v.team, quota_change(v)), v.team);
       show(all, quotas_table(all));
     } else if (v.kind == Kind::ConfigStatus) {
-      const auto all = ask(service, "GET", "/admin/v1/configuration");
+      const auto all = pages(service, "/admin/v1/configuration", "", "records");
       show(all, configuration_table(all));
     } else if (v.kind == Kind::ConfigHistory) {
       const auto all = ask(service, "GET", "/admin/v1/configuration/history/quota/" + v.team);
--- a/src/core/configuration.cpp
+++ b/src/core/configuration.cpp
@@ -31,7 +31,8 @@
 
 void Configuration::list(const std::string &from) {
   const std::string prefix(settings_.configuration ? wire::kConfigPrefix : kDocuments);
-  port_.store(StoreList{prefix, from}, kListWithin, [this, from](const wire::StoreReply &r) {
+  // Large pages: thousands of records take a few requests in kListEvery, and a list that fails begins again.
+  port_.store(StoreList{prefix, from, StoreList::kMaxPage}, kListWithin, [this, from](const wire::StoreReply &r) {
     if (r.status != 200) {
       listing_now_ = false;
       if (settings_.configuration) next_ = port_.now() + kListRetry;
@@ -39,8 +40,11 @@
     }
     // What changes between two pages comes with the watch, which begins at the first.
     if (from.empty()) follow_from_ = r.revision;
-    for (const auto &e : r.entries)
-      listing_[e.key] = {e.value, e.stamp};
+    for (const auto &e : r.entries) {
+      const auto *known = find(e.key);
+      const bool had = known && known->revision == e.stamp; // its value isn't kept twice
+      listing_[e.key] = {had ? std::nullopt : std::optional(e.value), e.stamp};
+    }
     if (r.more && !r.entries.empty()) return list(r.entries.back().key);
     listed();
   });
@@ -55,6 +59,7 @@
   for (const auto &key : gone)
     set(key, std::nullopt, follow_from_);
   for (auto &[key, record] : listing_) {
+    if (!record.value) continue; // if it has gone or changed since, the copy knows better
     const auto removed = removed_.find(key);
     if (removed == removed_.end() || removed->second < record.revision)
       set(key, std::move(record.value), record.revision);
--- a/src/core/configuration_desk.cpp
+++ b/src/core/configuration_desk.cpp
@@ -10,6 +10,9 @@
 using Kind = wire::AdminRequest::Kind;
 constexpr double kReadWithin = 1.0, kCommitWithin = 1.0; // s
 constexpr std::size_t kMostInDocument = 100;             // entries that the production version takes
+// Up to here each answer to an order lists all, as with the document alone. Beyond, it has the one machine's: a page in
+// the answer to each of thousands would cost more than the orders.
+constexpr std::size_t kMaxOrdersWhole = 100;
 
 // Whatever stands beside the entries of budgets in their document: the clock of the periods.
 constexpr const char *kTeams = "teams";
@@ -32,29 +35,54 @@
   case Kind::ChangeQuota:
     return change_quota(req, *ask.quota);
   case Kind::Configuration:
-    return status(req);
+    return status(req, ask.from);
   case Kind::QuotaHistory:
     return history(req, ask.team);
   case Kind::Settings:
   case Kind::Budgets:
   case Kind::Cells:
-    return answer(req, ask.kind);
+    return answer(req, ask);
   default:
     return change(req, ask);
   }
 }
 
-void ConfigurationDesk::answer(RequestId req, Kind kind) const {
-  switch (kind) {
+void ConfigurationDesk::answer(RequestId req, const wire::AdminRequest &ask) const {
+  const auto &orders = operators_.orders();
+  switch (ask.kind) {
   case Kind::Budgets:
   case Kind::ChangeBudgets:
     return port_.reply_json(req, 200, wire::encode_budgets(operators_.budgets()));
   case Kind::Cells:
   case Kind::ChangeCells:
     return port_.reply_json(req, 200, wire::encode_cell_rules(operators_.cell_rules()));
+  case Kind::Machine:
+    if (orders.size() > kMaxOrdersWhole) return one_order(req, ask.machine);
+    return orders_page(req, orders.begin());
   default:
-    return port_.reply_json(req, 200, wire::encode_settings(operators_.tunables(), operators_.orders()));
+    return orders_page(req, ask.from.empty() ? orders.begin() : orders.upper_bound(ask.from));
+  }
+}
+
+void ConfigurationDesk::one_order(RequestId req, const std::string &machine) const {
+  wire::MachineOrders one;
+  if (const auto order = operators_.order(machine)) one[machine] = *order;
+  port_.reply_json(req, 200, wire::encode_settings(operators_.tunables(), one, ""));
+}
+
+// Operators' settings, with orders about machines from `first` on, as far as an answer holds them.
+void ConfigurationDesk::orders_page(RequestId req, wire::MachineOrders::const_iterator first) const {
+  const auto &orders = operators_.orders();
+  wire::MachineOrders page;
+  std::size_t bytes = 0;
+  auto it = first;
+  for (; it != orders.end(); ++it) {
+    bytes += wire::listed_bytes(it->first);
+    if (bytes > wire::kMaxListingBytes) break;
+    page.insert(page.end(), *it);
   }
+  const auto next = it == orders.end() || page.empty() ? std::string() : page.rbegin()->first;
+  port_.reply_json(req, 200, wire::encode_settings(operators_.tunables(), page, next));
 }
 
 // ---- quotas ----
@@ -90,7 +118,7 @@
   port_.reply_json(req, 200, wire::encode_quota_history(team, record->history));
 }
 
-void ConfigurationDesk::status(RequestId req) const {
+void ConfigurationDesk::status(RequestId req, const std::string &from) const {
   wire::AdminConfiguration out;
   out.node = settings_.node;
   out.revision = configuration_.revision();
@@ -103,7 +131,9 @@
   configuration_.each(wire::kConfigApplied, [&applied](std::string_view node, const Configuration::Record &r) {
     if (const auto a = wire::applied_from_json(r.value)) applied[std::string(node)] = *a;
   });
+  std::size_t bytes = 0;
   configuration_.each(wire::kConfigRecords, [&](std::string_view key, const Configuration::Record &r) {
+    if (key <= from || bytes > wire::kMaxListingBytes) return;
     wire::AdminConfigRecord record{std::string(key), r.revision, {}, {}};
     for (const auto &node : out.nodes)
       if (const auto it = applied.find(node); it != applied.end() && it->second.revision >= r.revision)
@@ -112,7 +142,11 @@
     const auto quota = wire::quota_from_json(r.value);
     for (const auto &[cell, said] : exchange_.acknowledged(team))
       if (quota && said.version == quota->version) record.acknowledged_cells[cell] = said.wall;
-    out.records.push_back(std::move(record));
+    bytes += wire::listed_bytes(record, out.nodes.size());
+    if (bytes > wire::kMaxListingBytes)
+      out.next = out.records.back().key;
+    else
+      out.records.push_back(std::move(record));
   });
   port_.reply_json(req, 200, wire::encode_configuration(out));
 }
@@ -153,8 +187,9 @@
   port_.store(StoreGet{key}, kReadWithin, [this, change = std::move(change)](const wire::StoreReply &r) mutable {
     if (r.status != 200 && r.status != 404) return fail(change.req, 503, "the state service did not answer");
     const bool found = r.status == 200 && !r.entries.empty();
-    const auto after = edited(change, found ? r.entries[0].value : wire::Json::object());
-    if (after) commit(std::move(change), *after, found ? r.entries[0].stamp : 0);
+    const auto before = found ? r.entries[0].value : wire::Json::object();
+    if (auto after = edited(change, before))
+      commit(std::move(change), before, std::move(*after), found ? r.entries[0].stamp : 0);
   });
 }
 
@@ -203,9 +238,9 @@
   return (entries.size() < kMostInDocument || entries.contains(name)) && budget_.fits(document, 2 * name.size() + 200);
 }
 
-void ConfigurationDesk::commit(Change change, const wire::Json &document, std::uint64_t revision) {
+void ConfigurationDesk::commit(Change change, const wire::Json &before, wire::Json edited, std::uint64_t revision) {
   StoreCommit transaction{{{change.document, revision}}, {}};
-  wire::Json after = document;
+  wire::Json after = std::move(edited);
   const auto most = static_cast<std::size_t>(std::max(1, settings_.state_txn_ops - 1));
   while (settings_.configuration && !change.left.empty() && transaction.writes.size() < most) {
     auto [name, value] = *change.left.begin();
@@ -234,7 +269,8 @@
       transaction.writes.push_back({key, std::nullopt, 0});
   }
   if (!settings_.configuration) change.left.clear();
-  transaction.writes.push_back({change.document, after, 0});
+  // A document that is full stays as it is: one write an order instead of two, and orders at once don't conflict in it.
+  if (!settings_.configuration || after != before) transaction.writes.push_back({change.document, after, 0});
   const auto writes = transaction.writes;
   port_.store(std::move(transaction), kCommitWithin,
               [this, change = std::move(change), writes](const wire::StoreReply &r) mutable {
@@ -244,7 +280,7 @@
                   configuration_.learn(w.key, w.value, r.revision);
                   operators_.on(ConfigurationChanged{w.key}); // so that the answer has it
                 }
-                if (change.left.empty()) return answer(change.req, change.ask.kind);
+                if (change.left.empty()) return answer(change.req, change.ask);
                 change.ask.change = wire::Json::object(); // the document's own fields are written
                 write(std::move(change));
               });
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -124,7 +124,11 @@
   stops_news_.clear();
 }
 
-void Fleet::on(const OrdersChanged &) {
+void Fleet::on(const OrdersChanged &e) {
+  if (!e.machine.empty()) {
+    if (const auto it = index_.find(e.machine); it != index_.end()) at(it->second).order = operators_.order(e.machine);
+    return;
+  }
   for (auto &m : machines_)
     if (m) m->order = operators_.order(m->name);
 }
--- a/src/core/operators.cpp
+++ b/src/core/operators.cpp
@@ -4,11 +4,21 @@
 
 namespace loft::core {
 
+namespace {
+// Whether a record, and not the document's entry of this name, says what is in force.
+bool counts(const Configuration::Record &record, std::uint64_t document_revision) {
+  if (!record.value.is_object() || !record.value.contains("value")) return false;
+  // The document was changed since by somebody who knows nothing of records, and had the entry before it.
+  return !record.value.value("in_document", false) || document_revision <= record.revision;
+}
+} // namespace
+
 void Operators::on(const ConfigurationChanged &e) {
   if (e.key == kTunablesKey) read_tunables();
   if (e.key == kCellsKey) read_cell_rules();
   if (e.key == kBudgetsKey || e.key.starts_with(wire::kConfigBudget)) read_budgets();
-  if (e.key == kOrdersKey || e.key.starts_with(wire::kConfigMachine)) read_orders();
+  if (e.key == kOrdersKey) read_orders();
+  if (e.key.starts_with(wire::kConfigMachine)) read_order(e.key.substr(wire::kConfigMachine.size()));
 }
 
 void Operators::read_tunables() {
@@ -38,10 +48,7 @@
     for (const auto &[name, value] : document.items())
       out[name] = value;
   configuration_.each(prefix, [&](std::string_view name, const Configuration::Record &r) {
-    if (!r.value.is_object() || !r.value.contains("value")) return;
-    // The document was changed since by somebody who knows nothing of records, and had the entry before it.
-    if (r.value.value("in_document", false) && document_revision > r.revision) return;
-    out[std::string(name)] = r.value["value"];
+    if (counts(r, document_revision)) out[std::string(name)] = r.value["value"];
   });
   return out;
 }
@@ -72,6 +79,22 @@
   events_.publish(OrdersChanged{});
 }
 
+// One record alone: thousands come one by one when a node lists them first.
+void Operators::read_order(const std::string &machine) {
+  const auto *document = configuration_.find(kOrdersKey);
+  const auto *record = configuration_.find(std::string(wire::kConfigMachine) + machine);
+  std::optional<wire::MachineOrder> read;
+  if (record && counts(*record, document ? document->revision : 0))
+    read = wire::machine_order_from_json(record->value["value"]);
+  else if (document && document->value.is_object() && document->value.contains(machine))
+    read = wire::machine_order_from_json(document->value[machine]);
+  if (read)
+    orders_[machine] = *read;
+  else
+    orders_.erase(machine);
+  events_.publish(OrdersChanged{machine});
+}
+
 std::optional<wire::MachineOrder> Operators::order(const std::string &machine) const {
   auto it = orders_.find(machine);
   return it == orders_.end() ? std::nullopt : std::optional(it->second);
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -19,7 +19,7 @@
     void operator()(const core::StoreGet &x) { call(c.requests_, "GET", "/store/" + x.key); }
     void operator()(const core::StoreList &x) {
       call(c.requests_, "GET",
-           fmt::format("/store?under={}{}&most=200", x.prefix, x.from.empty() ? "" : "&from=" + x.from));
+           fmt::format("/store?under={}{}&most={}", x.prefix, x.from.empty() ? "" : "&from=" + x.from, x.page));
     }
     void operator()(const core::StoreCommit &x) {
       call(c.requests_, "POST", "/commit", wire::encode_commit(x.guards, x.writes));
--- a/src/wire/admin.cpp
+++ b/src/wire/admin.cpp
@@ -43,6 +43,16 @@
   });
 }
 
+// Where a listing goes on: a job's id, a machine's name, or a record's key.
+bool valid_key(std::string_view s) {
+  return !s.empty() && s.size() <= 200 && std::all_of(s.begin(), s.end(), [](char c) { return c > ' ' && c <= '~'; });
+}
+
+bool lists_jobs(AdminRequest::Kind kind) {
+  using Kind = AdminRequest::Kind;
+  return kind == Kind::Jobs || kind == Kind::Foreseen || kind == Kind::Report || kind == Kind::Statement;
+}
+
 std::optional<std::string> read_query(std::string_view query, AdminRequest &r) {
   while (!query.empty()) {
     auto end = query.find('&');
@@ -53,7 +63,7 @@
     auto value = eq == std::string_view::npos ? std::string_view{} : pair.substr(eq + 1);
     if (name == "team" && valid_name(value)) {
       r.team = value;
-    } else if (name == "from" && valid_job_id(value)) {
+    } else if (name == "from" && valid_key(value)) {
       r.from = value;
     } else if (name == "period" && value.size() == 10 && valid_name(value)) {
       r.period = value;
@@ -157,6 +167,8 @@
     known = true;
     if (method != p.method) continue;
     r.kind = p.kind;
+    if (lists_jobs(r.kind) && !r.from.empty() && !valid_job_id(r.from))
+      return AdminError{400, "from: unknown, or its value cannot be read"};
     if (r.kind != Kind::Change && r.kind != Kind::ChangeBudgets && r.kind != Kind::ChangeCells) return r;
     auto j = parse_body(body);
     if (!j) return AdminError{400, "body: not a JSON object"};
@@ -493,8 +505,13 @@
   return dump({{"jobs", std::move(list)}, {"next", next.empty() ? Json() : Json(next)}});
 }
 
-std::string encode_settings(const Tunables &t, const MachineOrders &orders) {
-  return dump({{"settings", to_json(t)}, {"machines", to_json(orders)}});
+std::size_t listed_bytes(const std::string &machine) {
+  constexpr std::size_t kLineWithoutName = 24; // indentation, quotes, the longest order, a comma and the line's end
+  return machine.size() + kLineWithoutName;
+}
+
+std::string encode_settings(const Tunables &t, const MachineOrders &orders, std::string_view next) {
+  return dump({{"settings", to_json(t)}, {"machines", to_json(orders)}, {"next", next.empty() ? Json() : Json(next)}});
 }
 
 std::string encode_admin_error(std::string_view text) {
--- a/src/wire/admin_configuration.cpp
+++ b/src/wire/admin_configuration.cpp
@@ -57,6 +57,11 @@
   return dump({{"teams", std::move(teams)}});
 }
 
+std::size_t listed_bytes(const AdminConfigRecord &record, std::size_t nodes) {
+  constexpr std::size_t kFields = 200, kLine = 100; // of a node or cell: its name, of 64 characters, and a time
+  return kFields + record.key.size() + kLine * (nodes + record.acknowledged_cells.size());
+}
+
 std::string encode_configuration(const AdminConfiguration &c) {
   Json records = Json::array();
   for (const auto &r : c.records) {
@@ -72,7 +77,8 @@
                {"revision", c.revision},
                {"watches", c.watches},
                {"current_s_ago", c.current_s < 0 ? Json() : Json(std::round(c.current_s * 10) / 10)},
-               {"records", std::move(records)}});
+               {"records", std::move(records)},
+               {"next", c.next.empty() ? Json() : Json(c.next)}});
 }
 
 std::string encode_quota_history(const std::string &team, const std::vector<QuotaRecord::Change> &history) {
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -3,6 +3,7 @@
 // simulated worlds. The argument: docs/safety.md, "Limits that change".
 #include <gtest/gtest.h>
 
+#include <deque>
 #include <random>
 
 #include "federation.hpp"
@@ -478,4 +479,183 @@
   EXPECT_EQ(ask(w, 2, "/admin/v1/settings")["machines"], json({{"box-3", "drain"}}));
 }
 
+// ---- thousands of machines ----
+
+constexpr std::size_t kMaxAnswerBytes = 64 * 1024;
+
+std::string machine_name(int number) {
+  char name[16];
+  std::snprintf(name, sizeof name, "n-%06d", number);
+  return name;
+}
+
+// All entries of a listing that comes in pages; fails if a page is larger than an answer may be.
+template <class Add> void read_pages(World &w, int node, const std::string &target, Add add) {
+  std::string from;
+  do {
+    const auto page = ask(w, node, target + (from.empty() ? "" : "?from=" + from));
+    ASSERT_TRUE(page.is_object()) << target << " after " << from;
+    ASSERT_LE(page.dump(2).size(), kMaxAnswerBytes) << target << " after " << from;
+    add(page);
+    from = page["next"].is_string() ? page["next"].get<std::string>() : "";
+  } while (!from.empty());
+}
+
+std::size_t count_orders(World &w, int node) {
+  json all = json::object();
+  read_pages(w, node, "/admin/v1/settings", [&all](const json &page) { all.update(page["machines"]); });
+  return all.size();
+}
+
+// An operator's script: each machine by a request of its own, some at a time, repeated until it is answered with 200.
+class OrderScript {
+public:
+  OrderScript(World &w, const std::string &action, int machines) : w_(w), action_(action) {
+    for (int m = 0; m < machines; ++m)
+      left_.push_back(machine_name(m));
+  }
+  // Until so many are left, or the time is over.
+  void run(std::size_t until_left, double within_s) {
+    const double until = w_.now() + within_s;
+    while (left_.size() + asked_.size() > until_left && w_.now() < until) {
+      while (!left_.empty() && asked_.size() < kAtOnce)
+        ask_next();
+      w_.run(w_.now() + 0.05);
+      take_answers();
+    }
+  }
+  std::size_t left() const { return left_.size() + asked_.size(); }
+  std::size_t largest_answer() const { return largest_answer_; }
+
+private:
+  static constexpr std::size_t kAtOnce = 6;
+  static constexpr double kPatience = 3.0; // s
+  struct Asked {
+    std::string machine;
+    double at;
+    std::shared_ptr<World::Answer> answer;
+  };
+
+  void ask_next() {
+    const auto machine = left_.front();
+    left_.pop_front();
+    next_node_ = (next_node_ + 1) % 3;
+    asked_.push_back({machine, w_.now(), w_.admin(next_node_, "POST", "/admin/v1/machines/" + machine + action_)});
+  }
+  void take_answers() {
+    std::erase_if(asked_, [this](const Asked &asked) {
+      const int status = asked.answer->status;
+      if (status == 0 && w_.now() - asked.at < kPatience) return false;
+      largest_answer_ = std::max(largest_answer_, asked.answer->body.dump(2).size());
+      if (status != 200) left_.push_back(asked.machine);
+      return true;
+    });
+  }
+
+  World &w_;
+  std::string action_;
+  std::deque<std::string> left_;
+  std::vector<Asked> asked_;
+  int next_node_ = 0;
+  std::size_t largest_answer_ = 0;
+};
+
+WorldOptions thousands_of_machines() {
+  auto o = configured();
+  o.page = 1000; // as the state service lists
+  o.state_write_rps = 60;
+  return o;
+}
+
+TEST(ConfigLimits, FourThousandMachinesAreSetAsideOverATakeoverAndLiftedAgain) {
+  constexpr int kMachines = 4000;
+  World w(9, thousands_of_machines());
+  w.run(10);
+  OrderScript quarantine(w, "/quarantine", kMachines);
+  quarantine.run(kMachines / 2, 300);
+  ASSERT_GE(w.leader(), 0);
+  w.crash(w.leader(), 3);
+  quarantine.run(0, 300);
+  ASSERT_EQ(quarantine.left(), 0U);
+  RecordProperty("orders_took_s", static_cast<int>(w.now() - 10));
+  EXPECT_LE(quarantine.largest_answer(), kMaxAnswerBytes);
+  EXPECT_EQ(w.records("config/machine/").size(), static_cast<std::size_t>(kMachines));
+  const auto document = w.records("conf/machines").at(0).value;
+  EXPECT_EQ(document.size(), 100U) << "no more than the production version reads";
+  EXPECT_LE(document.dump().size(), 8U * 1024);
+
+  // A takeover with all of them in force: the new leader starts nothing on any of them.
+  const int before = w.leader();
+  ASSERT_GE(before, 0);
+  w.crash(before, 10);
+  w.run(w.now() + 15);
+  ASSERT_GE(w.leader(), 0);
+  EXPECT_NE(w.leader(), before);
+  w.submit(w.job(Shape::Array, 4, 1, 5));
+  w.run(w.now() + 40);
+  EXPECT_EQ(w.starts, 0);
+  for (int node = 0; node < 3; ++node) {
+    EXPECT_EQ(count_orders(w, node), static_cast<std::size_t>(kMachines)) << node;
+    std::size_t records = 0, in_force = 0;
+    read_pages(w, node, "/admin/v1/configuration", [&](const json &page) {
+      records += page["records"].size();
+      for (const auto &record : page["records"])
+        in_force += record["in_force_since"].size();
+    });
+    EXPECT_EQ(records, static_cast<std::size_t>(kMachines)) << node;
+    EXPECT_EQ(in_force, 3U * kMachines) << node;
+  }
+
+  OrderScript release(w, "/release", kMachines);
+  release.run(0, 600);
+  ASSERT_EQ(release.left(), 0U);
+  w.run(w.now() + 40);
+  for (int node = 0; node < 3; ++node)
+    EXPECT_EQ(count_orders(w, node), 0U) << node;
+  EXPECT_TRUE(w.records("config/machine/").empty());
+  EXPECT_TRUE(w.records("conf/machines").at(0).value.empty());
+  EXPECT_EQ(w.finished_jobs, 1) << "machines take tasks again";
+  EXPECT_TRUE(w.broken.empty()) << test::all(w);
+}
+
+TEST(ConfigLimits, TheLastRecordOfAKindIsTakenAndTheNextRefused) {
+  constexpr int kMost = static_cast<int>(wire::kMostConfigRecords);
+  static_assert(kMost >= 11'000);
+  World w(10, thousands_of_machines());
+  for (int m = 0; m < kMost - 1; ++m)
+    w.put_record("config/machine/" + machine_name(m), {{"value", "drain"}, {"in_document", false}});
+  w.run(40); // past the first list, and one in between
+  auto order = [&w](int m, const std::string &action) {
+    const auto answer = w.admin(1, "POST", "/admin/v1/machines/" + machine_name(m) + action);
+    w.run(w.now() + 1);
+    return answer->status;
+  };
+  EXPECT_EQ(order(kMost - 1, "/drain"), 200);
+  EXPECT_EQ(order(kMost, "/drain"), 409);
+  EXPECT_EQ(order(0, "/quarantine"), 200) << "one that stands already can be changed";
+  EXPECT_EQ(order(1, "/release"), 200);
+  EXPECT_EQ(order(kMost, "/drain"), 200);
+  w.crash(2, 1); // and one that loads them anew
+  w.run(w.now() + 10);
+  for (int node = 0; node < 3; ++node)
+    EXPECT_EQ(count_orders(w, node), wire::kMostConfigRecords) << node;
+  EXPECT_TRUE(w.broken.empty()) << test::all(w);
+}
+
+TEST(ConfigLimits, WhereAListingGoesOnIsChecked) {
+  const auto status_of = [](const std::string &target) {
+    const auto read = wire::read_admin("GET", target, "");
+    const auto *error = std::get_if<wire::AdminError>(&read);
+    return error ? error->status : 200;
+  };
+  EXPECT_EQ(status_of("/admin/v1/settings?from=n-000123"), 200);
+  EXPECT_EQ(status_of("/admin/v1/configuration?from=machine/n-000123"), 200);
+  EXPECT_EQ(status_of("/admin/v1/settings?from="), 400);
+  EXPECT_EQ(status_of("/admin/v1/settings?from=" + std::string(201, 'n')), 400);
+  EXPECT_EQ(status_of("/admin/v1/settings?from=a b"), 400);
+  EXPECT_EQ(status_of("/admin/v1/jobs?from=j-000123"), 200);
+  for (const std::string list : {"jobs", "foreseen", "report", "statement"})
+    EXPECT_EQ(status_of("/admin/v1/" + list + "?from=machine/n-000123"), 400) << list;
+}
+
 } // namespace
--- a/tests/world_state.cpp
+++ b/tests/world_state.cpp
@@ -53,7 +53,8 @@
   } else if (auto *l = std::get_if<core::StoreList>(&op.what)) {
     for (auto &[k, v] : keys_) {
       if (k.compare(0, l->prefix.size(), l->prefix) != 0 || k <= l->from) continue;
-      if (r.entries.size() >= static_cast<std::size_t>(o_.page)) { // small, so that paging is exercised
+      if (r.entries.size() >=
+          static_cast<std::size_t>(std::min(o_.page, l->page))) { // small, so that paging is exercised
         r.more = true;
         break;
       }
