--- a/include/loftrouter/core/cancellations.hpp
+++ b/include/loftrouter/core/cancellations.hpp
@@ -46,7 +46,8 @@
   void on(const TermEnded &);
 
 private:
-  static constexpr std::size_t kMostNoted = 10'000, kMostAwaited = 4'000;
+  // Jobs; as many as a node remembers as open, at 0.12 KB each.
+  static constexpr std::size_t kMostNoted = 12'000, kMostAwaited = 12'000;
   bool reads() const { return lead_.role() == Role::Loading || lead_.role() == Role::Leading; }
   bool mark(const std::string &id); // false: too many are awaited
 
--- a/include/loftrouter/core/jobs.hpp
+++ b/include/loftrouter/core/jobs.hpp
@@ -133,7 +133,9 @@
   void remember(const std::string &id, EndRecord end);
 
 private:
-  static constexpr std::size_t kMost = 4000;
+  // Ends come faster with more machines: so many are about one of each of 11,000. 4.6 MB at 0.4 KB each. One that is
+  // forgotten is read again when somebody asks for it.
+  static constexpr std::size_t kMost = 12'000;
   Events &events_;
   std::unordered_map<std::string, EndRecord> ends_;
   std::deque<std::string> order_;
--- a/include/loftrouter/core/relay.hpp
+++ b/include/loftrouter/core/relay.hpp
@@ -64,7 +64,9 @@
 // Of a node that does not lead: the reports under way, and the workers that come here. Owns both.
 class ReportRelay {
 public:
-  static constexpr std::size_t kMostWaiting = 4096;
+  // Each worker has one report under way, and with the other nodes gone all 11,000 may come here. 1.9 MB at 0.16 KB
+  // each, for kPatience at the most. Beyond, a worker is sent elsewhere.
+  static constexpr std::size_t kMostWaiting = 12'000;
   static constexpr double kPatience = 1.5; // s; a worker waits 4 s for its answer
   // `workers`: most that may come here; `forget_s`: after so long without a report a worker counts no more.
   ReportRelay(std::size_t workers, double forget_s, std::uint64_t first_nonce)
--- a/src/core/cells_terms.hpp
+++ b/src/core/cells_terms.hpp
@@ -17,7 +17,10 @@
 inline constexpr double kNotAgain = 60.0, kNoRoomPause = 5.0; // s, between two hand-overs of a job to the same cell
 inline constexpr double kLongWait = 20.0;                     // s
 inline constexpr double kHomeHasRoom = 10.0;                  // s
-inline constexpr std::size_t kMostWanted = 16, kMostDebts = 4000, kMostLoans = 10'000;
+inline constexpr std::size_t kMostWanted = 16;
+// Jobs borrowed, and generations lent: about one to each of 11,000 machines. At the limit nothing more is borrowed or
+// lent. Each has its job in the job table, which takes more memory than this.
+inline constexpr std::size_t kMostDebts = 12'000, kMostLoans = 12'000;
 inline constexpr std::uint32_t kLeastLent = 1;
 inline constexpr int kEager = 2;
 inline constexpr double kBorrowShare = 0.5, kBorrowLeast = 32; // of the CPUs that are up; CPUs
--- a/src/core/insight.cpp
+++ b/src/core/insight.cpp
@@ -8,10 +8,10 @@
 namespace loft::core {
 
 namespace {
-constexpr double kDigestEvery = 0.5;   // s
-constexpr double kSummaryEvery = 10.0; // s
-constexpr double kNewsLife = 10.0;     // s, after which a sibling's word about a job is too old to be passed on
-constexpr std::size_t kMaxNews = 4000;
+constexpr double kDigestEvery = 0.5;     // s
+constexpr double kSummaryEvery = 10.0;   // s
+constexpr double kNewsLife = 10.0;       // s, after which a sibling's word about a job is too old to be passed on
+constexpr std::size_t kMaxNews = 12'000; // jobs, as many as open records are known of; 2.9 MB at 0.24 KB each
 
 std::string plural(std::uint64_t n, std::string_view what) {
   return fmt::format("{} {}{}", n, what, n == 1 ? "" : "s");
--- a/src/core/users.cpp
+++ b/src/core/users.cpp
@@ -11,9 +11,11 @@
 namespace {
 constexpr double kUserDeadline = 1.4; // a poll waits 2 s, a submission 5 s
 constexpr int kMaxUserOps = 256;
-constexpr std::size_t kMostKnown = 4000; // open records
-constexpr double kConfirmEvery = 0.03;   // least time between comparisons
-constexpr double kSweepEvery = 0.05;     // the same, between looks for questions that have waited too long
+// Open records: jobs that wait or run, about one to each of 11,000 machines. 2.3 MB at 0.2 KB each. One that is pushed
+// out costs a read when somebody asks for it.
+constexpr std::size_t kMostKnown = 12'000;
+constexpr double kConfirmEvery = 0.03; // least time between comparisons
+constexpr double kSweepEvery = 0.05;   // the same, between looks for questions that have waited too long
 // Within what a user waits for an answer (2 s, and 5 s for what changes something), a sibling's has to be there.
 constexpr double kLookWithin = 1.8, kChangeWithin = 4.5, kLeastForSibling = 0.15;
 constexpr std::size_t kKeptBody = 4096; // of a description that may be passed on a second time
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -14,6 +14,12 @@
 
 namespace loft::net {
 
+namespace {
+// Connections that wait to be accepted: after a takeover all 11,000 workers may come at once. The kernel cuts this to
+// its own limit (net.core.somaxconn), and whom it turns away asks again after a second.
+constexpr int kMaxBacklog = 12'000;
+} // namespace
+
 double mono_now() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
@@ -129,7 +135,7 @@
   int one = 1;
   ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   auto sa = to_sockaddr(addr);
-  if (::bind(fd.get(), reinterpret_cast<sockaddr *>(&sa), sizeof sa) != 0 || ::listen(fd.get(), 256) != 0) {
+  if (::bind(fd.get(), reinterpret_cast<sockaddr *>(&sa), sizeof sa) != 0 || ::listen(fd.get(), kMaxBacklog) != 0) {
     error = std::strerror(errno);
     return {};
   }
