--- /dev/null
+++ b/tests/fingerprint/effects_hash.hpp
@@ -0,0 +1,62 @@
+// A hash of all that simulated controllers send: to the state service, the cloud, workers, replicas, other cells and
+// users, each message with its time and its sender. What has an encoding on the network is hashed as those bytes, the
+// rest field by field. Log lines are left out.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <string>
+#include <string_view>
+
+#include "loftrouter/core/effects.hpp"
+
+namespace loft::fingerprint {
+
+// FNV-1a, 64 bits: the same on every platform and build.
+class Hash {
+public:
+  void add_bytes(std::string_view bytes);
+  void add_number(std::uint64_t number);
+  std::uint64_t value() const { return state_; }
+
+private:
+  static constexpr std::uint64_t kOffsetBasis = 0xcbf29ce484222325U, kPrime = 0x100000001b3U;
+  std::uint64_t state_ = kOffsetBasis;
+};
+
+// 16 hexadecimal digits.
+std::string hash_text(std::uint64_t hash);
+
+struct Sender {
+  int cell = 0, node = 0;
+};
+
+// What a message is for; the numbers are part of the hash.
+enum class Destination : std::uint8_t { User = 1, OtherCell, StateService, Cloud, Worker, Replica };
+std::string_view destination_name(Destination destination);
+
+// One message as it is hashed: the bytes that are sent, and where they go.
+struct SentMessage {
+  double time = 0; // simulated, s
+  Sender sender;
+  Destination destination = Destination::User;
+  std::string content;
+};
+
+class EffectsHash {
+public:
+  // Told of each message, in order: for finding the first that differs between two versions.
+  explicit EffectsHash(std::function<void(const SentMessage &)> observer = {}) : observer_(std::move(observer)) {}
+  void add(const Sender &sender, double time, const core::Effects &effects);
+  std::uint64_t value() const { return hash_.value(); }
+  std::uint64_t messages() const { return messages_; }
+
+private:
+  void add(SentMessage message);
+
+  std::function<void(const SentMessage &)> observer_;
+  Hash hash_;
+  std::uint64_t messages_ = 0;
+};
+
+} // namespace loft::fingerprint
--- /dev/null
+++ b/tests/fingerprint_test.cpp
@@ -0,0 +1,73 @@
+// The fingerprint of behaviour: the same for the same seed, another for another, and no part of a message is left out.
+#include <gtest/gtest.h>
+
+#include <set>
+
+#include "fingerprint/scenarios.hpp"
+
+using namespace loft;
+using namespace loft::fingerprint;
+
+namespace {
+
+constexpr Sender kSender{0, 1};
+constexpr double kTime = 2.5;
+
+std::uint64_t hash_of(const core::Effects &effects, const Sender &sender = kSender, double time = kTime) {
+  EffectsHash hash;
+  hash.add(sender, time, effects);
+  return hash.value();
+}
+
+core::Effects one_of_each() {
+  core::Effects effects;
+  effects.replies.push_back({1, 200, "body", {}, true});
+  effects.cells.push_back({0, 0, {}});
+  effects.store.push_back({1, 2.0, core::StoreGet{"key"}});
+  effects.cloud.push_back({2, 3.0, core::CloudRent{"request", "type", "zone", true, 2}});
+  effects.workers.push_back({"10.0.0.1:1", 3, 4, "machine", {}});
+  effects.peers.push_back({0, 0, {}});
+  return effects;
+}
+
+} // namespace
+
+TEST(Fingerprint, IsTheSameForTheSameSeedAndAnotherForAnother) {
+  const auto *scenario = find_scenario("faults");
+  ASSERT_TRUE(scenario);
+  const auto first = play_seed(*scenario, 1), again = play_seed(*scenario, 1), other = play_seed(*scenario, 2);
+  EXPECT_EQ(first.hash, again.hash);
+  EXPECT_EQ(first.messages, again.messages);
+  EXPECT_GT(first.messages, 1000U);
+  EXPECT_NE(first.hash, other.hash);
+}
+
+TEST(Fingerprint, SeesEachPartOfAMessage) {
+  std::set<std::uint64_t> hashes{hash_of(one_of_each()), hash_of(one_of_each(), {1, 1}), hash_of(one_of_each(), {0, 2}),
+                                 hash_of(one_of_each(), kSender, 2.6)};
+  std::size_t expected = hashes.size();
+  EXPECT_EQ(expected, 4U);
+  const auto expect_new_hash = [&](void (*change)(core::Effects &)) {
+    auto effects = one_of_each();
+    change(effects);
+    hashes.insert(hash_of(effects));
+    EXPECT_EQ(hashes.size(), ++expected);
+  };
+  expect_new_hash([](core::Effects &e) { e.replies[0].body = "other"; });
+  expect_new_hash([](core::Effects &e) { e.replies[0].status = 201; });
+  expect_new_hash([](core::Effects &e) { e.replies[0].retry_after = 0; });
+  expect_new_hash([](core::Effects &e) { e.cells[0].message.number = 1; });
+  expect_new_hash([](core::Effects &e) { e.store[0].deadline_s = 4; });
+  expect_new_hash([](core::Effects &e) { e.store[0].what = core::StoreList{"key", ""}; });
+  expect_new_hash([](core::Effects &e) { e.store[0].what = core::StoreCommit{{{"key", 1}}, {}}; });
+  expect_new_hash([](core::Effects &e) { e.cloud[0].what = core::CloudReturn{{"machine"}}; });
+  expect_new_hash([](core::Effects &e) { e.workers[0].token = 5; });
+  expect_new_hash([](core::Effects &e) { e.peers[0].message.nonce = 1; });
+  expect_new_hash([](core::Effects &e) { e.peers.clear(); });
+}
+
+TEST(Fingerprint, LeavesLogLinesOut) {
+  auto effects = one_of_each();
+  effects.logs.push_back({core::LogLevel::Info, "event", {}});
+  EXPECT_EQ(hash_of(effects), hash_of(one_of_each()));
+}
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -245,6 +245,7 @@
 }
 
 void World::carry_out(int i, core::Effects effects) {
+  if (on_effects) on_effects(i, t_, effects);
   Node &n = nodes_[static_cast<std::size_t>(i)];
   for (const auto &r : effects.replies) {
     auto it = n.answers.find(r.req);
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -156,6 +156,8 @@
   std::uint64_t revision() const { return epoch_; } // changes of the state service
 
   std::function<void(const std::string &job)> last_task_done; // at that moment, before any node can know
+  // All that a node sends, when it leaves the node.
+  std::function<void(int node, double now, const core::Effects &)> on_effects;
 
   std::vector<std::string> broken;        // rules broken, in words
   std::vector<double> late_starts;        // of tasks whose cancellation was confirmed: so many seconds later
