--- a/tests/fingerprint/scenarios.cpp
+++ b/tests/fingerprint/scenarios.cpp
@@ -284,6 +284,29 @@
   return world.broken;
 }
 
+// A leader that no worker reaches steps down while the others can't lead, so that nobody stands for a time; the others
+// learn of cancellations by word alone.
+std::vector<std::string> play_no_candidate(std::uint64_t seed, EffectsHash &hash) {
+  World world(seed, {});
+  record(world, hash);
+  for (int i = 0; i < 6; ++i)
+    world.at(2 + i, [&world] { world.submit(world.job(Shape::Array, 20, 2, 90)); });
+  any_load(world, seed, 20, 5);
+  const auto draw = shared_draw(seed);
+  for (const double t : {40.0, 110.0})
+    world.at(t, [&world, draw] {
+      const int leader = std::max(0, world.leader());
+      const double for_s = draw->between(15, 40);
+      world.cut_workers(leader, for_s, Cut::Drop);
+      for (int other = 1; other < kNodes; ++other)
+        world.cut_state((leader + other) % kNodes, for_s, draw->one_in(2) ? Cut::Drop : Cut::NoAnswers);
+      const auto id = world.submit(world.job(Shape::Array, 6, 1, 100));
+      world.at(world.now() + draw->between(2, 10), [&world, id, leader] { world.cancel(id, (leader + 1) % kNodes); });
+    });
+  world.run(200);
+  return world.broken;
+}
+
 std::vector<std::string> play_zones(std::uint64_t seed, EffectsHash &hash) {
   WorldOptions options;
   options.node_zones = seed % 2 ? std::vector<std::string>{"a", "b", "b"} : std::vector<std::string>{"a", "a", "b"};
@@ -570,6 +593,7 @@
       {"faults", "lost messages, crashes, cuts, outages, stalls", play_faults},
       {"pairs-of-faults", "two faults at a time, reports that arrive twice", play_pairs_of_faults},
       {"slow-state-service", "slow answers, late writes, lost watches, small limits", play_slow_state_service},
+      {"no-candidate", "a leader without workers steps down and nobody else can lead", play_no_candidate},
       {"zones", "a zone is cut off, loses its machines, has no more", play_zones},
       {"unhealthy-machines", "machines fail, hang, die, hear nothing; reports held back", play_unhealthy_machines},
       {"preemption", "more work than room, guarantees and limits of teams", play_preemption},
