--- a/bench/lab/lab.cpp
+++ b/bench/lab/lab.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-using namespace loft;
-using namespace loft::test;
-using loft::test::Federation;
+using namespace loftrouter;
+using namespace loftrouter::test;
+using loftrouter::test::Federation;
 using nlohmann::json;
 
 struct Class {
@@ -42,7 +42,7 @@
 };
 struct Scenario {
   std::string name;
-  double minutes = 10, report_s = 5, lease_s = 26.5, cancel_s = 51.5;
+  double minutes = 10, heartbeat_interval_s = 5, lease_s = 26.5, cancel_s = 51.5;
   std::vector<std::map<std::string, long>> cells; // machines by type
   std::vector<MachineType> types;
   std::vector<Class> classes;
@@ -56,7 +56,7 @@
   Scenario s;
   s.name = file["name"].value_or("day");
   s.minutes = file["minutes"].value_or(10.0);
-  s.report_s = file["report_s"].value_or(s.report_s);
+  s.heartbeat_interval_s = file["report_s"].value_or(s.heartbeat_interval_s);
   s.lease_s = file["lease_s"].value_or(s.lease_s);
   s.cancel_s = file["cancel_s"].value_or(s.cancel_s);
   auto each = [&](const char *name, auto fn) {
@@ -145,17 +145,17 @@
   std::vector<WorldOptions> options(one ? 1 : s.cells.size());
   for (std::size_t c = 0; c < options.size(); ++c) {
     auto &o = options[c];
-    o.report_s = s.report_s;
+    o.heartbeat_interval_s = s.heartbeat_interval_s;
     o.lease_s = s.lease_s;
     o.cancel_s = s.cancel_s;
     o.cpu_share = 10;
     o.types = s.types;
     o.teams = {{"red", 0, 0, 0, 0}};
-    o.most_machines = 1'000'000;
+    o.max_machines = 1'000'000;
     o.state_write_rps = 60;
     o.state_rps = 1000;
-    o.boot_share_least = 0.6;
-    o.boot_share_most = 1.5;
+    o.min_boot_share = 0.6;
+    o.max_boot_share = 1.5;
     o.page = 200;
     o.users_at_once = true;
     o.cells.at_random = mode == "random";
@@ -262,7 +262,7 @@
   json out = {{"mode", mode},
               {"classes", json::array()},
               {"tasks_elsewhere", elsewhere},
-              {"loans", f.loans},
+              {"loans", f.delegations},
               {"frames", f.frames},
               {"frames_a_second", f.frames / f.now()},
               {"simulated_s", f.now()},
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -4,7 +4,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::bench {
+namespace loftrouter::bench {
 
 namespace {
 constexpr double kReportEvery = 5.0, kTaskFor = 25.0;
@@ -15,9 +15,9 @@
   s.node = "node-0";
   s.zone = "a";
   s.zones = {"a"};
-  s.siblings = {{"node-1", "a", ""}, {"node-2", "a", ""}};
+  s.replicas = {{"node-1", "a", ""}, {"node-2", "a", ""}};
   s.teams = {{"red", 0, 0, 0, 0}};
-  s.report_s = kReportEvery;
+  s.heartbeat_interval_s = kReportEvery;
   s.lease_s = 26;
   s.state_rps = 1e6;
   s.state_write_rps = 100;
@@ -34,7 +34,7 @@
     b.report.type = m % 4 == 3 ? "big" : "small";
     b.report.zone = "a";
     b.report.spot = m % 3 != 0;
-    b.report.session = 1;
+    b.report.incarnation = 1;
     b.next = kReportEvery * m / machines;
     boxes_.push_back(std::move(b));
   }
@@ -104,8 +104,8 @@
   }
 }
 
-WorkerReport Load::next_report(Box &b) {
-  ++b.report.seq;
+Heartbeat Load::next_report(Box &b) {
+  ++b.report.sequence;
   b.report.tasks.clear();
   for (const auto &r : b.runs)
     b.report.tasks.push_back(
@@ -115,14 +115,14 @@
 
 std::string Load::report_bytes(int m) const {
   Box copy = boxes_[static_cast<std::size_t>(m)];
-  return wire::encode_report(next_report(copy));
+  return wire::encode_heartbeat(next_report(copy));
 }
 
 std::string Load::answer(const std::string &bytes) {
-  auto decoded = wire::decode_report(bytes);
+  auto decoded = wire::decode_heartbeat(bytes);
   const core::RequestId req = next_req_++;
   std::vector<core::Command> batch;
-  batch.push_back(core::CmdReport{req, std::move(*decoded)});
+  batch.push_back(core::CmdHeartbeat{req, std::move(*decoded)});
   carry_out(apply(std::move(batch)));
   auto body = std::move(replies_[req]);
   replies_.erase(req);
@@ -133,22 +133,22 @@
 void Load::report(int m) {
   Box &b = boxes_[static_cast<std::size_t>(m)];
   b.next = t_ + kReportEvery;
-  take(b, answer(wire::encode_report(next_report(b))));
+  take(b, answer(wire::encode_heartbeat(next_report(b))));
   settle();
 }
 
 void Load::take(Box &b, const std::string &body) {
-  auto orders = wire::decode_orders(body);
+  auto orders = wire::decode_commands(body);
   if (!orders) return;
-  b.report.token = orders->token;
+  b.report.fencing_token = orders->fencing_token;
   for (const auto &o : orders->orders) {
     auto it = std::find_if(b.runs.begin(), b.runs.end(), [&](const Run &r) {
       return r.index == o.index && r.attempt == o.attempt && r.job == o.job;
     });
-    if (o.verb == TaskOrder::Verb::Start && it == b.runs.end()) {
+    if (o.verb == TaskCommand::Verb::Start && it == b.runs.end()) {
       b.runs.push_back({o.job, o.index, o.attempt, TaskPhase::Running, t_ + kTaskFor});
       ++starts;
-    } else if (o.verb == TaskOrder::Verb::Forget && it != b.runs.end()) {
+    } else if (o.verb == TaskCommand::Verb::Forget && it != b.runs.end()) {
       b.runs.erase(it);
     }
   }
@@ -164,13 +164,13 @@
     if (auto *get = std::get_if<core::StoreGet>(&op.what); get && !stamps_.contains(get->key)) {
       r.status = 404;
     } else if (auto *commit = std::get_if<core::StoreCommit>(&op.what)) {
-      wire::encode_commit(commit->guards, commit->writes);
+      wire::encode_commit(commit->preconditions, commit->writes);
       r.revision = ++revision_;
       for (const auto &w : commit->writes)
         stamps_[w.key] = revision_;
-    } else if (std::holds_alternative<core::StoreLeaseNew>(op.what)) {
+    } else if (std::holds_alternative<core::StoreLeaseGrant>(op.what)) {
       r.lease = 5;
-    } else if (std::holds_alternative<core::StoreFollow>(op.what)) {
+    } else if (std::holds_alternative<core::StoreWatch>(op.what)) {
       watch_ = op.op;
       watched_since_ = t_;
       continue;
@@ -182,10 +182,10 @@
     r.status = 200;
     if (std::holds_alternative<core::CloudTypes>(op.what)) {
       r.types = {{"small", {4, 0, 32}, 60, 1, 0.2, 0.08, 40, {"a"}}, {"big", {16, 0, 64}, 60, 1, 0.8, 0.3, 40, {"a"}}};
-    } else if (std::holds_alternative<core::CloudRent>(op.what)) {
+    } else if (std::holds_alternative<core::CloudScaleOut>(op.what)) {
       r.status = 503;
       r.no_capacity = true;
-    } else if (auto *back = std::get_if<core::CloudReturn>(&op.what)) {
+    } else if (auto *back = std::get_if<core::CloudScaleIn>(&op.what)) {
       returned.insert(back->names.begin(), back->names.end());
     }
     answers_.push_back(core::CmdCloudReply{op.op, std::move(r)});
@@ -207,8 +207,8 @@
   auto effects = apply(std::move(batch));
   for (auto &op : effects.store)
     if (auto *commit = std::get_if<core::StoreCommit>(&op.what))
-      return wire::encode_commit(commit->guards, commit->writes);
+      return wire::encode_commit(commit->preconditions, commit->writes);
   return {};
 }
 
-} // namespace loft::bench
+} // namespace loftrouter::bench
--- a/bench/load.hpp
+++ b/bench/load.hpp
@@ -10,7 +10,7 @@
 
 #include "loftrouter/core/core.hpp"
 
-namespace loft::bench {
+namespace loftrouter::bench {
 
 class Load {
 public:
@@ -36,11 +36,11 @@
     double ends;
   };
   struct Box {
-    WorkerReport report;
+    Heartbeat report;
     std::vector<Run> runs;
     double next = 0;
   };
-  static WorkerReport next_report(Box &b);
+  static Heartbeat next_report(Box &b);
   core::Effects apply(std::vector<core::Command> batch);
   void settle(); // what the state service and the cloud have answered, until nothing follows from it
   void report(int m);
@@ -54,11 +54,11 @@
   int next_job_ = 1;
   std::map<std::string, std::uint64_t> stamps_;
   std::vector<core::Command> answers_; // of the state service and the cloud
-  std::deque<wire::Event> news_;       // open records not yet told to the watch
+  std::deque<wire::WatchEvent> news_;  // open records not yet told to the watch
   core::OpId watch_ = 0;
   double watched_since_ = 0;
   std::map<core::RequestId, std::string> replies_;
   core::RequestId next_req_ = 1;
 };
 
-} // namespace loft::bench
+} // namespace loftrouter::bench
--- a/bench/load_bench.cpp
+++ b/bench/load_bench.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-using loft::bench::Load;
+using loftrouter::bench::Load;
 
 Load &load(std::int64_t machines) { // filling takes long: kept from one benchmark to the next
   static std::map<std::int64_t, std::unique_ptr<Load>> all;
@@ -20,7 +20,7 @@
 void report_decoded(benchmark::State &s) {
   const auto bytes = load(s.range(0)).report_bytes(3);
   for (auto _ : s)
-    benchmark::DoNotOptimize(loft::wire::decode_report(bytes));
+    benchmark::DoNotOptimize(loftrouter::wire::decode_heartbeat(bytes));
 }
 void report_answered(benchmark::State &s) { // nothing new in it
   auto &l = load(s.range(0));
--- a/bench/scale/capacity_table.cpp
+++ b/bench/scale/capacity_table.cpp
@@ -6,7 +6,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
 
@@ -18,14 +18,14 @@
 };
 
 // The largest over the processes of a role: what a machine for it has to give.
-double most_of_role(const Json &run, const char *role, const char *field) {
+double max_of_role(const Json &run, const char *role, const char *field) {
   double most = 0;
   for (const auto &p : run["processes"])
     if (p["role"] == role) most = std::max(most, p[field].get<double>());
   return most;
 }
 
-double most_of_states(const Json &run, const char *field) {
+double max_of_states(const Json &run, const char *field) {
   double most = 0;
   for (const auto &s : run["state_services"])
     most = std::max(most, s[field].get<double>());
@@ -33,11 +33,11 @@
 }
 
 Figure of_role(const char *role, const char *name, const char *unit, const char *field) {
-  return {role, name, unit, [=](const Json &run) { return most_of_role(run, role, field); }};
+  return {role, name, unit, [=](const Json &run) { return max_of_role(run, role, field); }};
 }
 
 Figure of_state(const char *role, const char *name, const char *unit, const char *field, double scale = 1) {
-  return {role, name, unit, [=](const Json &run) { return scale * most_of_states(run, field); }};
+  return {role, name, unit, [=](const Json &run) { return scale * max_of_states(run, field); }};
 }
 
 Figure of_traffic(const char *role, const char *name, const char *unit, const char *part, const char *field,
@@ -151,4 +151,4 @@
   return out;
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/capacity_table.hpp
+++ b/bench/scale/capacity_table.hpp
@@ -7,7 +7,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 struct Line {
   double base = 0, slope = 0;
@@ -21,4 +21,4 @@
 // at `target` workers (in bold where it was extrapolated). Runs that are not valid are listed and not used.
 std::string capacity_tables(const std::vector<nlohmann::json> &runs, double target);
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/channel.cpp
+++ b/bench/scale/channel.cpp
@@ -8,7 +8,7 @@
 #include <fmt/format.h>
 #include <unistd.h>
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
 constexpr double kLagTick = 0.05, kTellEvery = 1.0; // s
@@ -42,12 +42,12 @@
     begin = end + 1;
   }
   in_.erase(0, begin);
-  if (in_.size() > kMostLine) std::abort();
+  if (in_.size() > kMaxLine) std::abort();
 }
 
 void LineChannel::send(std::string_view line) {
   out_.append(line).push_back('\n');
-  if (out_.size() > kMostUnsent) std::abort();
+  if (out_.size() > kMaxUnsent) std::abort();
   writer_.want(EV_WRITE);
 }
 
@@ -75,4 +75,4 @@
   worst_ = 0;
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/channel.hpp
+++ b/bench/scale/channel.hpp
@@ -8,7 +8,7 @@
 
 #include "loftrouter/net/loop.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 class LineChannel {
 public:
@@ -19,7 +19,7 @@
   void send(std::string_view line); // without its newline
 
 private:
-  static constexpr std::size_t kMostLine = 64 * 1024, kMostUnsent = 64 * 1024 * 1024;
+  static constexpr std::size_t kMaxLine = 64 * 1024, kMaxUnsent = 64 * 1024 * 1024;
   void read_some();
   void write_some();
 
@@ -45,4 +45,4 @@
   double expected_ = 0, worst_ = 0, told_at_ = 0;
 };
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/child.cpp
+++ b/bench/scale/child.cpp
@@ -10,7 +10,7 @@
 #include "stand_in_cloud.hpp"
 #include "stand_in_state.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
 
@@ -113,4 +113,4 @@
   return 0;
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/child.hpp
+++ b/bench/scale/child.hpp
@@ -5,11 +5,11 @@
 #include "layout.hpp"
 #include "runner.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 enum class ChildRole : std::uint8_t { Outside, Workers, Users, Links };
 
 // Runs until the runner has gone. `region` is that of Outside and Workers. Returns the exit code.
 int run_child(ChildRole role, int region, const RunOptions &options);
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/hollow_users.cpp
+++ b/bench/scale/hollow_users.cpp
@@ -7,7 +7,7 @@
 #include "loftrouter/net/http.hpp"
 #include "loftrouter/wire/messages.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
 constexpr double kTick = 0.01, kProbeEvery = 1.0, kProbeWithin = 1.0;      // s
@@ -306,4 +306,4 @@
   count_.once(1);
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/hollow_users.hpp
+++ b/bench/scale/hollow_users.hpp
@@ -23,7 +23,7 @@
 #include "loftrouter/net/client.hpp"
 #include "workload.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 class HollowUsers {
 public:
@@ -96,4 +96,4 @@
   std::uint64_t config_reads_ = 0;
 };
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/hollow_workers.cpp
+++ b/bench/scale/hollow_workers.cpp
@@ -5,15 +5,15 @@
 
 #include <fmt/format.h>
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
 constexpr double kTick = 0.01;                             // s
 constexpr double kAnswerWithin = 4.0, kTryNextAfter = 1.0; // s
-constexpr double kLeastBetweenReports = 0.5;               // s
+constexpr double kMinBetweenReports = 0.5;                 // s
 constexpr double kReportJitter = 0.25;                     // of the interval
 constexpr double kRestartPause = 2.0;                      // s, that a restarted machine is silent
-constexpr std::size_t kMostPlans = 20'000, kMostImages = 30;
+constexpr std::size_t kMaxPlans = 20'000, kMaxImages = 30;
 constexpr double kRoomSlack = 1e-6;
 
 std::vector<std::string_view> words(std::string_view line) {
@@ -36,7 +36,7 @@
 struct HollowWorkers::Worker {
   int index = 0;
   WorkerPlace place;
-  WorkerReport report;
+  Heartbeat report;
   std::vector<Run> runs;
   std::vector<std::string> images; // most recently used last
   std::unique_ptr<net::HttpServer> server;
@@ -63,7 +63,7 @@
 HollowWorkers::~HollowWorkers() = default;
 
 const JobPlan &HollowWorkers::plan(std::uint32_t job) {
-  if (plans_.size() > kMostPlans) plans_.clear();
+  if (plans_.size() > kMaxPlans) plans_.clear();
   auto it = plans_.find(job);
   if (it == plans_.end()) it = plans_.emplace(job, workload_.job(job)).first;
   return it->second;
@@ -90,9 +90,9 @@
                .type = w->place.type->name,
                .zone = w->place.zone_name,
                .spot = false,
-               .session = 1,
-               .seq = 0,
-               .token = 0,
+               .incarnation = 1,
+               .sequence = 0,
+               .fencing_token = 0,
                .notice_s = {},
                .tasks = {}};
   std::string error;
@@ -110,7 +110,7 @@
   w->lease_from = now;
   w->controller = std::uniform_int_distribution<std::size_t>(0, controllers_.size() - 1)(random_);
   w->controller_changed = true;
-  w->next_report = now + std::uniform_real_distribution<double>(0, scenario_.report_s)(random_);
+  w->next_report = now + std::uniform_real_distribution<double>(0, scenario_.heartbeat_interval_s)(random_);
   wake(index, w->next_report);
   workers_[index] = std::move(w);
 }
@@ -127,16 +127,16 @@
   if (it == workers_.end()) return;
   Worker &w = *it->second;
   const double now = net::mono_now();
-  new_session(w, now);
+  new_incarnation(w, now);
   w.controller_changed = true;
   w.next_report = now + kRestartPause;
   w.last_report = w.next_report; // silent until then
 }
 
-void HollowWorkers::new_session(Worker &w, double now) {
+void HollowWorkers::new_incarnation(Worker &w, double now) {
   lose_all(w);
-  ++w.report.session;
-  w.report.seq = 0;
+  ++w.report.incarnation;
+  w.report.sequence = 0;
   w.lease_from = now;
   w.changed = true;
 }
@@ -168,7 +168,7 @@
   if (now > w.lease_from + scenario_.lease_s) {
     ++counters_.leases_lost;
     counters_.tasks_lost_by_lease += w.runs.size();
-    new_session(w, now);
+    new_incarnation(w, now);
   }
   if (w.controller_changed && !w.in_flight) {
     w.controller_changed = false;
@@ -178,11 +178,11 @@
     options.max_queued = 2;
     w.client = std::make_unique<net::HttpClient>(loop_, *net::parse_address(controllers_[w.controller].api), options);
   }
-  const bool due = now >= w.next_report || (w.changed && now >= w.last_report + kLeastBetweenReports);
+  const bool due = now >= w.next_report || (w.changed && now >= w.last_report + kMinBetweenReports);
   if (due && !w.in_flight && w.client) send_report(w, now);
   double next = w.lease_from + scenario_.lease_s + kTick;
   if (!w.in_flight) next = std::min(next, w.next_report);
-  if (!w.in_flight && w.changed) next = std::min(next, w.last_report + kLeastBetweenReports);
+  if (!w.in_flight && w.changed) next = std::min(next, w.last_report + kMinBetweenReports);
   for (const auto &run : w.runs)
     if (run.phase != TaskPhase::Exited && run.phase != TaskPhase::Waiting) next = std::min(next, run.until);
   for (const auto &run : w.runs)
@@ -240,8 +240,8 @@
 
 // ---- reports ----
 
-const WorkerReport &HollowWorkers::next_report(Worker &w) {
-  ++w.report.seq;
+const Heartbeat &HollowWorkers::next_report(Worker &w) {
+  ++w.report.sequence;
   w.report.tasks.clear();
   for (const auto &run : w.runs)
     w.report.tasks.push_back({plan(run.job).spec.id, run.index, run.attempt, run.phase, run.cause, run.saved});
@@ -249,12 +249,12 @@
 }
 
 void HollowWorkers::send_report(Worker &w, double now) {
-  const auto body = wire::encode_report(next_report(w));
+  const auto body = wire::encode_heartbeat(next_report(w));
   w.in_flight = true;
   w.changed = false;
   w.sent_at = w.last_report = now;
   const double spread = std::uniform_real_distribution<double>(1 - kReportJitter, 1 + kReportJitter)(random_);
-  w.next_report = now + scenario_.report_s * spread;
+  w.next_report = now + scenario_.heartbeat_interval_s * spread;
   ++counters_.reports;
   counters_.report_bytes += net::format_request("POST", "/v1/report", controllers_[w.controller].api, body).size();
   w.client->request("POST", "/v1/report", body, kAnswerWithin,
@@ -274,13 +274,13 @@
     counters_.answer_bytes += net::format_response(status, body, {}, true).size();
   }
   if (status == 200) {
-    const auto orders = wire::decode_orders(body);
-    if (orders && orders->token >= w.report.token && w.sent_at >= w.lease_from) {
-      if (orders->token > w.report.token && now > w.token_told_at + scenario_.lease_s / 2) {
+    const auto orders = wire::decode_commands(body);
+    if (orders && orders->fencing_token >= w.report.fencing_token && w.sent_at >= w.lease_from) {
+      if (orders->fencing_token > w.report.fencing_token && now > w.token_told_at + scenario_.lease_s / 2) {
         w.token_told_at = now;
         w.changed = true;
       }
-      w.report.token = orders->token;
+      w.report.fencing_token = orders->fencing_token;
       w.lease_from = w.sent_at;
       execute(w, orders->orders);
     }
@@ -302,13 +302,13 @@
   w.controller = next;
   w.controller_changed = true;
   w.next_report = now + pause;
-  w.last_report = now + pause - kLeastBetweenReports;
+  w.last_report = now + pause - kMinBetweenReports;
   wake(index, w.next_report);
 }
 
 // ---- orders ----
 
-void HollowWorkers::execute(Worker &w, const std::vector<TaskOrder> &orders) {
+void HollowWorkers::execute(Worker &w, const std::vector<TaskCommand> &orders) {
   const double now = net::mono_now();
   for (const auto &order : orders) {
     const auto job = Workload::number_of(order.job);
@@ -317,20 +317,20 @@
       return r.job == *job && r.index == order.index && r.attempt == order.attempt;
     });
     switch (order.verb) {
-    case TaskOrder::Verb::Start:
+    case TaskCommand::Verb::Start:
       if (run == w.runs.end()) start(w, order, now);
       break;
-    case TaskOrder::Verb::Stop:
+    case TaskCommand::Verb::Stop:
       if (run != w.runs.end()) kill(w, *run, order, now);
       break;
-    case TaskOrder::Verb::Forget:
+    case TaskCommand::Verb::Forget:
       if (run != w.runs.end() && run->phase == TaskPhase::Exited) w.runs.erase(run);
       break;
     }
   }
 }
 
-void HollowWorkers::start(Worker &w, const TaskOrder &order, double now) {
+void HollowWorkers::start(Worker &w, const TaskCommand &order, double now) {
   const auto number = *Workload::number_of(order.job);
   const JobPlan &job = plan(number);
   Run run{.job = number, .index = order.index, .attempt = order.attempt};
@@ -356,13 +356,13 @@
   const bool cached = image != w.images.end();
   if (cached) w.images.erase(image);
   w.images.push_back(job.spec.image);
-  if (w.images.size() > kMostImages) w.images.erase(w.images.begin());
+  if (w.images.size() > kMaxImages) w.images.erase(w.images.begin());
   run.until = now + (cached ? 0 : job.spec.image_gb / scenario_.fetch_gb_per_s);
   w.runs.push_back(run);
   if (cached) fetched(w, w.runs.back(), now);
 }
 
-void HollowWorkers::kill(Worker &w, Run &run, const TaskOrder &order, double now) {
+void HollowWorkers::kill(Worker &w, Run &run, const TaskCommand &order, double now) {
   if (run.phase == TaskPhase::Exited) return;
   const auto &spec = plan(run.job).spec;
   const bool saves = spec.checkpoint_s > 0 && order.grace_s >= spec.save_s;
@@ -382,19 +382,19 @@
   counters_.direct_bytes += m.body.size();
   int status = 200;
   if (m.target == "/orders") {
-    const auto orders = wire::decode_orders(m.body);
+    const auto orders = wire::decode_commands(m.body);
     const auto body = wire::decode(m.body).value_or(wire::Json::object());
-    const auto session = body.value("shift", std::uint64_t(0));
-    if (!orders || session == 0)
+    const auto incarnation = body.value("shift", std::uint64_t(0));
+    if (!orders || incarnation == 0)
       status = 400;
-    else if (orders->token < w.report.token || session != w.report.session)
+    else if (orders->fencing_token < w.report.fencing_token || incarnation != w.report.incarnation)
       status = 409;
     else
       execute(w, orders->orders);
   } else if (m.target != "/show") {
     status = 404;
   }
-  w.server->respond(id, status, wire::encode_report(next_report(w)));
+  w.server->respond(id, status, wire::encode_heartbeat(next_report(w)));
   wake(index, net::mono_now());
 }
 
@@ -432,4 +432,4 @@
   count_.once(1);
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/hollow_workers.hpp
+++ b/bench/scale/hollow_workers.hpp
@@ -25,7 +25,7 @@
 #include "loftrouter/wire/messages.hpp"
 #include "workload.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 struct ControllerAddress {
   std::string node, api;
@@ -70,14 +70,14 @@
   void fetched(Worker &w, Run &run, double now);
   void end_run(Worker &w, Run &run, ExitCause cause, bool saved = false);
   void lose_all(Worker &w);
-  void new_session(Worker &w, double now);
+  void new_incarnation(Worker &w, double now);
   void send_report(Worker &w, double now);
   void on_answer(int index, std::uint64_t generation, int status, std::string &&body);
-  void execute(Worker &w, const std::vector<TaskOrder> &orders);
-  void start(Worker &w, const TaskOrder &order, double now);
-  void kill(Worker &w, Run &run, const TaskOrder &order, double now);
+  void execute(Worker &w, const std::vector<TaskCommand> &orders);
+  void start(Worker &w, const TaskCommand &order, double now);
+  void kill(Worker &w, Run &run, const TaskCommand &order, double now);
   void on_direct(int index, net::ConnId id, net::HttpMessage &&m);
-  const WorkerReport &next_report(Worker &w);
+  const Heartbeat &next_report(Worker &w);
   void gang_event(std::uint32_t job, std::uint64_t attempt, bool complete);
   void tell_counters();
   const JobPlan &plan(std::uint32_t job);
@@ -97,4 +97,4 @@
   Counters counters_;
 };
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/judge.cpp
+++ b/bench/scale/judge.cpp
@@ -5,10 +5,10 @@
 
 #include <fmt/format.h>
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
-constexpr std::size_t kMostTexts = 20;
+constexpr std::size_t kMaxTexts = 20;
 constexpr double kSlack = 1e-3; // CPUs
 } // namespace
 
@@ -22,7 +22,7 @@
 
 void Judge::found(const std::string &rule, const std::string &text) {
   ++broken_[rule];
-  if (texts_.size() < kMostTexts) texts_.push_back(rule + ": " + text);
+  if (texts_.size() < kMaxTexts) texts_.push_back(rule + ": " + text);
 }
 
 Judge::Job &Judge::job(std::uint32_t number) {
@@ -117,7 +117,7 @@
   const double limit = workload_.team_limit(j.plan.team);
   if (limit <= 0) return;
   const double all = std::accumulate(by_region.begin(), by_region.end(), 0.0);
-  most_over_limit_ = std::max(most_over_limit_, all - limit);
+  max_over_limit_ = std::max(max_over_limit_, all - limit);
   if (by_region[static_cast<std::size_t>(j.plan.region)] > limit + kSlack)
     found("quota", fmt::format("{} in one region", j.plan.spec.team));
   else if (all > limit + kSlack)
@@ -133,4 +133,4 @@
   }
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/judge.hpp
+++ b/bench/scale/judge.hpp
@@ -13,7 +13,7 @@
 
 #include "workload.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 struct JudgeEvent {
   enum class Kind : std::uint8_t { TaskOn, TaskOff, Submitted, Accepted, Cancelled, Done };
@@ -46,7 +46,7 @@
   std::uint64_t starts() const { return starts_; } // since measuring began
   std::uint64_t starts_after_cancellation() const { return late_starts_; }
   std::uint64_t jobs_done() const { return done_; }
-  double most_over_limit() const { return most_over_limit_; } // CPUs, of any team over all regions
+  double max_over_limit() const { return max_over_limit_; } // CPUs, of any team over all regions
 
 private:
   static constexpr double kSettle = 4.0; // s
@@ -86,7 +86,7 @@
   std::vector<Waits> waits_;
   std::uint64_t starts_ = 0, late_starts_ = 0, done_ = 0, late_events_ = 0;
   double judged_up_to_ = -1e18;
-  double measure_from_ = 1e18, most_over_limit_ = 0; // the former: not yet
+  double measure_from_ = 1e18, max_over_limit_ = 0; // the former: not yet
 };
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/layout.cpp
+++ b/bench/scale/layout.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
 constexpr int kNodesAPort = 5; // room for the controllers of a region
@@ -55,10 +55,10 @@
 
 std::string Layout::settings(const Scenario &s, const Workload &workload, int region, int node) const {
   using Json = nlohmann::json;
-  Json siblings = Json::array(), zones = Json::array(), teams = Json::array();
+  Json replicas = Json::array(), zones = Json::array(), teams = Json::array();
   for (int k = 0; k < s.controllers_per_region; ++k)
     if (k != node)
-      siblings.push_back({{"node_name", controller(region, k).node},
+      replicas.push_back({{"node_name", controller(region, k).node},
                           {"site", s.zone_name(region, k % s.zones_per_region)},
                           {"address", peer(region, k)}});
   for (int z = 0; z < s.zones_per_region; ++z)
@@ -69,7 +69,7 @@
                     {"site", s.zone_name(region, node % s.zones_per_region)},
                     {"api_addr", controller(region, node).api},
                     {"peer_listen", peer(region, node)},
-                    {"siblings", siblings},
+                    {"siblings", replicas},
                     {"outside", {{"cloud", cloud(region)}, {"state", state(region)}}},
                     {"settings",
                      {{"size", s.controllers_per_region},
@@ -77,7 +77,7 @@
                       {"teams", teams},
                       {"objectives", Json::array()},
                       {"workers",
-                       {{"report_s", s.report_s},
+                       {{"report_s", s.heartbeat_interval_s},
                         {"lease_s", s.lease_s},
                         {"gang_wait_s", s.gang_wait_s},
                         {"gang_peer_s", s.gang_peer_s},
@@ -123,4 +123,4 @@
   return out;
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/layout.hpp
+++ b/bench/scale/layout.hpp
@@ -8,7 +8,7 @@
 #include "links.hpp"
 #include "workload.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 struct Layout {
   int base_port = 21000;
@@ -31,4 +31,4 @@
 
 std::vector<MachineType> machine_types(const Scenario &scenario, int region);
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/links.cpp
+++ b/bench/scale/links.cpp
@@ -10,11 +10,11 @@
 
 #include "loftrouter/wire/cell.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
-constexpr double kSweepEvery = 1.0;                // s
-constexpr std::size_t kMostHeld = 4 * 1024 * 1024; // bytes of one direction that wait to be written
+constexpr double kSweepEvery = 1.0;               // s
+constexpr std::size_t kMaxHeld = 4 * 1024 * 1024; // bytes of one direction that wait to be written
 
 // Counts whole frames in a stream.
 class FrameCounter {
@@ -122,13 +122,13 @@
   const int to = outwards ? pipe.far.get() : pipe.near.get();
   auto &held = outwards ? pipe.outwards : pipe.inwards;
   char buffer[32768];
-  const ssize_t got = held.size() < kMostHeld ? ::recv(from, buffer, sizeof buffer, 0) : -1;
+  const ssize_t got = held.size() < kMaxHeld ? ::recv(from, buffer, sizeof buffer, 0) : -1;
   if (got > 0) {
     const std::string_view bytes(buffer, static_cast<std::size_t>(got));
     bytes_ += bytes.size();
     frames_ += (outwards ? pipe.out_frames : pipe.in_frames).add(bytes);
     held.append(bytes);
-  } else if (got == 0 || (held.size() < kMostHeld && errno != EAGAIN && errno != EINTR && errno != ENOTCONN)) {
+  } else if (got == 0 || (held.size() < kMaxHeld && errno != EAGAIN && errno != EINTR && errno != ENOTCONN)) {
     pipe.over = true;
     return;
   }
@@ -144,4 +144,4 @@
   runner_.send(fmt::format("count frames {} bytes {}", frames_, bytes_));
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/links.hpp
+++ b/bench/scale/links.hpp
@@ -15,7 +15,7 @@
 #include "channel.hpp"
 #include "loftrouter/net/loop.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 struct LinkAddress {
   int from = 0, to = 0;       // regions
@@ -47,4 +47,4 @@
   std::uint64_t frames_ = 0, bytes_ = 0;
 };
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -16,7 +16,7 @@
 #include "child.hpp"
 #include "runner.hpp"
 
-using namespace loft::scale;
+using namespace loftrouter::scale;
 
 namespace {
 
--- a/bench/scale/measurements.cpp
+++ b/bench/scale/measurements.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <sstream>
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 double quantile(std::vector<double> values, double share) {
   if (values.empty()) return 0;
@@ -92,7 +92,7 @@
 }
 
 nlohmann::json ChangeMeter::figures(double from, double until, int regions, int nodes) const {
-  std::vector<double> at_home;
+  std::vector<double> at_origin;
   for (const auto &[number, change] : changes_) {
     if (change.made_at < from || change.made_at > until) continue;
     double last = 0;
@@ -102,11 +102,11 @@
         last = std::max(last, at);
         ++seen;
       }
-    if (seen == nodes) at_home.push_back(last - change.made_at);
+    if (seen == nodes) at_origin.push_back(last - change.made_at);
   }
   std::size_t missing = 0;
   const auto all = everywhere(from, until, regions, nodes, missing);
-  return {{"own_region_s", spread(at_home)}, {"everywhere_s", spread(all)}, {"not_everywhere", missing}};
+  return {{"own_region_s", spread(at_origin)}, {"everywhere_s", spread(all)}, {"not_everywhere", missing}};
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/measurements.hpp
+++ b/bench/scale/measurements.hpp
@@ -10,7 +10,7 @@
 
 #include "process.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 // Of all that is given, by nearest rank; 0 of nothing.
 double quantile(std::vector<double> values, double share);
@@ -63,4 +63,4 @@
   std::map<int, Change> changes_;
 };
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/process.cpp
+++ b/bench/scale/process.cpp
@@ -11,7 +11,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
 constexpr int kUserTimeField = 14; // of /proc/PID/stat, as counted in its manual page; the next is system time
@@ -87,4 +87,4 @@
   return out;
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/process.hpp
+++ b/bench/scale/process.hpp
@@ -10,7 +10,7 @@
 
 #include "channel.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 struct ProcessSample {
   double cpu_s = 0; // used so far
@@ -38,4 +38,4 @@
   std::unique_ptr<LineChannel> channel_;
 };
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/runner.cpp
+++ b/bench/scale/runner.cpp
@@ -18,7 +18,7 @@
 #include "measurements.hpp"
 #include "process.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
 
@@ -516,7 +516,7 @@
                 {"wait_s", std::move(waits)},
                 {"urgent_wait_s", spread(urgent)},
                 {"starts_after_cancellation", judge_.starts_after_cancellation()},
-                {"most_cpus_over_a_limit", judge_.most_over_limit()},
+                {"most_cpus_over_a_limit", judge_.max_over_limit()},
                 {"processes", processes()},
                 {"state_services", state_services()},
                 {"traffic", traffic()},
@@ -545,20 +545,20 @@
     if (judge_.late_events() > 0)
       invalid.push_back(fmt::format("{} events came too late to be judged in order", judge_.late_events()));
     const auto &o = scenario_.objectives;
-    auto at_most = [&failures](const char *what, const std::optional<double> &limit, double value) {
+    auto max_at = [&failures](const char *what, const std::optional<double> &limit, double value) {
       if (limit && value > *limit)
         failures.push_back(fmt::format("{}: {:.2f}, at most {:g} wanted", what, value, *limit));
     };
-    auto at_least = [&failures](const char *what, const std::optional<double> &limit, double value) {
+    auto min_at = [&failures](const char *what, const std::optional<double> &limit, double value) {
       if (limit && value < *limit)
         failures.push_back(fmt::format("{}: {:.1f}, at least {:g} wanted", what, value, *limit));
     };
-    at_most("accept_p95_s", o.accept_p95_s, quantile(accepts_, 0.95));
-    at_most("urgent_start_p95_s", o.urgent_start_p95_s, quantile(urgent, 0.95));
-    at_least("starts_per_s", o.starts_per_s, starts);
-    at_least("running_tasks", o.running_tasks, running);
+    max_at("accept_p95_s", o.accept_p95_s, quantile(accepts_, 0.95));
+    max_at("urgent_start_p95_s", o.urgent_start_p95_s, quantile(urgent, 0.95));
+    min_at("starts_per_s", o.starts_per_s, starts);
+    min_at("running_tasks", o.running_tasks, running);
     if (o.config_in_force_p99_s) {
-      at_most("config_in_force_p99_s", o.config_in_force_p99_s, quantile(in_force, 0.99));
+      max_at("config_in_force_p99_s", o.config_in_force_p99_s, quantile(in_force, 0.99));
       if (missing > 0 || in_force.empty())
         failures.push_back(
             fmt::format("changes not in force everywhere: {} of {}", missing, missing + in_force.size()));
@@ -609,4 +609,4 @@
   return Run(options).play();
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/runner.hpp
+++ b/bench/scale/runner.hpp
@@ -9,7 +9,7 @@
 
 #include "scenario.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 struct RunOptions {
   std::string scenario_file;
@@ -28,4 +28,4 @@
 // "failures" says why. Throws std::runtime_error if something cannot be started.
 nlohmann::json run_scenario(const RunOptions &options);
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/scenario.cpp
+++ b/bench/scale/scenario.cpp
@@ -11,7 +11,7 @@
 #include <fmt/format.h>
 #include <toml++/toml.h>
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
 
@@ -117,8 +117,8 @@
                    {"normal", Urgency::Normal},
                    {"urgent", Urgency::High},
                    {"production", Urgency::Production}});
-  f.count<std::uint32_t>("least_tasks", c.least_tasks, 1, 100'000);
-  f.count<std::uint32_t>("most_tasks", c.most_tasks, c.least_tasks, 100'000);
+  f.count<std::uint32_t>("least_tasks", c.min_tasks, 1, 100'000);
+  f.count<std::uint32_t>("most_tasks", c.max_tasks, c.min_tasks, 100'000);
   f.number("cpus", c.cpus, 0.1, 1000);
   f.number("memory_gb", c.memory_gb, 0.01, 10'000);
   f.number("run_s", c.run_s, 0.1, 3600);
@@ -196,7 +196,7 @@
   return base;
 }
 
-constexpr int kMostBases = 4; // one upon the other
+constexpr int kMaxBases = 4; // one upon the other
 
 toml::table with_bases(const std::string &path, int bases_left) {
   auto file = parse_toml(read_file(path));
@@ -224,7 +224,7 @@
   f.number("task_starts_per_s", s.task_starts_per_s, 0.1, 1e5);
   f.number("run_scale", s.run_scale, 0.01, 100);
   f.number("team_limit_factor", s.team_limit_factor, 0, 1000);
-  f.number("report_s", s.report_s, 0.2, 600);
+  f.number("report_s", s.heartbeat_interval_s, 0.2, 600);
   f.number("lease_s", s.lease_s, 1, 3600);
   f.number("cancel_s", s.cancel_s, 1, 3600);
   f.number("gang_wait_s", s.gang_wait_s, 1, 3600);
@@ -267,7 +267,7 @@
 
 Scenario load_scenario(const std::string &path) {
   try {
-    return read_scenario(with_bases(path, kMostBases));
+    return read_scenario(with_bases(path, kMaxBases));
   } catch (const ScenarioError &e) {
     throw ScenarioError(path + ", " + e.what());
   }
@@ -280,8 +280,8 @@
   s.task_starts_per_s *= ratio;
   for (auto &c : s.classes)
     if (c.shape == Shape::Gang && ratio < 1) { // what fits a zone of the design size need not fit a smaller one
-      c.least_tasks = std::max<std::uint32_t>(2, static_cast<std::uint32_t>(c.least_tasks * ratio));
-      c.most_tasks = std::max<std::uint32_t>(c.least_tasks, static_cast<std::uint32_t>(c.most_tasks * ratio));
+      c.min_tasks = std::max<std::uint32_t>(2, static_cast<std::uint32_t>(c.min_tasks * ratio));
+      c.max_tasks = std::max<std::uint32_t>(c.min_tasks, static_cast<std::uint32_t>(c.max_tasks * ratio));
     }
   for (auto &f : s.faults)
     f.count = scaled(f.count);
@@ -306,4 +306,4 @@
   return static_cast<int>(jobs_per_s * mean_run_s);
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/scenario.hpp
+++ b/bench/scale/scenario.hpp
@@ -11,7 +11,7 @@
 
 #include "loftrouter/core/types.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 struct WorkerType {
   std::string name;
@@ -23,7 +23,7 @@
   std::string name;
   Shape shape = Shape::Array;
   Urgency urgency = Urgency::Normal;
-  std::uint32_t least_tasks = 1, most_tasks = 1;
+  std::uint32_t min_tasks = 1, max_tasks = 1;
   double cpus = 1, memory_gb = 1; // a task
   double run_s = 30;              // mean
   double image_gb = 1;
@@ -64,7 +64,7 @@
   double task_starts_per_s = 10;
   double run_scale = 1;         // times the run_s of all classes
   double team_limit_factor = 4; // limit of a team over its mean use
-  double report_s = 5, lease_s = 26, cancel_s = 52, gang_wait_s = 35, gang_peer_s = 6;
+  double heartbeat_interval_s = 5, lease_s = 26, cancel_s = 52, gang_wait_s = 35, gang_peer_s = 6;
   double fetch_gb_per_s = 0.5, boot_s = 25;
   double state_requests_per_s = 900, state_changes_per_s = 60, state_value_kb = 8, state_latency_s = 0.005;
   int state_transaction_changes = 8;
@@ -89,4 +89,4 @@
 Scenario load_scenario(const std::string &path);    // throws ScenarioError
 Scenario scaled_to(Scenario scenario, int workers); // rates, counts and the largest gangs in proportion
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/stand_in_cloud.cpp
+++ b/bench/scale/stand_in_cloud.cpp
@@ -3,12 +3,12 @@
 #include <algorithm>
 #include <stdexcept>
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
 constexpr double kTick = 0.2;            // s, between looks for machines that have booted
 constexpr double kFailedShownAfter = 30; // s, for which a machine that has stopped is still listed as running
-constexpr std::size_t kMostListed = 500, kMostRented = 50;
+constexpr std::size_t kMaxListed = 500, kMaxRented = 50;
 } // namespace
 
 CloudStandIn::CloudStandIn(net::Loop &loop, const std::string &address, CloudLimits limits,
@@ -90,7 +90,7 @@
   for (auto it = rented_.upper_bound(from); it != rented_.end(); ++it) {
     const auto &r = it->second;
     if (now < r.since + limits_.list_lag_s) continue;
-    if (out.size() >= kMostListed) {
+    if (out.size() >= kMaxListed) {
       truncated = true;
       break;
     }
@@ -116,7 +116,7 @@
   if (body.value("standby", false) || spare == spare_.end() || spare->second.empty())
     return answer(id, 503, {{"error", "no capacity"}});
   const auto known = std::find_if(types_.begin(), types_.end(), [&](const auto &t) { return t.name == type; });
-  const auto wanted = std::min<std::size_t>(kMostRented, body.value("number", 1U));
+  const auto wanted = std::min<std::size_t>(kMaxRented, body.value("number", 1U));
   Json names = Json::array();
   while (names.size() < wanted && !spare->second.empty()) {
     Machine m = std::move(spare->second.back());
@@ -140,4 +140,4 @@
   }
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/stand_in_cloud.hpp
+++ b/bench/scale/stand_in_cloud.hpp
@@ -18,7 +18,7 @@
 #include "loftrouter/net/server.hpp"
 #include "loftrouter/wire/cbor.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 struct CloudLimits {
   double requests_per_s = 1e6; // above: 429, with bursts of two seconds' worth
@@ -75,4 +75,4 @@
   Counters counters_;
 };
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/stand_in_state.cpp
+++ b/bench/scale/stand_in_state.cpp
@@ -3,12 +3,12 @@
 #include <algorithm>
 #include <stdexcept>
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
-constexpr double kTick = 0.02;               // s, between looks for leases and watches whose time is over
-constexpr std::size_t kMostHistory = 10'000; // changes that a watch may be behind
-constexpr std::size_t kMostEntries = 1'000, kMostListBytes = 512 * 1024;
+constexpr double kTick = 0.02;              // s, between looks for leases and watches whose time is over
+constexpr std::size_t kMaxHistory = 10'000; // changes that a watch may be behind
+constexpr std::size_t kMaxEntries = 1'000, kMaxListBytes = 512 * 1024;
 
 std::string query(const std::string &target, const std::string &name) {
   const auto begin = target.find('?');
@@ -92,7 +92,7 @@
     event = {{"drop", key}, {"stamp", revision_}};
   }
   history_.push_back({revision_, key, std::move(event)});
-  if (history_.size() > kMostHistory) history_.pop_front();
+  if (history_.size() > kMaxHistory) history_.pop_front();
   counters_.keys = keys_.size();
 }
 
@@ -127,18 +127,18 @@
 
 void StateStandIn::list(net::ConnId id, const std::string &target) {
   const auto prefix = query(target, "under"), from = query(target, "from");
-  const auto most = std::min<std::size_t>(kMostEntries, number(query(target, "most"), kMostEntries));
+  const auto most = std::min<std::size_t>(kMaxEntries, number(query(target, "most"), kMaxEntries));
   Json entries = Json::array();
   std::size_t bytes = 0;
   bool truncated = false;
   for (auto it = from.empty() ? keys_.lower_bound(prefix) : keys_.upper_bound(std::max(from, prefix));
        it != keys_.end() && it->first.starts_with(prefix); ++it) {
-    if (entries.size() >= most || bytes + it->second.bytes > kMostListBytes) {
+    if (entries.size() >= most || bytes + it->second.bytes > kMaxListBytes) {
       truncated = true;
       break;
     }
     bytes += it->second.bytes + it->first.size();
-    entries.push_back({{"k", it->first}, {"v", it->second.value}, {"stamp", it->second.stamp}});
+    entries.push_back({{"k", it->first}, {"v", it->second.value}, {"stamp", it->second.mod_revision}});
   }
   answer(id, 200, {{"entries", std::move(entries)}, {"truncated", truncated}, {"epoch", revision_}});
 }
@@ -146,15 +146,17 @@
 void StateStandIn::get(net::ConnId id, const std::string &key) {
   const auto it = keys_.find(key);
   if (it == keys_.end()) return answer(id, 404, {{"epoch", revision_}});
-  answer(id, 200, {{"k", key}, {"v", it->second.value}, {"stamp", it->second.stamp}, {"permit", it->second.lease}});
+  answer(id, 200,
+         {{"k", key}, {"v", it->second.value}, {"stamp", it->second.mod_revision}, {"permit", it->second.lease}});
 }
 
 void StateStandIn::commit(net::ConnId id, const Json &body) {
   const Json none = Json::array();
-  const Json &guards = body.contains("guards") ? body["guards"] : none;
+  const Json &preconditions = body.contains("guards") ? body["guards"] : none;
   const Json &writes = body.contains("writes") ? body["writes"] : none;
   const auto changes = static_cast<int>(writes.size());
-  if (changes > limits_.transaction_changes || static_cast<int>(guards.size()) > 4 * limits_.transaction_changes) {
+  if (changes > limits_.transaction_changes ||
+      static_cast<int>(preconditions.size()) > 4 * limits_.transaction_changes) {
     ++counters_.too_large;
     return answer(id, 400, {{"error", "too many changes or conditions"}});
   }
@@ -172,9 +174,9 @@
     if (w.contains("set") && w.value("permit", 0ULL) != 0 && !leases_.contains(w["permit"].get<std::uint64_t>()))
       return answer(id, 400, {{"error", "no such lease"}});
   Json failed = Json::array();
-  for (const auto &g : guards) {
+  for (const auto &g : preconditions) {
     const auto it = keys_.find(g["k"].get<std::string>());
-    if ((it == keys_.end() ? 0 : it->second.stamp) != g["stamp"].get<std::uint64_t>()) failed.push_back(g["k"]);
+    if ((it == keys_.end() ? 0 : it->second.mod_revision) != g["stamp"].get<std::uint64_t>()) failed.push_back(g["k"]);
   }
   if (!failed.empty()) return answer(id, 409, {{"failed", std::move(failed)}, {"epoch", revision_}});
   if (!writes.empty()) ++revision_;
@@ -189,7 +191,7 @@
 
 void StateStandIn::follow(net::ConnId id, const std::string &target) {
   const auto from = number(query(target, "from"), 0);
-  if (!history_.empty() && history_.size() >= kMostHistory && from + 1 < history_.front().revision)
+  if (!history_.empty() && history_.size() >= kMaxHistory && from + 1 < history_.front().revision)
     return answer(id, 410, {{"error", "too old"}});
   const double hold_s = static_cast<double>(std::min<std::uint64_t>(60'000, number(query(target, "hold_ms"), 0))) / 1e3;
   watches_.push_back({id, query(target, "under"), from, net::mono_now() + hold_s});
@@ -213,4 +215,4 @@
   answer(id, 200, Json::object());
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/stand_in_state.hpp
+++ b/bench/scale/stand_in_state.hpp
@@ -17,7 +17,7 @@
 #include "loftrouter/net/server.hpp"
 #include "loftrouter/wire/cbor.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 struct StateLimits {
   double requests_per_s = 1e6; // above: 429
@@ -42,7 +42,7 @@
   using Json = nlohmann::json;
   struct Key {
     Json value;
-    std::uint64_t stamp, lease;
+    std::uint64_t mod_revision, lease;
     std::size_t bytes;
   };
   struct Lease {
@@ -93,4 +93,4 @@
   Counters counters_;
 };
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/workload.cpp
+++ b/bench/scale/workload.cpp
@@ -6,7 +6,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 namespace {
 constexpr int kTeamsOfGangs = 20; // the first so many teams submit the gangs, and have limits that let them run
@@ -24,7 +24,7 @@
 }
 
 double mean_tasks(const JobClass &c) {
-  return 0.5 * (c.least_tasks + c.most_tasks);
+  return 0.5 * (c.min_tasks + c.max_tasks);
 }
 } // namespace
 
@@ -56,7 +56,7 @@
   spec.team = scenario_.team_name(plan.team);
   spec.shape = c.shape;
   spec.urgency = c.urgency;
-  spec.tasks = std::uniform_int_distribution<std::uint32_t>(c.least_tasks, c.most_tasks)(random);
+  spec.tasks = std::uniform_int_distribution<std::uint32_t>(c.min_tasks, c.max_tasks)(random);
   spec.need = {c.cpus, 0, c.memory_gb};
   spec.image = fmt::format("{}-{}", c.name, std::uniform_int_distribution<int>(0, c.images - 1)(random));
   spec.image_gb = c.image_gb;
@@ -99,7 +99,7 @@
   for (const auto &c : scenario_.classes) {
     mean_cpus += scenario_.task_starts_per_s * c.starts_share * c.run_s * c.cpus / scenario_.teams;
     double &largest = c.shape == Shape::Gang ? largest_gang : largest_array;
-    largest = std::max(largest, c.cpus * c.most_tasks);
+    largest = std::max(largest, c.cpus * c.max_tasks);
   }
   double limit = std::max(scenario_.team_limit_factor * mean_cpus, largest_array);
   // A region may have no more than its part of a limit, and the largest gang has to fit that.
@@ -122,4 +122,4 @@
   return error == std::errc() && stop == end ? std::optional(number) : std::nullopt;
 }
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/bench/scale/workload.hpp
+++ b/bench/scale/workload.hpp
@@ -10,7 +10,7 @@
 #include "loftrouter/core/settings.hpp"
 #include "scenario.hpp"
 
-namespace loft::scale {
+namespace loftrouter::scale {
 
 struct WorkerPlace {
   int region = 0, zone = 0;
@@ -51,4 +51,4 @@
   std::uint32_t jobs_at_start_ = 0;
 };
 
-} // namespace loft::scale
+} // namespace loftrouter::scale
--- a/include/loftrouter/accounts/period.hpp
+++ b/include/loftrouter/accounts/period.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-namespace loft::accounts {
+namespace loftrouter::accounts {
 
 struct Clock {
   int starts_min = 0;  // minute of the local day
@@ -24,4 +24,4 @@
 std::string format_minute(int minute);
 std::string format_offset(int minutes);
 
-} // namespace loft::accounts
+} // namespace loftrouter::accounts
--- a/include/loftrouter/accounts/usage.hpp
+++ b/include/loftrouter/accounts/usage.hpp
@@ -11,11 +11,11 @@
 #include <string>
 #include <string_view>
 
-namespace loft {
+namespace loftrouter {
 struct Resources;
 }
 
-namespace loft::accounts {
+namespace loftrouter::accounts {
 
 enum Column : std::uint8_t {
   Useful,    // running, by attempts that completed
@@ -63,4 +63,4 @@
 template <std::size_t N> std::string pack(const Row<N> &row);
 template <std::size_t N> std::optional<Row<N>> unpack(std::string_view text);
 
-} // namespace loft::accounts
+} // namespace loftrouter::accounts
--- a/include/loftrouter/app/daemon.hpp
+++ b/include/loftrouter/app/daemon.hpp
@@ -3,10 +3,10 @@
 
 #include "loftrouter/core/settings.hpp"
 
-namespace loft::app {
+namespace loftrouter::app {
 
 // Runs until killed; a start-up problem is returned as one line.
 std::string run_daemon(const Settings &settings);
 void setup_logging();
 
-} // namespace loft::app
+} // namespace loftrouter::app
--- a/include/loftrouter/app/features.hpp
+++ b/include/loftrouter/app/features.hpp
@@ -6,7 +6,7 @@
 
 #include "loftrouter/core/settings.hpp"
 
-namespace loft::app {
+namespace loftrouter::app {
 
 struct Features {
   bool accounts = false;      // what teams use is kept, and their budgets are held
@@ -19,4 +19,4 @@
 // Into the settings; or what does not go with them.
 std::string apply_features(const Features &features, Settings &settings);
 
-} // namespace loft::app
+} // namespace loftrouter::app
--- a/include/loftrouter/app/latency.hpp
+++ b/include/loftrouter/app/latency.hpp
@@ -3,7 +3,7 @@
 
 #include <boost/histogram.hpp>
 
-namespace loft::app {
+namespace loftrouter::app {
 
 class LatencyHistogram {
 public:
@@ -14,15 +14,15 @@
     for (auto &&x : boost::histogram::indexed(counts_, boost::histogram::coverage::all))
       all += *x;
     for (auto &&x : boost::histogram::indexed(counts_, boost::histogram::coverage::all))
-      if ((sum += *x) >= q * all && all > 0) return x.index() < 0 ? kLeast : x.bin().upper();
+      if ((sum += *x) >= q * all && all > 0) return x.index() < 0 ? kMin : x.bin().upper();
     return 0;
   }
 
 private:
-  static constexpr double kLeast = 0.01, kMost = 1e5;
+  static constexpr double kMin = 0.01, kMax = 1e5;
   using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
-  decltype(boost::histogram::make_histogram(Axis(70, kLeast, kMost))) counts_ =
-      boost::histogram::make_histogram(Axis(70, kLeast, kMost));
+  decltype(boost::histogram::make_histogram(Axis(70, kMin, kMax))) counts_ =
+      boost::histogram::make_histogram(Axis(70, kMin, kMax));
 };
 
-} // namespace loft::app
+} // namespace loftrouter::app
--- a/include/loftrouter/app/settings.hpp
+++ b/include/loftrouter/app/settings.hpp
@@ -6,10 +6,10 @@
 
 #include "loftrouter/core/settings.hpp"
 
-namespace loft::app {
+namespace loftrouter::app {
 
 // The settings, or one line naming the field that is wrong.
 std::variant<Settings, std::string> parse_settings(const std::string &text);
 std::variant<Settings, std::string> load_settings(const std::string &path);
 
-} // namespace loft::app
+} // namespace loftrouter::app
--- a/include/loftrouter/cells/handover.hpp
+++ b/include/loftrouter/cells/handover.hpp
@@ -10,7 +10,7 @@
 #include <cstdint>
 #include <limits>
 
-namespace loft::cells {
+namespace loftrouter::cells {
 
 using Generation = std::uint64_t;
 constexpr double kNever = -std::numeric_limits<double>::infinity();
@@ -26,44 +26,44 @@
 };
 
 // As home sees it. It starts the work itself, or lends it anew, only when `over`.
-class AtHome {
+class DelegationAtOrigin {
 public:
   // Its record is being written by the leader of this term.
-  AtHome(Generation g, std::uint64_t term) : generation_(g), term_(term) {}
+  DelegationAtOrigin(Generation g, std::uint64_t term) : generation_(g), term_(term) {}
   // Read from the record of an earlier leader, which may have confirmed it up to now.
-  static AtHome restored(Generation g, std::uint64_t term, double now, const Terms &t);
+  static DelegationAtOrigin restored(Generation g, std::uint64_t term, double now, const Terms &t);
 
   Generation generation() const { return generation_; }
   void recorded(); // the state service has it: from now on it may be offered
-  bool offers() const { return phase_ == Phase::Lent; }
+  bool offers() const { return phase_ == Phase::DelegationSource; }
   // The borrower's leader of this term asks on. False: it has to stop. A loan that is not recorded is never confirmed,
   // as a next leader would not know of it.
-  bool confirm(double now, std::uint64_t borrower_term, const Terms &t);
+  bool confirm(double now, std::uint64_t remote_term, const Terms &t);
   void close(); // is not confirmed any more
   bool closing() const { return phase_ == Phase::Closing; }
-  // The borrower's leader of this term, to the leader of `home_term`: nothing of it runs there, nor will. False: a
+  // The borrower's leader of this term, to the leader of `origin_term`: nothing of it runs there, nor will. False: a
   // later leader there may have been confirmed since - by this leader, or by an earlier one if the word was for that -
   // which knows nothing of that word and may have started it again.
-  bool ended(std::uint64_t borrower_term, std::uint64_t home_term);
+  bool ended(std::uint64_t remote_term, std::uint64_t origin_term);
   bool over(double now) const;
-  bool confirmed() const { return until_ != kNever; }            // ever, as far as known
-  double until() const { return until_; }                        // when the borrower has let go at the latest
-  std::uint64_t borrower_term() const { return borrower_term_; } // of whom it was last confirmed to
+  bool confirmed() const { return until_ != kNever; }        // ever, as far as known
+  double until() const { return until_; }                    // when the borrower has let go at the latest
+  std::uint64_t remote_term() const { return remote_term_; } // of whom it was last confirmed to
 
 private:
-  enum class Phase : std::uint8_t { Recording, Lent, Closing, Over };
+  enum class Phase : std::uint8_t { Recording, DelegationSource, Closing, Over };
   Generation generation_;
   std::uint64_t term_;
   Phase phase_ = Phase::Recording;
   double until_ = kNever;
-  std::uint64_t borrower_term_ = 0; // the latest that was confirmed
+  std::uint64_t remote_term_ = 0; // the latest that was confirmed
 };
 
 // As the borrower sees it, on the node that leads there.
-class AtBorrower {
+class DelegationAtRemote {
 public:
   // Its record is there; it has not been confirmed to this leader, whose latest question to that home was `asked`.
-  AtBorrower(Generation g, std::uint64_t asked) : generation_(g), asked_before_(asked) {}
+  DelegationAtRemote(Generation g, std::uint64_t asked) : generation_(g), asked_before_(asked) {}
   Generation generation() const { return generation_; }
 
   // In answer to the question of this number, which named it. One asked before this leader knew of it was about an
@@ -86,4 +86,4 @@
   double until_ = kNever;
 };
 
-} // namespace loft::cells
+} // namespace loftrouter::cells
--- a/include/loftrouter/cells/membership.hpp
+++ b/include/loftrouter/cells/membership.hpp
@@ -5,12 +5,12 @@
 #include <string>
 #include <vector>
 
-namespace loft::cells {
+namespace loftrouter::cells {
 
-class Membership {
+class CellMembership {
 public:
   // `nodes`: how the cell's nodes are dialled.
-  explicit Membership(std::vector<int> nodes) : nodes_(std::move(nodes)), failed_at_(nodes_.size(), -1e9) {}
+  explicit CellMembership(std::vector<int> nodes) : nodes_(std::move(nodes)), failed_at_(nodes_.size(), -1e9) {}
 
   // The node to talk to, or -1: not before the pause is over.
   int target(double now) const { return now < quiet_until_ || nodes_.empty() ? -1 : nodes_[current_]; }
@@ -27,14 +27,14 @@
   double heard_at() const { return heard_at_; }
 
   static constexpr double kFailedFor = 30.0; // s, that a node which did not answer is not gone back to as the leader
-  static constexpr double kPatience = 2.0, kReached = 5.0, kLeastPause = 1.0, kMostPause = 30.0; // s
+  static constexpr double kPatience = 2.0, kReached = 5.0, kMinPause = 1.0, kMaxPause = 30.0; // s
 
 private:
   void move_on(double now, double jitter);
   std::vector<int> nodes_;
   std::vector<double> failed_at_;
   std::size_t current_ = 0, tried_ = 0;
-  double asked_at_ = -1, heard_at_ = -1e9, quiet_until_ = -1e9, pause_ = kLeastPause;
+  double asked_at_ = -1, heard_at_ = -1e9, quiet_until_ = -1e9, pause_ = kMinPause;
 };
 
-} // namespace loft::cells
+} // namespace loftrouter::cells
--- a/include/loftrouter/cells/plan.hpp
+++ b/include/loftrouter/cells/plan.hpp
@@ -10,7 +10,7 @@
 #include "loftrouter/core/types.hpp"
 #include "loftrouter/wire/cell.hpp"
 
-namespace loft::cells {
+namespace loftrouter::cells {
 
 struct Work {                     // of one job, that could be lent
   Resources need;                 // of each task
@@ -49,7 +49,7 @@
 std::optional<Choice> choose(const Work &work, const std::vector<View> &cells, const Rules &rules);
 
 // What the borrower promises, so that several cells which see the same room do not fill it several times over.
-class Promises {
+class CapacityGrants {
 public:
   // Of `most` tasks, those that fit into `free` CPUs beside what is promised already; kept for a few seconds.
   std::uint32_t promise(std::uint64_t ticket, double cpus_each, std::uint32_t most, bool whole, double free_cpus,
@@ -58,16 +58,16 @@
   bool take(std::uint64_t ticket, std::uint32_t tasks, double now);
   double promised_cpus(double now);
   static constexpr double kKept = 5.0; // s
-  static constexpr std::size_t kMost = 256;
+  static constexpr std::size_t kMax = 256;
 
 private:
-  struct Promise {
+  struct CapacityGrant {
     std::uint64_t ticket;
     std::uint32_t tasks;
     double cpus, until;
   };
   void expire(double now);
-  std::vector<Promise> promises_;
+  std::vector<CapacityGrant> capacity_grants_;
 };
 
-} // namespace loft::cells
+} // namespace loftrouter::cells
--- a/include/loftrouter/cells/shares.hpp
+++ b/include/loftrouter/cells/shares.hpp
@@ -8,7 +8,7 @@
 
 #include "loftrouter/wire/configuration.hpp"
 
-namespace loft::cells {
+namespace loftrouter::cells {
 
 // The cell that decides a team's quota: all cells find the same one. `names`: of all cells.
 const std::string &owner_of(const std::string &team, const std::vector<std::string> &names);
@@ -36,4 +36,4 @@
 // is to be committed before any cell is told.
 bool raise_caps(wire::QuotaRecord &record, const std::vector<std::string> &names);
 
-} // namespace loft::cells
+} // namespace loftrouter::cells
--- a/include/loftrouter/client/ask.hpp
+++ b/include/loftrouter/client/ask.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace loft::client {
+namespace loftrouter::client {
 
 struct Answer {
   int status = 0;            // 0: none within the deadline
@@ -40,4 +40,4 @@
 Transport curl_transport();
 Clock real_clock();
 
-} // namespace loft::client
+} // namespace loftrouter::client
--- a/include/loftrouter/client/render.hpp
+++ b/include/loftrouter/client/render.hpp
@@ -7,7 +7,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace loft::client {
+namespace loftrouter::client {
 
 struct Table {
   std::vector<std::string> head;
@@ -29,4 +29,4 @@
 // Jobs ended by hour of the period, done and not, as SVG; empty where the program that draws it is missing.
 std::string plot_by_hour(const nlohmann::json &statement);
 
-} // namespace loft::client
+} // namespace loftrouter::client
--- a/include/loftrouter/client/verbs.hpp
+++ b/include/loftrouter/client/verbs.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace loft::client {
+namespace loftrouter::client {
 
 enum Exit { kGood = 0, kRefused = 1, kUsage = 2, kUnreachable = 3 };
 
@@ -40,4 +40,4 @@
 // Writes to standard output, and what went wrong to standard error; an `Exit`.
 int run(const Verb &verb);
 
-} // namespace loft::client
+} // namespace loftrouter::client
--- a/include/loftrouter/cloud/cloud.hpp
+++ b/include/loftrouter/cloud/cloud.hpp
@@ -6,7 +6,7 @@
 #include "loftrouter/core/effects.hpp"
 #include "loftrouter/net/client.hpp"
 
-namespace loft::cloud {
+namespace loftrouter::cloud {
 
 class CloudClient {
 public:
@@ -19,4 +19,4 @@
   Done done_;
 };
 
-} // namespace loft::cloud
+} // namespace loftrouter::cloud
--- a/include/loftrouter/core/administration.hpp
+++ b/include/loftrouter/core/administration.hpp
@@ -1,4 +1,4 @@
-// The administration API: what an operator asks of any node. What is configured is ConfigurationDesk's.
+// The administration API: what an operator asks of any node. What is configured is ConfigurationApiHandler's.
 //
 // Owns nothing but the questions under way.
 #pragma once
@@ -11,19 +11,24 @@
 #include "loftrouter/core/reports.hpp"
 #include "loftrouter/core/served.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class Administration {
+class AdministrationApiHandler {
 public:
-  Administration(Port &port, const Settings &settings, const Catalogue &catalogue, const Operators &operators,
-                 StoreBudget &budget, const Leadership &lead, const Cancellations &cancellations, const JobTable &jobs,
-                 const Dependencies &dependencies, const FailureJudge &judge, const Fleet &fleet, const Scaler &scaler,
-                 const Siblings &siblings, const Reach &reach, const Cells &cells, const ReportDesk &reports,
-                 const Served &served, const Insight &insight, const Ledger &ledger, ConfigurationDesk &configuration)
-      : port_(port), settings_(settings), catalogue_(catalogue), operators_(operators), budget_(budget), lead_(lead),
-        cancellations_(cancellations), jobs_(jobs), dependencies_(dependencies), judge_(judge), fleet_(fleet),
-        scaler_(scaler), siblings_(siblings), reach_(reach), cells_(cells), reports_(reports), served_(served),
-        insight_(insight), ledger_(ledger), configuration_(configuration) {}
+  AdministrationApiHandler(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog,
+                           const Operators &operators, StateServiceLimits &state_limits, const Leadership &leadership,
+                           const Cancellations &cancellations, const JobTable &jobs, const Dependencies &dependencies,
+                           const FailureAttribution &failure_attribution, const WorkerRegistry &workers,
+                           const Autoscaler &autoscaler, const Replicas &replicas,
+                           const ConnectivityMonitor &connectivity, const CellFederation &cells,
+                           const HeartbeatHandler &heartbeats, const ServiceLevelCounters &service_levels,
+                           const StatusReporter &status_reporter, const Ledger &ledger,
+                           ConfigurationApiHandler &configuration)
+      : runtime_(runtime), settings_(settings), catalog_(catalog), operators_(operators), state_limits_(state_limits),
+        leadership_(leadership), cancellations_(cancellations), jobs_(jobs), dependencies_(dependencies),
+        failure_attribution_(failure_attribution), workers_(workers), autoscaler_(autoscaler), replicas_(replicas),
+        connectivity_(connectivity), federation_(cells), heartbeats_(heartbeats), service_levels_(service_levels),
+        status_reporter_(status_reporter), ledger_(ledger), configuration_(configuration) {}
 
   void take(CmdAdmin &&cmd);
 
@@ -36,26 +41,26 @@
   void statement_jobs(RequestId req, const wire::AdminRequest &ask, wire::AdminStatement s);
   void fail(RequestId req, int status, std::string_view text);
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
-  const Catalogue &catalogue_;
+  const InstanceTypeCatalog &catalog_;
   const Operators &operators_;
-  StoreBudget &budget_;
-  const Leadership &lead_;
+  StateServiceLimits &state_limits_;
+  const Leadership &leadership_;
   const Cancellations &cancellations_;
   const JobTable &jobs_;
   const Dependencies &dependencies_;
-  const FailureJudge &judge_;
-  const Fleet &fleet_;
-  const Scaler &scaler_;
-  const Siblings &siblings_;
-  const Reach &reach_;
-  const Cells &cells_;
-  const ReportDesk &reports_;
-  const Served &served_;
-  const Insight &insight_;
+  const FailureAttribution &failure_attribution_;
+  const WorkerRegistry &workers_;
+  const Autoscaler &autoscaler_;
+  const Replicas &replicas_;
+  const ConnectivityMonitor &connectivity_;
+  const CellFederation &federation_;
+  const HeartbeatHandler &heartbeats_;
+  const ServiceLevelCounters &service_levels_;
+  const StatusReporter &status_reporter_;
   const Ledger &ledger_;
-  ConfigurationDesk &configuration_;
+  ConfigurationApiHandler &configuration_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/applied.hpp
+++ b/include/loftrouter/core/applied.hpp
@@ -6,23 +6,24 @@
 #include "loftrouter/core/budget.hpp"
 #include "loftrouter/core/configuration.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 class AppliedConfiguration {
 public:
-  AppliedConfiguration(Port &port, const Settings &settings, Configuration &configuration, StoreBudget &budget)
-      : port_(port), settings_(settings), configuration_(configuration), budget_(budget) {}
+  AppliedConfiguration(Runtime &runtime, const Settings &settings, Configuration &configuration,
+                       StateServiceLimits &state_limits)
+      : runtime_(runtime), settings_(settings), configuration_(configuration), state_limits_(state_limits) {}
 
   void tick();
 
 private:
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
   Configuration &configuration_;
-  StoreBudget &budget_;
+  StateServiceLimits &state_limits_;
   std::uint64_t seen_ = 0, told_ = 0; // revisions
   double seen_wall_ = 0, next_ = 0;
   bool writing_ = false;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/budget.hpp
+++ b/include/loftrouter/core/budget.hpp
@@ -14,14 +14,14 @@
 #include "loftrouter/core/util.hpp"
 #include "loftrouter/wire/cbor.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class StoreBudget {
+class StateServiceLimits {
 public:
   struct Use { // a second
     double reads = 0, writes = 0;
   };
-  explicit StoreBudget(const Settings &settings);
+  explicit StateServiceLimits(const Settings &settings);
 
   bool take_read(double now, double amount = 1) { return reads_.take(now, amount); }
   bool take_write(double now) { return writes_.take(now); }
@@ -39,7 +39,7 @@
   bool refused(double now);
 
   // Every `dt_s`: shares out anew. One entry a sibling; nothing for one that is not heard.
-  void share(double now, double dt_s, const std::vector<std::optional<Use>> &siblings);
+  void share(double now, double dt_s, const std::vector<std::optional<Use>> &replicas);
 
 private:
   void share_evenly(double now);
@@ -50,4 +50,4 @@
   Use use_, taken_; // the latter: in all, when last looked at
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/cancellations.hpp
+++ b/include/loftrouter/core/cancellations.hpp
@@ -18,12 +18,13 @@
 #include "loftrouter/core/leadership.hpp"
 #include "loftrouter/wire/peer.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 class Cancellations {
 public:
-  Cancellations(Port &port, const Settings &settings, const Leadership &lead, JobTable &jobs)
-      : port_(port), settings_(settings), lead_(lead), jobs_(jobs), words_(settings.siblings.size(), -1e9) {}
+  Cancellations(Runtime &runtime, const Settings &settings, const Leadership &leadership, JobTable &jobs)
+      : runtime_(runtime), settings_(settings), leadership_(leadership), jobs_(jobs),
+        words_(settings.replicas.size(), -1e9) {}
 
   // This node has read or written that a job is cancelled. Always before a user is told.
   void note(const std::string &id);
@@ -34,26 +35,26 @@
   // The state service's word: all that was recorded before `asked` (mono) is in the job table.
   void news(double asked);
   // A sibling's word, in answer to a question asked at `asked`: what it repeats, and how long its process has been up.
-  void hear(std::size_t sibling, double asked, double uptime_s, const std::vector<std::string> &ids);
+  void hear(std::size_t replica, double asked, double uptime_s, const std::vector<std::string> &ids);
 
   double known_until() const; // mono
-  double known_until_wall() const { return port_.wall() - (port_.now() - known_until()); }
+  double known_until_wall() const { return runtime_.wall() - (runtime_.now() - known_until()); }
   // Whatever is not known here would still be over in time, if an answer now lets a worker run on for a lease.
   bool may_renew() const;
 
-  void on(const TermElected &);
+  void on(const LeaderElected &);
   void on(const JobAccepted &);
   void on(const TermEnded &);
 
 private:
   // Jobs; as many as a node remembers as open, at 0.12 KB each.
-  static constexpr std::size_t kMostNoted = 12'000, kMostAwaited = 12'000;
-  bool reads() const { return lead_.role() == Role::Loading || lead_.role() == Role::Leading; }
+  static constexpr std::size_t kMaxNoted = 12'000, kMaxAwaited = 12'000;
+  bool reads() const { return leadership_.role() == Role::Loading || leadership_.role() == Role::Leading; }
   bool mark(const std::string &id); // false: too many are awaited
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
-  const Leadership &lead_;
+  const Leadership &leadership_;
   JobTable &jobs_;
   std::deque<std::pair<std::string, double>> noted_; // by this node, and when
   // Cancelled, but not in the job table: what was read before may still bring it in, without its mark. Until news asked
@@ -63,4 +64,4 @@
   double news_ = -1e9, unmarked_at_ = -1e9; // the latter: when one of this node's own could not be kept
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/catalogue.hpp
+++ b/include/loftrouter/core/catalogue.hpp
@@ -7,14 +7,14 @@
 
 #include "loftrouter/core/util.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 // A place dearer than the cheapest by more than this is rented and used only where time presses.
-constexpr double kDear = 1.5;
+constexpr double kExpensiveRatio = 1.5;
 
-class Catalogue {
+class InstanceTypeCatalog {
 public:
-  explicit Catalogue(const std::vector<std::string> &zones);
+  explicit InstanceTypeCatalog(const std::vector<std::string> &zones);
 
   void take(std::vector<MachineType> types);
   bool known() const { return known_; }
@@ -36,7 +36,7 @@
 private:
   std::vector<MachineType> types_; // by index of their names
   bool known_ = false;
-  Names type_names_, zone_names_;
+  NameIndex type_names_, zone_names_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/cells.hpp
+++ b/include/loftrouter/core/cells.hpp
@@ -24,25 +24,26 @@
 #include "loftrouter/core/scaler.hpp"
 #include "loftrouter/core/siblings.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 // This cell's settings with a team for each other cell, so that borrowed work has its own queue and account.
 Settings with_cell_teams(Settings s);
 
-class Cells {
+class CellFederation {
 public:
   struct State { // of another cell, for people
     std::string name;
     double heard_s; // negative: never
-    bool lends;     // its settings leave room for a grant
-    std::uint64_t lent_tasks = 0, borrowed_tasks = 0;
-    std::size_t loans = 0, debts = 0;
+    bool delegates; // its settings leave room for a grant
+    std::uint64_t delegated_out_tasks = 0, delegated_in_tasks = 0;
+    std::size_t delegations = 0, delegations_in = 0;
   };
 
-  Cells(Port &port, Events &events, const Settings &settings, const Catalogue &catalogue, const Operators &operators,
-        const Leadership &lead, const Cancellations &cancellations, StoreBudget &budget, JobTable &jobs,
-        const FailureJudge &judge, Ledger &ledger, Recorder &recorder, Fleet &fleet, Siblings &siblings,
-        const Quotas &quotas, const Scaler &scaler, const Wishes &wishes);
+  CellFederation(Runtime &runtime, Events &events, const Settings &settings, const InstanceTypeCatalog &catalog,
+                 const Operators &operators, const Leadership &leadership, const Cancellations &cancellations,
+                 StateServiceLimits &state_limits, JobTable &jobs, const FailureAttribution &failure_attribution,
+                 Ledger &ledger, StateWriter &state_writer, WorkerRegistry &workers, Replicas &replicas,
+                 const Quotas &quotas, const Autoscaler &autoscaler, const JobObjectives &objectives);
 
   bool on() const { return !settings_.cells.name.empty(); }
   void expire(); // before anything else of a batch: what is not confirmed any more stops
@@ -51,7 +52,7 @@
   void take_passed(const CmdPeer &cmd);       // on the leader: a frame that came to a sibling
   void take_back(const wire::PeerMessage &m); // on that sibling: the answer
   // The worker holds borrowed work of which this leader does not know yet whether it is confirmed.
-  bool unsure_of(const WorkerReport &r) const;
+  bool unsure_of(const Heartbeat &r) const;
   bool may_leave(const JobSpec &spec) const; // by the operators' settings
   // Frames about quotas are for another part, which sends its own the same way.
   using TakeQuota = std::function<void(int cell, wire::CellMessage &&m)>;
@@ -63,21 +64,21 @@
   int by_name(const std::string &cell) const; // -1: none
   std::vector<State> states() const;
 
-  void on(const LoanRecorded &e);
-  void on(const LoanDropped &e);
+  void on(const DelegationRecorded &e);
+  void on(const DelegationRemoved &e);
   void on(const JobAccepted &e);
   void on(const JobCancelled &e);
-  void on(const JobOver &e);
-  void on(const TermBegun &);
+  void on(const JobFinalized &e);
+  void on(const TermStarted &);
   void on(const TermEnded &);
 
 private:
   struct Route { // where an answer goes
     std::uint64_t link = 0, nonce = 0;
-    bool by_sibling = false;
+    bool by_replica = false;
   };
-  struct Loan {
-    cells::AtHome state;
+  struct OutboundDelegation {
+    cells::DelegationAtOrigin state;
     int cell;
     double made_at, next_offer = 0, next_recall = 0, idle_since = -1;
     std::uint64_t ticket = 0; // the other's promise of room
@@ -86,9 +87,9 @@
     std::uint32_t running = 0;
     cells::Terms terms;
   };
-  struct Debt {
-    cells::AtBorrower state;
-    int home;
+  struct InboundDelegation {
+    cells::DelegationAtRemote state;
+    int origin;
     double known_at, next_told = 0, idle_since = -1;
     bool restored, wanted = false, draining = false, ended = false;
     std::uint32_t told_done = 0, told_running = 0;
@@ -96,7 +97,7 @@
   };
   struct Cell {
     std::string name;
-    cells::Membership nodes;
+    cells::CellMembership nodes;
     cells::View view;
     double heard_at = -1e9, lease_s = 0;
     std::uint64_t term = 0;                                                          // of its leader, as last heard
@@ -131,60 +132,60 @@
   void decide();
   std::uint32_t team_allows(int j) const;
   void want(int j, int cell, const cells::Work &work, std::uint32_t tasks);
-  void lend(const Wanted &w, std::uint64_t ticket, std::uint32_t tasks);
-  void tend_loans();
-  Loan *loan(std::uint64_t generation, int &job);
-  void drop(int j, Loan &l);
+  void delegate(const Wanted &w, std::uint64_t ticket, std::uint32_t tasks);
+  void tend_outbound();
+  OutboundDelegation *delegation(std::uint64_t generation, int &job);
+  void drop(int j, OutboundDelegation &l);
   void told(const Route &from, int cell, const wire::CellMessage &m);
-  wire::CellMessage offer(int j, const Loan &l) const;
+  wire::CellMessage offer(int j, const OutboundDelegation &l) const;
   cells::Work work_of(int j) const;
   // As borrower.
   void offered(const Route &from, int cell, wire::CellMessage &&m);
   double spare_cpus(const cells::Work &work) const;
   bool may_use(const cells::Work &work, const Lot &l) const;
-  void tend_debts();
-  void renew(int home);
-  void close(int j, Debt &d);
-  Debt *debt(std::uint64_t generation, int home, int &job);
+  void tend_inbound();
+  void renew(int origin);
+  void close(int j, InboundDelegation &d);
+  InboundDelegation *inbound(std::uint64_t generation, int origin, int &job);
   void summarize(wire::CellMessage &m) const;
 
-  Port &port_;
+  Runtime &runtime_;
   Events &events_;
   const Settings &settings_;
-  const Catalogue &catalogue_;
+  const InstanceTypeCatalog &catalog_;
   const Operators &operators_;
-  const Leadership &lead_;
+  const Leadership &leadership_;
   const Cancellations &cancellations_;
-  StoreBudget &budget_;
+  StateServiceLimits &state_limits_;
   JobTable &jobs_;
-  const FailureJudge &judge_;
+  const FailureAttribution &failure_attribution_;
   Ledger &ledger_;
-  Recorder &recorder_;
-  Fleet &fleet_;
-  Siblings &siblings_;
+  StateWriter &state_writer_;
+  WorkerRegistry &workers_;
+  Replicas &replicas_;
   const Quotas &quotas_;
-  const Scaler &scaler_;
-  const Wishes &wishes_;
+  const Autoscaler &autoscaler_;
+  const JobObjectives &objectives_;
   std::vector<Cell> cells_;
-  std::vector<std::string> node_addresses_;                // of all cells, by how they are dialled
-  std::vector<std::vector<Loan>> loans_;                   // by job
-  std::unordered_map<std::uint64_t, int> loan_jobs_;       // by generation
-  std::vector<std::optional<Debt>> debts_;                 // by job
-  std::vector<int> indebted_;                              // jobs that have one
-  std::map<std::pair<int, std::uint64_t>, int> debt_jobs_; // by home and generation
-  std::set<std::uint64_t> taking_;                         // offers whose record is being written
+  std::vector<std::string> node_addresses_;                   // of all cells, by how they are dialled
+  std::vector<std::vector<OutboundDelegation>> outbound_;     // by job
+  std::unordered_map<std::uint64_t, int> outbound_jobs_;      // by generation
+  std::vector<std::optional<InboundDelegation>> inbound_;     // by job
+  std::vector<int> inbound_list_;                             // jobs that have one
+  std::map<std::pair<int, std::uint64_t>, int> inbound_jobs_; // by home and generation
+  std::set<std::uint64_t> taking_;                            // offers whose record is being written
   std::vector<Lot> lots_;
   std::vector<double> waits_; // by job: expected at home
   double wait_by_urgency_[4] = {}, own_waiting_cpus_ = 0;
   std::unordered_map<std::uint64_t, Wanted> wanted_;    // by ticket
   std::unordered_map<std::uint64_t, double> not_again_; // (job serial, cell): not before
   std::vector<int> eager_;                              // by job: decisions in a row that it should leave
-  cells::Promises promises_;
-  PassedOn<std::uint64_t> passed_; // other cells' questions, to the leader; with their link
-  std::uint64_t numbers_, loans_made_ = 0;
+  cells::CapacityGrants capacity_grants_;
+  ForwardedRequests<std::uint64_t> passed_; // other cells' questions, to the leader; with their link
+  std::uint64_t numbers_, delegations_made_ = 0;
   double next_tick_ = 0, next_decision_ = 0;
   std::string told_wrong_;
   TakeQuota take_quota_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/chronicle.hpp
+++ b/include/loftrouter/core/chronicle.hpp
@@ -4,27 +4,28 @@
 #include "loftrouter/core/events.hpp"
 #include "loftrouter/core/fleet.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class Chronicle {
+class EventLog {
 public:
-  Chronicle(Port &port, const JobTable &jobs, const Fleet &fleet) : port_(port), jobs_(jobs), fleet_(fleet) {}
+  EventLog(Runtime &runtime, const JobTable &jobs, const WorkerRegistry &workers)
+      : runtime_(runtime), jobs_(jobs), workers_(workers) {}
 
-  void on(const TermElected &e);
-  void on(const TermBegun &e);
+  void on(const LeaderElected &e);
+  void on(const TermStarted &e);
   void on(const TermEnded &e);
   void on(const JobSuspected &e);
-  void on(const TaskRuns &e);
+  void on(const TaskRunning &e);
   void on(const TaskExited &e);
-  void on(const TasksGivenUp &e);
+  void on(const TasksAbandoned &e);
   void on(const MachineLost &e);
-  void on(const MachineCondemned &e);
-  void on(const MachineReturned &e);
+  void on(const MachineQuarantined &e);
+  void on(const MachineRemoved &e);
 
 private:
-  Port &port_;
+  Runtime &runtime_;
   const JobTable &jobs_;
-  const Fleet &fleet_;
+  const WorkerRegistry &workers_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/commands.hpp
+++ b/include/loftrouter/core/commands.hpp
@@ -11,7 +11,7 @@
 #include "loftrouter/wire/messages.hpp"
 #include "loftrouter/wire/peer.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 // Seconds. `mono` never goes back and counts for every lease and deadline; `wall` is for people and records.
 struct Now {
@@ -29,16 +29,16 @@
   RequestId req;
   std::string id;
 };
-struct CmdAbort {
+struct CmdCancel {
   RequestId req;
   std::string id;
 };
-struct CmdUp {
+struct CmdHealthCheck {
   RequestId req;
 };
-struct CmdReport {
+struct CmdHeartbeat {
   RequestId req;
-  WorkerReport report;
+  Heartbeat report;
 };
 struct CmdStoreReply {
   OpId op;
@@ -53,7 +53,7 @@
   wire::AdminRequest ask;
 };
 struct CmdPeer {
-  int sibling;        // the one that was asked, or -1
+  int replica;        // the one that was asked, or -1
   std::uint64_t link; // where an answer goes
   wire::PeerMessage message;
 };
@@ -62,7 +62,7 @@
   std::uint64_t link; // where an answer goes
   wire::CellMessage message;
 };
-using Command = std::variant<CmdCell, CmdTick, CmdSubmit, CmdLookup, CmdAbort, CmdUp, CmdReport, CmdStoreReply,
-                             CmdCloudReply, CmdPeer, CmdAdmin>;
+using Command = std::variant<CmdCell, CmdTick, CmdSubmit, CmdLookup, CmdCancel, CmdHealthCheck, CmdHeartbeat,
+                             CmdStoreReply, CmdCloudReply, CmdPeer, CmdAdmin>;
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/configuration.hpp
+++ b/include/loftrouter/core/configuration.hpp
@@ -17,7 +17,7 @@
 #include "loftrouter/core/port.hpp"
 #include "loftrouter/core/settings.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 class Configuration {
 public:
@@ -26,8 +26,8 @@
     std::uint64_t revision = 0;
   };
 
-  Configuration(Port &port, Events &events, const Settings &settings)
-      : port_(port), events_(events), settings_(settings) {}
+  Configuration(Runtime &runtime, Events &events, const Settings &settings)
+      : runtime_(runtime), events_(events), settings_(settings) {}
 
   void tick();
   // What this node has committed itself; nothing: it was removed.
@@ -44,7 +44,7 @@
   double current_at() const { return current_at_; } // mono, when the copy was last known to be complete
   bool watches() const { return following_; }
   bool listed_since(double at) const { return list_begun_at_ >= at; }
-  void on(const TermElected &) { // a list, at once
+  void on(const LeaderElected &) { // a list, at once
     if (settings_.configuration) next_ = 0;
   }
 
@@ -58,7 +58,7 @@
   void follow();
   void set(const std::string &key, std::optional<wire::Json> value, std::uint64_t revision);
 
-  Port &port_;
+  Runtime &runtime_;
   Events &events_;
   const Settings &settings_;
   std::map<std::string, Record> records_;        // by key
@@ -70,4 +70,4 @@
   bool listing_now_ = false, following_ = false;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/configuration_desk.hpp
+++ b/include/loftrouter/core/configuration_desk.hpp
@@ -13,14 +13,15 @@
 #include "loftrouter/core/operators.hpp"
 #include "loftrouter/core/quota_exchange.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class ConfigurationDesk {
+class ConfigurationApiHandler {
 public:
-  ConfigurationDesk(Port &port, const Settings &settings, Configuration &configuration, Operators &operators,
-                    const Quotas &quotas, QuotaChanges &changes, const QuotaExchange &exchange, StoreBudget &budget)
-      : port_(port), settings_(settings), configuration_(configuration), operators_(operators), quotas_(quotas),
-        changes_(changes), exchange_(exchange), budget_(budget) {}
+  ConfigurationApiHandler(Runtime &runtime, const Settings &settings, Configuration &configuration,
+                          Operators &operators, const Quotas &quotas, QuotaChanges &changes,
+                          const QuotaExchange &exchange, StateServiceLimits &state_limits)
+      : runtime_(runtime), settings_(settings), configuration_(configuration), operators_(operators), quotas_(quotas),
+        changes_(changes), exchange_(exchange), state_limits_(state_limits) {}
 
   void take(RequestId req, const wire::AdminRequest &ask);
 
@@ -38,7 +39,7 @@
   void change_quota(RequestId req, const wire::QuotaChange &change);
   void status(RequestId req, const std::string &from) const;
   void one_order(RequestId req, const std::string &machine) const;
-  void orders_page(RequestId req, wire::MachineOrders::const_iterator first) const;
+  void orders_page(RequestId req, wire::MachineAdminStates::const_iterator first) const;
   void history(RequestId req, const std::string &team) const;
   void change(RequestId req, const wire::AdminRequest &ask);
   void write(Change change);
@@ -50,14 +51,14 @@
   void answer(RequestId req, const wire::AdminRequest &ask) const;
   void fail(RequestId req, int status, std::string_view text) const;
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
   Configuration &configuration_;
   Operators &operators_;
   const Quotas &quotas_;
   QuotaChanges &changes_;
   const QuotaExchange &exchange_;
-  StoreBudget &budget_;
+  StateServiceLimits &state_limits_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/core.hpp
+++ b/include/loftrouter/core/core.hpp
@@ -17,7 +17,7 @@
 #include "loftrouter/core/users.hpp"
 #include "loftrouter/core/watch.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 class Core {
 public:
@@ -27,62 +27,62 @@
 
   Effects apply(std::vector<Command> batch, Now now);
 
-  bool leading() const { return lead_.leading(); }
-  std::uint64_t term() const { return leading() ? lead_.term() : 0; }
-  void log_up_to(LogLevel most) { port_.show(most); } // lines beyond it are not made
+  bool leading() const { return leadership_.leading(); }
+  std::uint64_t term() const { return leading() ? leadership_.term() : 0; }
+  void log_up_to(LogLevel most) { runtime_.show(most); } // lines beyond it are not made
 
 private:
   void on(CmdTick &&);
-  void on(CmdUp &&);
-  void on(CmdReport &&);
+  void on(CmdHealthCheck &&);
+  void on(CmdHeartbeat &&);
   void on(CmdPeer &&);
-  void on(CmdCell &&cmd) { cells_.take(std::move(cmd)); }
+  void on(CmdCell &&cmd) { federation_.take(std::move(cmd)); }
   void on(CmdSubmit &&cmd) { users_.take(std::move(cmd)); }
   void on(CmdLookup &&cmd) { users_.take(std::move(cmd)); }
-  void on(CmdAbort &&cmd) { users_.take(std::move(cmd)); }
+  void on(CmdCancel &&cmd) { users_.take(std::move(cmd)); }
   void on(CmdAdmin &&cmd) { administration_.take(std::move(cmd)); }
   void on(CmdStoreReply &&);
-  void on(CmdCloudReply &&cmd) { port_.answered(cmd); }
-  void answer(std::optional<ReportDesk::Pending> report);
+  void on(CmdCloudReply &&cmd) { runtime_.answered(cmd); }
+  void answer(std::optional<HeartbeatHandler::Pending> report);
   void deliver();
   bool consistent() const;
 
   const Settings settings_;
-  Port port_;
+  Runtime runtime_;
   Events events_;
-  Wishes wishes_;
-  Catalogue catalogue_;
+  JobObjectives objectives_;
+  InstanceTypeCatalog catalog_;
   Configuration configuration_;
   Operators operators_;
-  StoreBudget budget_;
-  Leadership lead_;
+  StateServiceLimits state_limits_;
+  Leadership leadership_;
   JobTable jobs_;
   EndedJobs ended_;
   Dependencies dependencies_;
-  FailureJudge judge_;
-  Reasons reasons_;
+  FailureAttribution failure_attribution_;
+  PendingReasons pending_reasons_;
   Ledger ledger_;
-  Recorder recorder_;
+  StateWriter state_writer_;
   Cancellations cancellations_;
-  RecordWatch watch_;
-  Fleet fleet_;
+  StateWatch watch_;
+  WorkerRegistry workers_;
   Quotas quotas_;
-  Silence silence_;
-  Siblings siblings_;
-  Reach reach_;
-  ReportDesk reports_;
-  Placer placer_;
-  Scaler scaler_;
-  Cells cells_;
+  FailureDetector failure_detector_;
+  Replicas replicas_;
+  ConnectivityMonitor connectivity_;
+  HeartbeatHandler heartbeats_;
+  Scheduler scheduler_;
+  Autoscaler autoscaler_;
+  CellFederation federation_;
   QuotaChanges quota_changes_;
   QuotaExchange quota_exchange_;
   AppliedConfiguration applied_;
-  ConfigurationDesk configuration_desk_;
-  Served served_;
-  Insight insight_;
-  UserDesk users_;
-  Administration administration_;
-  Chronicle chronicle_;
+  ConfigurationApiHandler configuration_api_;
+  ServiceLevelCounters service_levels_;
+  StatusReporter status_reporter_;
+  JobApiHandler users_;
+  AdministrationApiHandler administration_;
+  EventLog event_log_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/dependencies.hpp
+++ b/include/loftrouter/core/dependencies.hpp
@@ -22,13 +22,14 @@
 #include "loftrouter/core/jobs.hpp"
 #include "loftrouter/core/leadership.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 class Dependencies {
 public:
-  Dependencies(Port &port, const Settings &settings, StoreBudget &budget, const Leadership &lead, JobTable &jobs,
-               EndedJobs &ended)
-      : port_(port), settings_(settings), budget_(budget), lead_(lead), jobs_(jobs), ended_(ended) {}
+  Dependencies(Runtime &runtime, const Settings &settings, StateServiceLimits &state_limits,
+               const Leadership &leadership, JobTable &jobs, EndedJobs &ended)
+      : runtime_(runtime), settings_(settings), state_limits_(state_limits), leadership_(leadership), jobs_(jobs),
+        ended_(ended) {}
 
   bool ready(int j) const { return at(j).known && at(j).waits == 0 && at(j).stopped_with.empty(); }
   // When it became so: its submission, or the end of the last job that it needs. Of a job that is not ready, so far.
@@ -58,8 +59,8 @@
   void tick(); // looks names up
   void on(const JobAccepted &e);
   void on(const JobCancelled &e);
-  void on(const EndLearnt &e);
-  void on(const JobOver &e);
+  void on(const JobEndLearned &e);
+  void on(const JobFinalized &e);
   void on(const TermEnded &);
 
 private:
@@ -76,7 +77,7 @@
     bool reading = false;
     double next_read = 0;
   };
-  static constexpr std::size_t kMostReads = 8;
+  static constexpr std::size_t kMaxReads = 8;
   const Node &at(int j) const {
     static const Node none;
     return static_cast<std::size_t>(j) < nodes_.size() ? nodes_[static_cast<std::size_t>(j)] : none;
@@ -90,10 +91,10 @@
   double lead_time(int j) const;
   void recompute() const;
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
-  StoreBudget &budget_;
-  const Leadership &lead_;
+  StateServiceLimits &state_limits_;
+  const Leadership &leadership_;
   JobTable &jobs_;
   EndedJobs &ended_;
   std::vector<Node> nodes_; // by job
@@ -106,4 +107,4 @@
   mutable std::vector<std::pair<Urgency, std::optional<double>>> wanted_; // by job
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/effects.hpp
+++ b/include/loftrouter/core/effects.hpp
@@ -10,7 +10,7 @@
 #include "loftrouter/core/commands.hpp"
 #include "loftrouter/core/log.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 struct Reply {
   RequestId req;
@@ -28,19 +28,19 @@
   int page = kDefaultPage; // most entries of an answer
 };
 struct StoreCommit {
-  std::vector<wire::Guard> guards;
-  std::vector<wire::Write> writes;
+  std::vector<wire::Precondition> preconditions;
+  std::vector<wire::Mutation> writes;
 };
-struct StoreLeaseNew {
+struct StoreLeaseGrant {
   double ttl_s;
 };
-struct StoreLeaseTouch {
+struct StoreLeaseRenew {
   std::uint64_t lease;
 };
-struct StoreLeaseDrop {
+struct StoreLeaseRevoke {
   std::uint64_t lease;
 };
-struct StoreFollow {
+struct StoreWatch {
   std::string prefix;
   std::uint64_t from;
   double hold_s;
@@ -48,33 +48,33 @@
 struct StoreOp {
   OpId op;
   double deadline_s;
-  std::variant<StoreGet, StoreList, StoreCommit, StoreLeaseNew, StoreLeaseTouch, StoreLeaseDrop, StoreFollow> what;
+  std::variant<StoreGet, StoreList, StoreCommit, StoreLeaseGrant, StoreLeaseRenew, StoreLeaseRevoke, StoreWatch> what;
 };
 struct CloudTypes {};
 struct CloudList {
   std::string from;
 };
-struct CloudRent {
+struct CloudScaleOut {
   std::string request, type, zone;
   bool spot;
   int count;
 };
-struct CloudReturn {
+struct CloudScaleIn {
   std::vector<std::string> names;
 };
 struct CloudOp {
   OpId op;
   double deadline_s;
-  std::variant<CloudTypes, CloudList, CloudRent, CloudReturn> what;
+  std::variant<CloudTypes, CloudList, CloudScaleOut, CloudScaleIn> what;
 };
 struct WorkerCall { // straight to a worker: only ever orders to stop, as it may be carried out minutes late
   std::string address;
-  std::uint64_t token = 0, session = 0;
+  std::uint64_t fencing_token = 0, incarnation = 0;
   std::string machine;
-  std::vector<TaskOrder> orders;
+  std::vector<TaskCommand> orders;
 };
 struct PeerSend {
-  int sibling; // -1: on `link`
+  int replica; // -1: on `link`
   std::uint64_t link;
   wire::PeerMessage message;
 };
@@ -93,4 +93,4 @@
   std::vector<LogLine> logs;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/events.hpp
+++ b/include/loftrouter/core/events.hpp
@@ -10,14 +10,14 @@
 
 #include "loftrouter/core/types.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 // ---- terms ----
-struct TermElected { // this node holds the leader key and reads the records
+struct LeaderElected { // this node holds the leader key and reads the records
   std::uint64_t term;
   double unaccounted_until; // mono: when whatever earlier leaders kept alive is over or heard of
 };
-struct TermBegun { // and leads
+struct TermStarted { // and leads
   std::uint64_t term;
 };
 struct TermEnded {
@@ -25,7 +25,7 @@
   std::string why;
 };
 
-// ---- jobs, by their index in the job table; the index is free once JobOver has been taken ----
+// ---- jobs, by their index in the job table; the index is free once JobFinalized has been taken ----
 struct JobAccepted { // seen by this leader for the first time
   int job;
 };
@@ -41,22 +41,22 @@
   int job;
   std::uint32_t machines;
 };
-struct JobOver { // its final record is written
+struct JobFinalized { // its final record is written
   int job;
   std::string id;
 };
-struct EndLearnt { // of a job, from the state service
+struct JobEndLearned { // of a job, from the state service
   std::string id;
 };
 
 // ---- tasks ----
-struct TaskHeld { // a place, from now on: its start is sent, or an earlier leader's attempt has been found
+struct TaskAllocated { // a place, from now on: its start is sent, or an earlier leader's attempt has been found
   int job;
   std::uint32_t index;
   int machine;
   bool found, unaccounted; // the latter: it was waited for since this leader's election
 };
-struct TaskFreed { // no longer
+struct TaskReleased { // no longer
   int job;
   std::uint32_t index;
   int machine;
@@ -65,7 +65,7 @@
   int type, zone;                                  // of the machine
   bool spot;
 };
-struct TaskRuns {
+struct TaskRunning {
   int job;
   std::uint32_t index;
   int machine;
@@ -94,23 +94,23 @@
 struct TasksStoppedByBudget { // with time to save
   int job;
 };
-struct TasksGivenUp { // started by earlier leaders and not found again
+struct TasksAbandoned { // started by earlier leaders and not found again
   int job;
   std::uint32_t tasks;
 };
 
 // ---- work lent to other cells ----
-struct LoanRecorded { // by a confirmed write: it may be offered
+struct DelegationRecorded { // by a confirmed write: it may be offered
   int job;
   std::uint64_t generation;
 };
-struct LoanDropped { // the same, without it: its end may be forgotten there
+struct DelegationRemoved { // the same, without it: its end may be forgotten there
   int job;
   std::uint64_t generation;
 };
 
-// ---- machines, by their index in the fleet table; free once MachineReturned has been taken ----
-struct MachineUp { // its first report
+// ---- machines, by their index in the fleet table; free once MachineRemoved has been taken ----
+struct MachineJoined { // its first report
   int machine;
 };
 struct MachineLost {
@@ -118,18 +118,18 @@
   std::string name, why;
   std::size_t tasks;
 };
-struct MachineCondemned { // it fails the tasks of jobs that succeed elsewhere
+struct MachineQuarantined { // it fails the tasks of jobs that succeed elsewhere
   int machine;
   std::size_t jobs;
 };
-struct MachineReturned {
+struct MachineRemoved {
   int machine;
   std::string name, type, zone;
   bool spot;
   double lived_s, up_s, used_share; // the last: of its CPU time
 };
-struct OrdersChanged { // operators' orders about machines
-  std::string machine; // whose; empty: any of them
+struct MachineAdminStatesChanged { // operators' orders about machines
+  std::string machine;             // whose; empty: any of them
 };
 
 // ---- configuration ----
@@ -137,10 +137,11 @@
   std::string key;
 };
 
-using Event = std::variant<TermElected, TermBegun, TermEnded, JobAccepted, JobCancelled, JobChanged, JobSuspected,
-                           JobOver, EndLearnt, TaskHeld, TaskFreed, TaskRuns, TaskExited, TaskRetried, TaskLost,
-                           TaskPreempted, TasksStoppedByBudget, TasksGivenUp, LoanRecorded, LoanDropped, MachineUp,
-                           MachineLost, MachineCondemned, MachineReturned, OrdersChanged, ConfigurationChanged>;
+using Event = std::variant<LeaderElected, TermStarted, TermEnded, JobAccepted, JobCancelled, JobChanged, JobSuspected,
+                           JobFinalized, JobEndLearned, TaskAllocated, TaskReleased, TaskRunning, TaskExited,
+                           TaskRetried, TaskLost, TaskPreempted, TasksStoppedByBudget, TasksAbandoned,
+                           DelegationRecorded, DelegationRemoved, MachineJoined, MachineLost, MachineQuarantined,
+                           MachineRemoved, MachineAdminStatesChanged, ConfigurationChanged>;
 
 class Events {
 public:
@@ -159,4 +160,4 @@
   std::vector<Event> waiting_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/fleet.hpp
+++ b/include/loftrouter/core/fleet.hpp
@@ -21,9 +21,9 @@
 #include "loftrouter/core/operators.hpp"
 #include "loftrouter/core/recorder.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-struct Slot {
+struct Allocation {
   int job = -1; // -1: a task of an unknown job, to be stopped
   std::string job_id;
   std::uint32_t index = 0;
@@ -40,46 +40,48 @@
 };
 struct Machine {
   std::string name, address;
-  int via = -1; // the sibling that its last report came through, or -1
+  int forwarding_replica = -1; // the sibling that its last report came through, or -1
   int type = -1, zone = -1;
   bool spot = false;
   bool heard = false;
   bool lost = false;      // its lease ran out, or it failed
   bool returning = false; // no new tasks; given back
   bool listed_failed = false;
-  bool listed_running = false;             // up, by the cloud's list; it may be gone for half a minute
-  bool draining = false;                   // surplus: takes no new tasks and goes back once empty
-  bool stops_news = false;                 // tasks were told to stop that the worker does not know of yet
-  std::optional<wire::MachineOrder> order; // by an operator: takes no new tasks
-  std::uint64_t session = 0, seq = 0;      // of the last report
+  bool listed_running = false;                  // up, by the cloud's list; it may be gone for half a minute
+  bool draining = false;                        // surplus: takes no new tasks and goes back once empty
+  bool stops_news = false;                      // tasks were told to stop that the worker does not know of yet
+  std::optional<wire::MachineAdminState> order; // by an operator: takes no new tasks
+  std::uint64_t incarnation = 0, sequence = 0;  // of the last report
   double known_since = 0, last_answer = -1, idle_since = -1, first_heard = -1, rented_at = 0;
   std::optional<double> taken_at; // notice
   // It has shown this leader's token, or was rented by it: what it says was not said before this term, and our answers
   // have reached it. Until then it takes no tasks.
-  bool proven = false;
+  bool verified = false;
   // Answers in a row that have not reached it, by what it reports; since when that is more than chance; and when its
   // session last changed.
-  int unheeded = 0;
-  double deaf_since = -1, session_since = 0;
-  std::vector<Slot> slots;
+  int unacknowledged_responses = 0;
+  double downlink_lost_since = -1, incarnation_since = 0;
+  std::vector<Allocation> allocations;
   Resources size, used;
   std::list<std::pair<int, double>> images; // and their GB, most recent first
   double busy_cpu_s = 0;                    // CPU seconds of tasks that ran to their end here
 
-  bool silent(double now, double report_s) const { return now - last_answer > 2.5 * report_s + 1; }
-  bool deaf() const { return deaf_since >= 0; }
-  bool hears() const { return proven && !deaf(); } // may be given tasks
+  bool silent(double now, double heartbeat_interval_s) const {
+    return now - last_answer > 2.5 * heartbeat_interval_s + 1;
+  }
+  bool downlink_lost() const { return downlink_lost_since >= 0; }
+  bool accepts_commands() const { return verified && !downlink_lost(); } // may be given tasks
 };
 using MachineKind = std::tuple<int, int, bool>; // type, zone, spot
 
-class Fleet {
+class WorkerRegistry {
 public:
-  Fleet(Port &port, Events &events, const Settings &settings, Catalogue &catalogue, const Operators &operators,
-        const Leadership &lead, JobTable &jobs, Recorder &recorder)
-      : port_(port), events_(events), settings_(settings), catalogue_(catalogue), operators_(operators), lead_(lead),
-        jobs_(jobs), recorder_(recorder) {}
+  WorkerRegistry(Runtime &runtime, Events &events, const Settings &settings, InstanceTypeCatalog &catalog,
+                 const Operators &operators, const Leadership &leadership, JobTable &jobs, StateWriter &state_writer)
+      : runtime_(runtime), events_(events), settings_(settings), catalog_(catalog), operators_(operators),
+        leadership_(leadership), jobs_(jobs), state_writer_(state_writer) {}
 
-  std::size_t slots() const { return machines_.size(); }                                    // indices are below this
+  std::size_t index_limit() const { return machines_.size(); }                              // indices are below this
   const Machine *find(int m) const { return machines_[static_cast<std::size_t>(m)].get(); } // null: none there
   const Machine &operator[](int m) const { return *machines_[static_cast<std::size_t>(m)]; }
   int index(const std::string &name) const;      // -1: not known
@@ -88,7 +90,7 @@
       if (machines_[m]) fn(static_cast<int>(m), *machines_[m]);
   }
   std::size_t live() const;               // heard and not lost
-  std::size_t kept_by(int sibling) const; // workers; -1: by this node itself
+  std::size_t kept_by(int replica) const; // workers; -1: by this node itself
   // When the cloud took it back; nothing if it did not, or that is forgotten.
   std::optional<double> gone(const std::string &name) const;
   std::vector<std::uint32_t> running_counts() const; // by job; tasks unaccounted for most likely run too
@@ -97,8 +99,8 @@
   // What it says of a machine that is not known makes it known.
   int add(const std::string &name, const std::string &type, const std::string &zone, bool spot);
   void set_rented_at(int m, double at);
-  void set_proven(int m); // rented by this leader
-  void give_back(int m);  // takes no new tasks from here on
+  void set_verified(int m); // rented by this leader
+  void give_back(int m);    // takes no new tasks from here on
   void set_draining(int m, bool draining);
   void listed_failed(int m); // it stopped on its own
   void listed_running(int m);
@@ -108,13 +110,13 @@
 
   // A report, in two steps: what it says, and, once others have listened to that, its answer.
   enum class Heard : std::uint8_t { Late, Failed, Taken };
-  Heard hear(int m, const WorkerReport &r, int via);
-  void take_tasks(int m, const WorkerReport &r, std::vector<TaskOrder> &orders);
-  void answer(int m, bool may_start, std::vector<TaskOrder> &orders);
+  Heard hear(int m, const Heartbeat &r, int forwarding_replica);
+  void take_tasks(int m, const Heartbeat &r, std::vector<TaskCommand> &orders);
+  void answer(int m, bool may_start, std::vector<TaskCommand> &orders);
 
   void put(int m, int j, std::uint32_t i, std::uint64_t attempt); // a task's slot
   // The task goes: at once if its start was never sent, otherwise when the worker shows it gone.
-  void stop(int m, std::size_t slot, double grace_s);
+  void stop(int m, std::size_t allocation, double grace_s);
   bool stop_all(int j, double grace_s); // of a job; false: all were told already
   void withdraw(int j);                 // its tasks whose start was never sent
   // A gang that can no longer complete its attempt is stopped whole; the next attempt starts when every task of this
@@ -124,32 +126,32 @@
   void tick();       // leases and notices
   void send_stops(); // at the end of each batch
   void on(const JobCancelled &e) { stop_all(e.job, 0); }
-  void on(const JobOver &e);
-  void on(const MachineCondemned &e) { give_back(e.machine); }
-  void on(const OrdersChanged &e);
-  void on(const TermBegun &) { gone_.clear(); }
+  void on(const JobFinalized &e);
+  void on(const MachineQuarantined &e) { give_back(e.machine); }
+  void on(const MachineAdminStatesChanged &e);
+  void on(const TermStarted &) { gone_.clear(); }
   void on(const TermEnded &);
   bool consistent(int m) const; // for asserts and tests
 
 private:
   Machine &at(int m) { return *machines_[static_cast<std::size_t>(m)]; }
-  void exited(int m, Slot &slot, const TaskReport &t);
-  void judge_hearing(Machine &n, bool heeded, bool missed);
-  void adopt(int m, int j, const TaskReport &t, std::vector<TaskOrder> &orders);
+  void exited(int m, Allocation &allocation, const TaskStatus &t);
+  void update_downlink_state(Machine &n, bool heeded, bool missed);
+  void adopt(int m, int j, const TaskStatus &t, std::vector<TaskCommand> &orders);
   void drop(int m, std::size_t s);
-  void freed(int m, const Slot &slot, bool done);
-  void order_stop(int m, Slot &slot, double grace_s);
+  void freed(int m, const Allocation &allocation, bool done);
+  void order_stop(int m, Allocation &allocation, double grace_s);
   void lose(int m, std::string_view why);
   void touch_image(Machine &m, int image, double gb);
 
-  Port &port_;
+  Runtime &runtime_;
   Events &events_;
   const Settings &settings_;
-  Catalogue &catalogue_;
+  InstanceTypeCatalog &catalog_;
   const Operators &operators_;
-  const Leadership &lead_;
+  const Leadership &leadership_;
   JobTable &jobs_;
-  Recorder &recorder_;
+  StateWriter &state_writer_;
   std::vector<std::unique_ptr<Machine>> machines_;
   std::unordered_map<std::string, int> index_;
   std::unordered_map<std::string, double> gone_; // names given back, and when
@@ -157,4 +159,4 @@
   std::vector<int> stops_news_;                  // machines whose `stops_news` was set in this batch
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/insight.hpp
+++ b/include/loftrouter/core/insight.hpp
@@ -13,19 +13,22 @@
 #include "loftrouter/core/scaler.hpp"
 #include "loftrouter/core/siblings.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class Insight {
+class StatusReporter {
 public:
-  Insight(Port &port, const Settings &settings, const Catalogue &catalogue, const Operators &operators,
-          const Leadership &lead, const Cancellations &cancellations, const JobTable &jobs, const EndedJobs &ended,
-          const Dependencies &dependencies, const FailureJudge &judge, const Reasons &reasons, const Fleet &fleet,
-          const Placer &placer, const Quotas &quotas, const Scaler &scaler, const Wishes &wishes, const Ledger &ledger,
-          Siblings &siblings)
-      : port_(port), settings_(settings), catalogue_(catalogue), operators_(operators), lead_(lead),
-        cancellations_(cancellations), jobs_(jobs), ended_(ended), dependencies_(dependencies), judge_(judge),
-        reasons_(reasons), fleet_(fleet), placer_(placer), quotas_(quotas), scaler_(scaler), wishes_(wishes),
-        ledger_(ledger), siblings_(siblings) {}
+  StatusReporter(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog,
+                 const Operators &operators, const Leadership &leadership, const Cancellations &cancellations,
+                 const JobTable &jobs, const EndedJobs &ended, const Dependencies &dependencies,
+                 const FailureAttribution &failure_attribution, const PendingReasons &pending_reasons,
+                 const WorkerRegistry &workers, const Scheduler &scheduler, const Quotas &quotas,
+                 const Autoscaler &autoscaler, const JobObjectives &objectives, const Ledger &ledger,
+                 Replicas &replicas)
+      : runtime_(runtime), settings_(settings), catalog_(catalog), operators_(operators), leadership_(leadership),
+        cancellations_(cancellations), jobs_(jobs), ended_(ended), dependencies_(dependencies),
+        failure_attribution_(failure_attribution), pending_reasons_(pending_reasons), workers_(workers),
+        scheduler_(scheduler), quotas_(quotas), autoscaler_(autoscaler), objectives_(objectives), ledger_(ledger),
+        replicas_(replicas) {}
 
   // What a user is shown of a job that the state service has just said is open.
   JobView view(const std::string &id, bool cancelled) const;
@@ -34,11 +37,11 @@
   std::size_t foreseen_late_count() const;
   void log_summary(); // every few seconds
 
-  void tell_siblings();
+  void publish_to_replicas();
   void take_digest(const wire::PeerMessage &m);
   void on(const JobAccepted &e) { grown(told_, e.job) = {}; }
-  void on(const EndLearnt &e) { news_.erase(e.id); }
-  void on(const TermBegun &);
+  void on(const JobEndLearned &e) { news_.erase(e.id); }
+  void on(const TermStarted &);
 
 private:
   struct Supply { // machines of one kind
@@ -66,24 +69,24 @@
   std::string why_not_ready(int j) const;
   bool any_running(int j) const;
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
-  const Catalogue &catalogue_;
+  const InstanceTypeCatalog &catalog_;
   const Operators &operators_;
-  const Leadership &lead_;
+  const Leadership &leadership_;
   const Cancellations &cancellations_;
   const JobTable &jobs_;
   const EndedJobs &ended_;
   const Dependencies &dependencies_;
-  const FailureJudge &judge_;
-  const Reasons &reasons_;
-  const Fleet &fleet_;
-  const Placer &placer_;
+  const FailureAttribution &failure_attribution_;
+  const PendingReasons &pending_reasons_;
+  const WorkerRegistry &workers_;
+  const Scheduler &scheduler_;
   const Quotas &quotas_;
-  const Scaler &scaler_;
-  const Wishes &wishes_;
+  const Autoscaler &autoscaler_;
+  const JobObjectives &objectives_;
   const Ledger &ledger_;
-  Siblings &siblings_;
+  Replicas &replicas_;
   std::unordered_map<std::string, News> news_;
   std::deque<std::string> news_order_;
   std::uint64_t news_term_ = 0;
@@ -94,4 +97,4 @@
   std::size_t cursor_ = 0; // of the digest, over jobs
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/jobs.hpp
+++ b/include/loftrouter/core/jobs.hpp
@@ -16,10 +16,10 @@
 #include "loftrouter/core/settings.hpp"
 #include "loftrouter/core/util.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 // Unaccounted: started by an earlier leader, and not heard of since. Lent: another cell may run it.
-enum class TaskState : std::uint8_t { Pending, Unaccounted, Placed, Done, Lent };
+enum class TaskState : std::uint8_t { Pending, Unaccounted, Placed, Done, DelegationSource };
 struct Task {
   TaskState state = TaskState::Pending;
   std::int32_t machine = -1, zone = -1; // while placed
@@ -27,37 +27,37 @@
 struct Job {
   JobSpec spec;
   double submit_wall = 0;
-  std::uint64_t serial = 0;     // tells it from earlier jobs at the same index
-  std::uint64_t open_stamp = 0; // of its open record, as last heard
+  std::uint64_t serial = 0;            // tells it from earlier jobs at the same index
+  std::uint64_t open_mod_revision = 0; // of its open record, as last heard
   bool cancelled = false;
   bool ending = false; // its final record is being written
   std::vector<Task> tasks;
-  std::uint32_t done = 0, placed = 0, unaccounted = 0, lent = 0;
+  std::uint32_t done = 0, placed = 0, unaccounted = 0, delegated = 0;
   std::uint64_t gang_attempt = 0; // current attempt of a gang
   bool gang_closed = false;       // that attempt takes no replacements any more
   int team = -1, image = -1;
   std::vector<int> zone_used; // placed tasks, by zone
-  std::vector<LoanRecord> loans;
-  std::uint32_t lent_running = 0; // of the lent tasks, as last told
-  std::optional<Lent> borrowed;   // another cell's work: its other tasks count as done
-  bool paused = false;            // nothing of it may be started now
-  bool settled = false;           // borrowed: home has it back
+  std::vector<DelegationRecord> delegations;
+  std::uint32_t delegated_running = 0;            // of the lent tasks, as last told
+  std::optional<DelegationSource> delegated_here; // another cell's work: its other tasks count as done
+  bool paused = false;                            // nothing of it may be started now
+  bool settled = false;                           // borrowed: home has it back
 
-  std::uint32_t pending() const { return spec.tasks - done - placed - unaccounted - lent; }
+  std::uint32_t pending() const { return spec.tasks - done - placed - unaccounted - delegated; }
   // Nothing of it is left to run or may still be running.
   bool finishable() const {
     if (ending) return false;
-    if (borrowed) return settled && placed == 0 && unaccounted == 0;
-    if (cancelled) return placed == 0 && unaccounted == 0 && lent == 0;
+    if (delegated_here) return settled && placed == 0 && unaccounted == 0;
+    if (cancelled) return placed == 0 && unaccounted == 0 && delegated == 0;
     return spec.shape != Shape::Service && done == spec.tasks;
   }
 };
 
 class JobTable {
 public:
-  JobTable(Port &port, Events &events, const Settings &settings);
+  JobTable(Runtime &runtime, Events &events, const Settings &settings);
 
-  std::size_t slots() const { return jobs_.size(); } // indices are below this
+  std::size_t index_limit() const { return jobs_.size(); } // indices are below this
   std::size_t open() const { return index_.size(); }
   const Job *find(int j) const { return jobs_[static_cast<std::size_t>(j)].get(); } // null: no job there
   const Job &operator[](int j) const { return *jobs_[static_cast<std::size_t>(j)]; }
@@ -68,16 +68,16 @@
   }
   int find_team(const std::string &name) const { return team_names_.find(name); }
 
-  int add(OpenRecord record, std::uint64_t stamp);
+  int add(OpenRecord record, std::uint64_t mod_revision);
   // What the records of earlier leaders say. Before any of its tasks is placed.
   void restore(int j, const ProgressRecord &progress);
   void remove(int j); // over; its index is free once everybody has heard
-  void on(const JobOver &e) { free_.push_back(e.job); }
-  void on(const TermElected &e) { unaccounted_until_ = e.unaccounted_until; }
+  void on(const JobFinalized &e) { free_.push_back(e.job); }
+  void on(const LeaderElected &e) { unaccounted_until_ = e.unaccounted_until; }
   void on(const TermEnded &);
 
   void cancel(int j);
-  bool restamp(int j, std::uint64_t stamp); // false: older than what is known
+  bool update_mod_revision(int j, std::uint64_t mod_revision); // false: older than what is known
   void set_ending(int j, bool ending);
   void changed(int j, bool urgent); // its record has to follow
 
@@ -92,11 +92,11 @@
 
   // Work that another cell runs. Its tasks wait for nobody here until the loan has lapsed or is dropped; those that are
   // done there are finished as any other.
-  void lend(int j, LoanRecord loan);
-  void charge_loan(int j, std::uint64_t generation, const accounts::Usage &charged);
-  void set_lent_running(int j, std::uint32_t tasks) { at(j).lent_running = tasks; }
-  void lapse_loan(int j, std::uint64_t generation);
-  void drop_loan(int j, std::uint64_t generation);
+  void delegate(int j, DelegationRecord delegation);
+  void charge_delegation(int j, std::uint64_t generation, const accounts::Usage &charged);
+  void set_delegated_running(int j, std::uint32_t tasks) { at(j).delegated_running = tasks; }
+  void expire_delegation(int j, std::uint64_t generation);
+  void remove_delegation(int j, std::uint64_t generation);
   void pause(int j, bool paused);
   void readied(int j); // what it waited for is done (Dependencies)
   void settle(int j);  // borrowed: home knows how it ended
@@ -112,17 +112,17 @@
 
 private:
   void set(int j, std::uint32_t i, TaskState state, int machine = -1, int zone = -1);
-  void free_lent(int j, const Ranges &tasks);
+  void free_delegated(int j, const Ranges &tasks);
   Job &at(int j) { return *jobs_[static_cast<std::size_t>(j)]; }
 
-  Port &port_;
+  Runtime &runtime_;
   Events &events_;
   std::vector<std::unique_ptr<Job>> jobs_;
   std::vector<int> free_;
   std::unordered_map<std::string, int> index_;
   std::uint64_t serial_ = 0, arrivals_ = 0;
   double unaccounted_until_ = 0;
-  Names team_names_, image_names_;
+  NameIndex team_names_, image_names_;
 };
 
 // What has ended, as far as it is remembered: the newest few thousand. Ended jobs never change.
@@ -135,10 +135,10 @@
 private:
   // Ends come faster with more machines: so many are about one of each of 11,000. 4.6 MB at 0.4 KB each. One that is
   // forgotten is read again when somebody asks for it.
-  static constexpr std::size_t kMost = 12'000;
+  static constexpr std::size_t kMax = 12'000;
   Events &events_;
   std::unordered_map<std::string, EndRecord> ends_;
   std::deque<std::string> order_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/judge.hpp
+++ b/include/loftrouter/core/judge.hpp
@@ -12,12 +12,12 @@
 #include "loftrouter/core/jobs.hpp"
 #include "loftrouter/core/operators.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class FailureJudge {
+class FailureAttribution {
 public:
-  FailureJudge(Port &port, Events &events, JobTable &jobs, const Operators &operators)
-      : port_(port), events_(events), jobs_(jobs), operators_(operators) {}
+  FailureAttribution(Runtime &runtime, Events &events, JobTable &jobs, const Operators &operators)
+      : runtime_(runtime), events_(events), jobs_(jobs), operators_(operators) {}
 
   // Has failed wherever it was tried: more likely a mistake in the job than several sick machines.
   bool suspect(int j) const { return jobs_[j].done == 0 && failed_on(j) >= 2; }
@@ -30,8 +30,8 @@
   void restore(int j, std::uint32_t failed_on); // from an earlier leader's record
   void on(const TaskExited &e);
   void on(const JobCancelled &e);
-  void on(const JobOver &e) { grown(jobs_at_, e.job) = {}; }
-  void on(const MachineReturned &e);
+  void on(const JobFinalized &e) { grown(jobs_at_, e.job) = {}; }
+  void on(const MachineRemoved &e);
   void on(const TermEnded &);
 
 private:
@@ -47,20 +47,20 @@
   };
   struct Blame {
     std::string job;
-    bool proven; // it has succeeded elsewhere, so the fault is not the job's
+    bool verified; // it has succeeded elsewhere, so the fault is not the job's
   };
   struct Machine {
     std::vector<Blame> blames; // since `failing_since`, while nothing started since then has succeeded
     int errors = 0;
     double failing_since = -1, last_good_start = -1;
-    bool condemned = false;
+    bool quarantined = false;
   };
   void failed(const TaskExited &e);
   void succeeded(const TaskExited &e);
   void blame(int m, int j, double at_s);
   void absolve(int j);
 
-  Port &port_;
+  Runtime &runtime_;
   Events &events_;
   JobTable &jobs_;
   const Operators &operators_;
@@ -68,4 +68,4 @@
   std::vector<Machine> machines_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/ledger.hpp
+++ b/include/loftrouter/core/ledger.hpp
@@ -15,12 +15,13 @@
 #include "loftrouter/core/jobs.hpp"
 #include "loftrouter/core/operators.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 class Ledger {
 public:
-  Ledger(Port &port, const Settings &settings, const Catalogue &catalogue, JobTable &jobs, const Operators &operators)
-      : port_(port), settings_(settings), catalogue_(catalogue), jobs_(jobs), operators_(operators) {}
+  Ledger(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog, JobTable &jobs,
+         const Operators &operators)
+      : runtime_(runtime), settings_(settings), catalog_(catalog), jobs_(jobs), operators_(operators) {}
 
   bool on() const { return settings_.accounts; }
 
@@ -56,9 +57,9 @@
   const wire::TeamBudget *budget(int team) const;
   void tick();
 
-  void on(const TaskHeld &e);
-  void on(const TaskFreed &e);
-  void on(const TasksGivenUp &e);
+  void on(const TaskAllocated &e);
+  void on(const TaskReleased &e);
+  void on(const TasksAbandoned &e);
   void on(const TermEnded &);
 
 private:
@@ -70,17 +71,17 @@
     bool changed = false;                     // since then
   };
   static std::int64_t ms(double s) { return static_cast<std::int64_t>(s * 1000); }
-  std::int64_t under_way(const Account &a) const { return a.in_flight * ms(port_.now()) - a.since_ms; }
+  std::int64_t under_way(const Account &a) const { return a.in_flight * ms(runtime_.now()) - a.since_ms; }
   std::int64_t since_record(const Account &a) const;
   Account &at(int j) { return accounts_[static_cast<std::size_t>(j)]; }
   SumsByTeam &sums_at(std::size_t record);
   const std::string &period();
   void charge(int j, accounts::Usage u);
-  std::int64_t cost(const TaskFreed &e, std::int64_t held_ms) const;
+  std::int64_t cost(const TaskReleased &e, std::int64_t held_ms) const;
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
-  const Catalogue &catalogue_;
+  const InstanceTypeCatalog &catalog_;
   JobTable &jobs_;
   const Operators &operators_;
   std::vector<Account> accounts_;  // by job
@@ -93,4 +94,4 @@
   accounts::Clock period_clock_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/log.hpp
+++ b/include/loftrouter/core/log.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 enum class LogLevel : std::uint8_t { Error, Info, Debug };
 
@@ -34,4 +34,4 @@
 // "event":"...","key":value - the members of a JSON object without its braces, valid UTF-8.
 std::string log_json(const LogLine &line);
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/operators.hpp
+++ b/include/loftrouter/core/operators.hpp
@@ -12,22 +12,22 @@
 #include "loftrouter/core/configuration.hpp"
 #include "loftrouter/wire/admin.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 class Operators {
 public:
   static constexpr const char *kTunablesKey = "conf/operator", *kOrdersKey = "conf/machines",
                               *kBudgetsKey = "conf/budgets", *kCellsKey = "conf/cells";
 
-  Operators(Port &port, Events &events, const Configuration &configuration)
-      : port_(port), events_(events), configuration_(configuration) {}
+  Operators(Runtime &runtime, Events &events, const Configuration &configuration)
+      : runtime_(runtime), events_(events), configuration_(configuration) {}
 
   void on(const ConfigurationChanged &e);
   const wire::Tunables &tunables() const { return tunables_; }
   const wire::Budgets &budgets() const { return budgets_; }
   const wire::CellRules &cell_rules() const { return cell_rules_; }
-  const wire::MachineOrders &orders() const { return orders_; }
-  std::optional<wire::MachineOrder> order(const std::string &machine) const;
+  const wire::MachineAdminStates &orders() const { return orders_; }
+  std::optional<wire::MachineAdminState> order(const std::string &machine) const;
 
 private:
   // Of the records under `prefix` and the document's entries: those that count, by name.
@@ -39,13 +39,13 @@
   void read_orders();
   void read_order(const std::string &machine);
 
-  Port &port_;
+  Runtime &runtime_;
   Events &events_;
   const Configuration &configuration_;
   wire::Tunables tunables_;
-  wire::MachineOrders orders_;
+  wire::MachineAdminStates orders_;
   wire::Budgets budgets_;
   wire::CellRules cell_rules_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/placement.hpp
+++ b/include/loftrouter/core/placement.hpp
@@ -7,18 +7,18 @@
 
 #include "loftrouter/core/types.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 struct PlaceMachine {
   int id = -1; // what `PlaceJob::barred` names
   Resources size, free;
   int type = 0, zone = 0;
   bool spot = false;
-  bool kept = false;       // wanted whole by a job class that fits nowhere else
-  Resources spare;         // kept: what small work may still take without being in the way
-  int held_for = -1;       // being emptied for this job (`PlaceJob::self`): takes nothing else
-  double dear = 0;         // 0: a CPU is as cheap here as anywhere; towards 1: much dearer
-  std::vector<int> images; // held or being fetched
+  bool kept = false;        // wanted whole by a job class that fits nowhere else
+  Resources spare;          // kept: what small work may still take without being in the way
+  int held_for = -1;        // being emptied for this job (`PlaceJob::self`): takes nothing else
+  double price_premium = 0; // 0: a CPU is as cheap here as anywhere; towards 1: much dearer
+  std::vector<int> images;  // held or being fetched
   double speed_gb_s = 1;
 };
 
@@ -36,8 +36,8 @@
   std::uint32_t ready = 0;    // tasks to place
   std::uint32_t limit = 0;    // most of them allowed by the team's limit
   Urgency urgency = Urgency::Normal;
-  bool guaranteed = false; // within its team's guarantee
-  bool borrowed = false;   // another cell's: after all of this cell's own work
+  bool guaranteed = false;     // within its team's guarantee
+  bool delegated_here = false; // another cell's: after all of this cell's own work
   double wait_s = 0;
   bool started = false; // some of its tasks have been placed
   bool in_time = false; // placed now, its tasks would end in time
@@ -45,14 +45,14 @@
   double image_gb = 0;
   bool small = false; // low, short and spot-tolerant: leaves kept machines alone
   int team = 0;
-  double most_dear = 1; // keeps off ordinary machines that are dearer than this (`PlaceMachine::dear`)
+  double max_price_premium = 1; // keeps off ordinary machines that are dearer than this (`PlaceMachine::price_premium`)
 };
 
 struct PlaceOptions {
-  double whole_bonus = 10;   // the plan fits whole
-  double age_weight = 0.05;  // per second waited
-  double image_weight = 0.3; // beside F: the machine holds the image
-  double price_weight = 1.0; // beside F: dearer than the cheapest
+  double full_plan_bonus = 10; // the plan fits whole
+  double age_weight = 0.05;    // per second waited
+  double image_weight = 0.3;   // beside F: the machine holds the image
+  double price_weight = 1.0;   // beside F: dearer than the cheapest
   double reserve_after_s = 120;
   double in_time_bonus = 30; // the plan's tasks would end in time: late jobs do not make others late
 };
@@ -80,4 +80,4 @@
                                     std::vector<Resources> team_room, const PlaceOptions &options,
                                     std::vector<Reservation> *reserved = nullptr);
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/placer.hpp
+++ b/include/loftrouter/core/placer.hpp
@@ -17,20 +17,21 @@
 #include "loftrouter/core/quotas.hpp"
 #include "loftrouter/core/wishes.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class Placer {
+class Scheduler {
 public:
-  struct Kept {      // a machine type that some job class needs whole
-    double seen = 0; // when a job last wanted it
-    Resources need;  // the largest such job's
+  struct LargeTaskReservation { // a machine type that some job class needs whole
+    double seen = 0;            // when a job last wanted it
+    Resources need;             // the largest such job's
   };
-  Placer(Port &port, Events &events, const Settings &settings, const Catalogue &catalogue, const Operators &operators,
-         const Leadership &lead, JobTable &jobs, const Dependencies &dependencies, const FailureJudge &judge,
-         Recorder &recorder, Fleet &fleet, const Wishes &wishes, const Ledger &ledger, const Quotas &quotas)
-      : port_(port), events_(events), settings_(settings), catalogue_(catalogue), operators_(operators), lead_(lead),
-        jobs_(jobs), dependencies_(dependencies), judge_(judge), recorder_(recorder), fleet_(fleet), wishes_(wishes),
-        ledger_(ledger), quotas_(quotas) {}
+  Scheduler(Runtime &runtime, Events &events, const Settings &settings, const InstanceTypeCatalog &catalog,
+            const Operators &operators, const Leadership &leadership, JobTable &jobs, const Dependencies &dependencies,
+            const FailureAttribution &failure_attribution, StateWriter &state_writer, WorkerRegistry &workers,
+            const JobObjectives &objectives, const Ledger &ledger, const Quotas &quotas)
+      : runtime_(runtime), events_(events), settings_(settings), catalog_(catalog), operators_(operators),
+        leadership_(leadership), jobs_(jobs), dependencies_(dependencies), failure_attribution_(failure_attribution),
+        state_writer_(state_writer), workers_(workers), objectives_(objectives), ledger_(ledger), quotas_(quotas) {}
 
   void tick();   // a round if one is due
   void settle(); // a round if something has come up, at the end of each batch
@@ -44,20 +45,20 @@
   // present and of which it holds.
   std::vector<PlaceMachine> snapshot(std::vector<int> &index, int only,
                                      const std::function<bool(int)> &silent_too = {}) const;
-  bool patient(int j) const;
+  bool deferrable(int j) const;
   bool passed_over(int j) const; // none of its waiting tasks has got a place for long
-  double age(int j) const { return port_.wall() - dependencies_.ready_wall(j); } // since it could start
-  double up_cpus() const { return up_cpus_; }                                    // at the last round
-  const Kept *kept(int type, double within_s) const;                             // wanted within so many seconds
+  double age(int j) const { return runtime_.wall() - dependencies_.ready_wall(j); } // since it could start
+  double up_cpus() const { return up_cpus_; }                                       // at the last round
+  const LargeTaskReservation *kept(int type, double within_s) const;                // wanted within so many seconds
 
   void on(const JobAccepted &e);
   void on(const TaskExited &) { room_ = true; }
-  void on(const MachineReturned &e);
-  void on(const TermBegun &);
+  void on(const MachineRemoved &e);
+  void on(const TermStarted &);
   void on(const TermEnded &);
 
 private:
-  struct Hold {
+  struct Nomination {
     std::string job; // id of the one that the machine is being emptied for
     double until = -1;
     bool open_to_small = false; // at the last round over all machines: not reserved for large work
@@ -82,22 +83,22 @@
   void preempt(std::vector<int> starved);
   void stop_spent();
   PlaceOptions options() const;
-  const Hold *held(int m) const {
-    return static_cast<std::size_t>(m) < holds_.size() ? &holds_[static_cast<std::size_t>(m)] : nullptr;
+  const Nomination *held(int m) const {
+    return static_cast<std::size_t>(m) < nominations_.size() ? &nominations_[static_cast<std::size_t>(m)] : nullptr;
   }
 
-  Port &port_;
+  Runtime &runtime_;
   Events &events_;
   const Settings &settings_;
-  const Catalogue &catalogue_;
+  const InstanceTypeCatalog &catalog_;
   const Operators &operators_;
-  const Leadership &lead_;
+  const Leadership &leadership_;
   JobTable &jobs_;
   const Dependencies &dependencies_;
-  const FailureJudge &judge_;
-  Recorder &recorder_;
-  Fleet &fleet_;
-  const Wishes &wishes_;
+  const FailureAttribution &failure_attribution_;
+  StateWriter &state_writer_;
+  WorkerRegistry &workers_;
+  const JobObjectives &objectives_;
   const Ledger &ledger_;
   const Quotas &quotas_;
   double next_round_ = 0, next_ahead_ = 0, up_cpus_ = 0;
@@ -105,9 +106,9 @@
   std::uint64_t seen_ = 0, attempts_ = 0;
   std::vector<PlaceJob> line_; // jobs with tasks to place at the last round, oldest first
   std::vector<std::uint64_t> line_serials_;
-  std::vector<Wait> waits_;            // by job
-  std::vector<Hold> holds_;            // by machine
-  std::unordered_map<int, Kept> kept_; // by type
+  std::vector<Wait> waits_;                            // by job
+  std::vector<Nomination> nominations_;                // by machine
+  std::unordered_map<int, LargeTaskReservation> kept_; // by type
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/port.hpp
+++ b/include/loftrouter/core/port.hpp
@@ -16,14 +16,14 @@
 
 #include "loftrouter/core/effects.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class Port {
+class Runtime {
 public:
   using StoreFn = std::function<void(const wire::StoreReply &)>;
   using CloudFn = std::function<void(const wire::CloudReply &)>;
 
-  explicit Port(std::uint64_t seed) : rng_(seed | 1) {}
+  explicit Runtime(std::uint64_t seed) : rng_(seed | 1) {}
 
   void begin(Now at);
   Effects take() { return std::exchange(effects_, {}); }
@@ -46,9 +46,9 @@
   void refuse(RequestId req, std::string_view why, int retry = 1); // 503: cannot be told now
   // Stands for a user who has asked a sibling: what is replied to it goes there, on `link`, under the sibling's
   // number. Nothing: too many wait.
-  static constexpr std::size_t kMostStandIns = 512;
-  std::optional<RequestId> stand_in(std::uint64_t link, std::uint64_t nonce);
-  static bool is_stand_in(RequestId req) { return req >= kStandIns; }
+  static constexpr std::size_t kMaxProxiedRequests = 512;
+  std::optional<RequestId> proxy_request(std::uint64_t link, std::uint64_t nonce);
+  static bool is_proxied(RequestId req) { return req >= kFirstProxiedRequest; }
   void send(PeerSend message) { effects_.peers.push_back(std::move(message)); }
   void send(CellSend message) { effects_.cells.push_back(std::move(message)); }
   void call(WorkerCall call) { effects_.workers.push_back(std::move(call)); }
@@ -65,7 +65,7 @@
   int cloud_failures() const { return now_.mono - cloud_failed_at_ < 15 ? cloud_failures_ : 0; }
 
 private:
-  static constexpr RequestId kStandIns = RequestId(1) << 63; // far above those of connections
+  static constexpr RequestId kFirstProxiedRequest = RequestId(1) << 63; // far above those of connections
   void respond(Reply reply);
 
   Now now_;
@@ -77,10 +77,10 @@
   std::unordered_map<OpId, StoreFn> store_ops_;
   std::unordered_map<OpId, CloudFn> cloud_ops_;
   std::vector<std::pair<double, std::function<void()>>> later_;
-  RequestId next_stand_in_ = kStandIns;
-  std::unordered_map<RequestId, std::pair<std::uint64_t, std::uint64_t>> stand_ins_; // link and number
+  RequestId next_proxied_request_ = kFirstProxiedRequest;
+  std::unordered_map<RequestId, std::pair<std::uint64_t, std::uint64_t>> proxied_requests_; // link and number
   double state_ok_at_ = -1e9, state_ok_wall_ = 0, cloud_ok_at_ = -1e9, cloud_failed_at_ = -1e9;
   int cloud_failures_ = 0;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/quota_changes.hpp
+++ b/include/loftrouter/core/quota_changes.hpp
@@ -13,7 +13,7 @@
 #include "loftrouter/core/budget.hpp"
 #include "loftrouter/core/quotas.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 class QuotaChanges {
 public:
@@ -23,9 +23,10 @@
   };
   using Done = std::function<void(const Outcome &)>;
 
-  QuotaChanges(Port &port, const Settings &settings, Configuration &configuration, const Quotas &quotas,
-               StoreBudget &budget)
-      : port_(port), settings_(settings), configuration_(configuration), quotas_(quotas), budget_(budget) {}
+  QuotaChanges(Runtime &runtime, const Settings &settings, Configuration &configuration, const Quotas &quotas,
+               StateServiceLimits &state_limits)
+      : runtime_(runtime), settings_(settings), configuration_(configuration), quotas_(quotas),
+        state_limits_(state_limits) {}
 
   void request(const wire::QuotaChange &change, Done done);
   // In the owner's cell: commits the change, unless this number was carried out before.
@@ -48,12 +49,12 @@
   void forward(const wire::QuotaChange &change, Done done);
   void forget(const std::string &key);
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
   Configuration &configuration_;
   const Quotas &quotas_;
-  StoreBudget &budget_;
+  StateServiceLimits &state_limits_;
   std::map<std::uint64_t, Waiting> waiting_; // by number
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/quota_exchange.hpp
+++ b/include/loftrouter/core/quota_exchange.hpp
@@ -13,7 +13,7 @@
 #include "loftrouter/core/cells.hpp"
 #include "loftrouter/core/quota_changes.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 class QuotaExchange {
 public:
@@ -23,13 +23,13 @@
     bool within = false; // and its team can use no more than its cap there
   };
 
-  QuotaExchange(Port &port, const Settings &settings, Configuration &configuration, const Leadership &lead,
-                const Quotas &quotas, QuotaChanges &changes, StoreBudget &budget, Cells &cells);
+  QuotaExchange(Runtime &runtime, const Settings &settings, Configuration &configuration, const Leadership &leadership,
+                const Quotas &quotas, QuotaChanges &changes, StateServiceLimits &state_limits, CellFederation &cells);
 
   void tick();
   // By each other cell that has, of a team's quota; on the owner's leader alone.
   const std::map<std::string, Acknowledged> &acknowledged(const std::string &team) const;
-  void on(const TermBegun &);
+  void on(const TermStarted &);
 
 private:
   struct Sent { // of a record, to a cell
@@ -47,14 +47,14 @@
   void write_change(const std::string &key, std::optional<wire::Json> value, std::uint64_t revision);
   bool within_cap(const std::string &team, const wire::QuotaRecord &record) const;
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
   Configuration &configuration_;
-  const Leadership &lead_;
+  const Leadership &leadership_;
   const Quotas &quotas_;
   QuotaChanges &changes_;
-  StoreBudget &budget_;
-  Cells &cells_;
+  StateServiceLimits &state_limits_;
+  CellFederation &federation_;
   std::vector<Resources> used_;                                             // by team, at this tick
   std::map<std::string, std::map<std::string, Acknowledged>> acknowledged_; // by team and cell
   std::map<std::pair<std::string, std::string>, Sent> sent_;                // by team and cell
@@ -64,4 +64,4 @@
   double next_tick_ = 0;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/quotas.hpp
+++ b/include/loftrouter/core/quotas.hpp
@@ -13,14 +13,14 @@
 #include "loftrouter/core/fleet.hpp"
 #include "loftrouter/wire/configuration.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 class Quotas {
 public:
   static constexpr double kOverLimitFor = 30.0; // s, that work beyond a lowered limit may go on
 
-  Quotas(Port &port, Events &events, const Settings &settings, const Configuration &configuration,
-         const Leadership &lead, const JobTable &jobs, Fleet &fleet);
+  Quotas(Runtime &runtime, Events &events, const Settings &settings, const Configuration &configuration,
+         const Leadership &leadership, const JobTable &jobs, WorkerRegistry &workers);
 
   // Guarantee and limit of a team; 0: none, as in the settings file.
   const Team &here(int team) const { return here_[static_cast<std::size_t>(team)]; }
@@ -43,21 +43,21 @@
 
   void tick(); // stops what is beyond a lowered limit and has had its time
   void on(const ConfigurationChanged &e);
-  void on(const TermElected &) { elected_at_ = port_.now(); }
-  void on(const TermBegun &);
+  void on(const LeaderElected &) { elected_at_ = runtime_.now(); }
+  void on(const TermStarted &);
 
 private:
   void read(int team);
   void withdraw_beyond(int team);
   void stop_beyond(int team);
 
-  Port &port_;
+  Runtime &runtime_;
   Events &events_;
   const Settings &settings_;
   const Configuration &configuration_;
-  const Leadership &lead_;
+  const Leadership &leadership_;
   const JobTable &jobs_;
-  Fleet &fleet_;
+  WorkerRegistry &workers_;
   std::vector<std::string> cells_;
   std::vector<Team> here_, whole_;
   std::vector<double> largest_share_;
@@ -65,4 +65,4 @@
   double elected_at_ = -1e9, next_tick_ = 0;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/reach.hpp
+++ b/include/loftrouter/core/reach.hpp
@@ -16,12 +16,12 @@
 #include "loftrouter/core/siblings.hpp"
 #include "loftrouter/core/silence.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 // Reports over the last while, by zone.
-class HeardLately {
+class RecentHeartbeats {
 public:
-  explicit HeardLately(double window_s) : window_s_(window_s) {}
+  explicit RecentHeartbeats(double window_s) : window_s_(window_s) {}
   void add(int zone, double now);
   std::vector<std::uint32_t> by_zone(double now) const; // by zone index
   std::uint32_t all(double now) const;
@@ -37,31 +37,32 @@
   std::deque<Bucket> buckets_;
 };
 
-class Reach {
+class ConnectivityMonitor {
 public:
   struct Word { // of a sibling
-    ReachWord says;
+    ConnectivityRecord says;
     double age_s = 0;
     bool by_link = false; // otherwise by way of the state service
   };
-  Reach(Port &port, const Settings &settings, const Catalogue &catalogue, Leadership &lead, Siblings &siblings,
-        const Fleet &fleet, const Silence &silence);
+  ConnectivityMonitor(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog,
+                      Leadership &leadership, Replicas &replicas, const WorkerRegistry &workers,
+                      const FailureDetector &failure_detector);
 
-  void heard(const std::string &zone);                       // a report straight from a worker
-  void heard_by_sibling() { last_report_at_ = port_.now(); } // one passed on to this node
+  void heard(const std::string &zone);                                      // a report straight from a worker
+  void forwarded_heartbeat_received() { last_report_at_ = runtime_.now(); } // one passed on to this node
   // `kept`: workers that this node, not leading, passes on reports of.
   void tick(std::size_t kept);
   double last_report_at() const { return last_report_at_; }
-  const ReachWord &own() const { return own_; }
+  const ConnectivityRecord &own() const { return own_; }
   // Workers report to a sibling that can pass their reports on here.
-  bool carried(const ReachWord &w) const { return w.carried_s < heard_.window_s(); }
-  std::optional<Word> word(std::size_t sibling) const;                  // nothing: no fresh one
+  bool carried(const ConnectivityRecord &w) const { return w.carried_s < heard_.window_s(); }
+  std::optional<Word> word(std::size_t replica) const;                  // nothing: no fresh one
   std::vector<std::pair<std::string, double>> machines_by_zone() const; // about so many report here
   bool probe_wanted() const; // whether the cloud answers this node is of interest: the leader gets no answer
 
 private:
   struct ByState { // a sibling's word in the state service
-    ReachRecord record;
+    StoredConnectivityRecord record;
     bool present = false;
   };
   void judge_self(std::size_t kept);
@@ -70,25 +71,25 @@
   void write_word();
   void read_words();
   void make_room();
-  double rank(const ReachWord &w) const;
+  double rank(const ConnectivityRecord &w) const;
   bool some_link_down() const;
-  void step_down(std::string_view why, std::size_t sibling, const Word &w);
+  void step_down(std::string_view why, std::size_t replica, const Word &w);
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
-  const Catalogue &catalogue_;
-  Leadership &lead_;
-  Siblings &siblings_;
-  const Fleet &fleet_;
-  const Silence &silence_;
-  HeardLately heard_;
-  ReachWord own_;
+  const InstanceTypeCatalog &catalog_;
+  Leadership &leadership_;
+  Replicas &replicas_;
+  const WorkerRegistry &workers_;
+  const FailureDetector &failure_detector_;
+  RecentHeartbeats heard_;
+  ConnectivityRecord own_;
   double last_report_at_ = -1e9, last_direct_at_ = -1e9, awake_from_ = -1e9, tick_at_ = -1e9, silent_since_ = -1;
   // The own word in the state service, under a lease of its own.
   std::uint64_t lease_ = 0;
   bool asking_ = false; // for the lease, or about it
   double next_lease_ = 0, written_at_ = -1e9;
-  std::optional<ReachWord> written_;
+  std::optional<ConnectivityRecord> written_;
   TokenBucket writes_;
   std::vector<ByState> by_state_; // by sibling
   double listed_at_ = -1e9, next_list_ = 0;
@@ -96,4 +97,4 @@
   std::vector<std::pair<std::string, bool>> told_; // what is reached, as last logged
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/reasons.hpp
+++ b/include/loftrouter/core/reasons.hpp
@@ -11,15 +11,16 @@
 #include "loftrouter/core/judge.hpp"
 #include "loftrouter/core/wishes.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 std::string stopped_with(std::string_view id); // in words: why a job is cancelled that needs this one
 
-class Reasons {
+class PendingReasons {
 public:
-  Reasons(Port &port, const JobTable &jobs, const Dependencies &dependencies, const FailureJudge &judge,
-          const Wishes &wishes)
-      : port_(port), jobs_(jobs), dependencies_(dependencies), judge_(judge), wishes_(wishes) {}
+  PendingReasons(Runtime &runtime, const JobTable &jobs, const Dependencies &dependencies,
+                 const FailureAttribution &failure_attribution, const JobObjectives &objectives)
+      : runtime_(runtime), jobs_(jobs), dependencies_(dependencies), failure_attribution_(failure_attribution),
+        objectives_(objectives) {}
 
   const std::string &of(int j) const; // empty: nothing
   EndRecord end_record(int j) const;
@@ -33,12 +34,12 @@
 private:
   void set(int j, std::string_view what);
 
-  Port &port_;
+  Runtime &runtime_;
   const JobTable &jobs_;
   const Dependencies &dependencies_;
-  const FailureJudge &judge_;
-  const Wishes &wishes_;
+  const FailureAttribution &failure_attribution_;
+  const JobObjectives &objectives_;
   std::vector<std::string> last_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/recorder.hpp
+++ b/include/loftrouter/core/recorder.hpp
@@ -21,15 +21,17 @@
 #include "loftrouter/core/ledger.hpp"
 #include "loftrouter/core/reasons.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class Recorder {
+class StateWriter {
 public:
-  Recorder(Port &port, Events &events, const Settings &settings, Leadership &lead, StoreBudget &budget, JobTable &jobs,
-           EndedJobs &ended, const Dependencies &dependencies, FailureJudge &judge, const Reasons &reasons,
-           const Wishes &wishes, Ledger &ledger)
-      : port_(port), events_(events), settings_(settings), lead_(lead), budget_(budget), jobs_(jobs), ended_(ended),
-        dependencies_(dependencies), judge_(judge), reasons_(reasons), wishes_(wishes), ledger_(ledger) {}
+  StateWriter(Runtime &runtime, Events &events, const Settings &settings, Leadership &leadership,
+              StateServiceLimits &state_limits, JobTable &jobs, EndedJobs &ended, const Dependencies &dependencies,
+              FailureAttribution &failure_attribution, const PendingReasons &pending_reasons,
+              const JobObjectives &objectives, Ledger &ledger)
+      : runtime_(runtime), events_(events), settings_(settings), leadership_(leadership), state_limits_(state_limits),
+        jobs_(jobs), ended_(ended), dependencies_(dependencies), failure_attribution_(failure_attribution),
+        pending_reasons_(pending_reasons), objectives_(objectives), ledger_(ledger) {}
 
   // A task may be on a machine from now on, or may have been. Never taken back.
   void start(int j, std::uint32_t i) { marks(j)[i] |= kStarted; }
@@ -43,21 +45,21 @@
 
   // Records read before this node leads, progress first; and open records whenever there is news of them. False: a
   // progress record cannot be read, and what it may have said was started is not known.
-  bool load_progress(const wire::Entry &e);
-  void load_end(const wire::Entry &e); // an open record that says how its job ended, not yet moved
-  void take_open(const std::string &key, const wire::Json &value, std::uint64_t stamp);
+  bool load_progress(const wire::KeyValue &e);
+  void load_end(const wire::KeyValue &e); // an open record that says how its job ended, not yet moved
+  void take_open(const std::string &key, const wire::Json &value, std::uint64_t mod_revision);
 
   // An audit's: whether an open record says something that has been missed, in words, which is then taken in; and jobs
   // that are open here and whose records are not among those read (keys after `from`, up to `to` or all), which are
   // then looked up.
-  std::string compare(const wire::Entry &e);
+  std::string compare(const wire::KeyValue &e);
   std::vector<std::string> not_there(const std::string &from, const std::string &to, const std::set<std::string> &there,
                                      std::uint64_t revision);
 
-  static constexpr std::size_t kMostLoans = 2; // of a job at a time: a record has room for them
-  void flush();                                // at the end of each batch
-  void on(const TermElected &);
-  void on(const TermBegun &);
+  static constexpr std::size_t kMaxDelegations = 2; // of a job at a time: a record has room for them
+  void flush();                                     // at the end of each batch
+  void on(const LeaderElected &);
+  void on(const TermStarted &);
   void on(const TermEnded &);
   void on(const JobChanged &e) { mark(e.job, e.ends, e.urgent); }
 
@@ -65,7 +67,7 @@
   // One record that holds the progress of many jobs, since writes are what is scarce.
   struct Shard {
     std::string key;
-    std::uint64_t stamp = 0; // 0: not there
+    std::uint64_t mod_revision = 0; // 0: not there
     std::vector<int> jobs;
     std::size_t reserved = 0;           // characters that its jobs may come to need
     bool dirty = false, urgent = false; // urgent: starts wait for the write
@@ -94,12 +96,12 @@
     wire::Json progress; // as last written
     EndRecord end;       // while it is being written
     bool ended_in_place = false;
-    std::vector<std::uint64_t> loans_covered, loans_recorded; // generations, as the marks
+    std::vector<std::uint64_t> delegations_covered, delegations_recorded; // generations, as the marks
   };
   struct Move { // from open/ to end/, when there is time
     std::string id;
-    std::uint64_t stamp; // of the open record that says how the job ended
-    wire::Json value;    // what it says
+    std::uint64_t mod_revision; // of the open record that says how the job ended
+    wire::Json value;           // what it says
   };
   struct Transaction;
 
@@ -110,7 +112,7 @@
   void mark_again(int j);
   void mark_shard(std::size_t s, bool urgent);
   std::size_t set_chars() const;
-  std::size_t most_chars() const;
+  std::size_t max_chars() const;
   bool has_room(std::size_t s, int j) const;
   std::size_t entry_chars(const Job &n) const;
   std::size_t fresh_shard(char series);
@@ -119,7 +121,7 @@
   void move_on(const Transaction &t);
   bool blocked(const Shard &s) const;
   void refused(const Transaction &t);
-  void accept(OpenRecord record, std::uint64_t stamp);
+  void accept(OpenRecord record, std::uint64_t mod_revision);
   void assign_shard(int j);
   void remove(int j);
   void record_ahead(int j);
@@ -129,27 +131,27 @@
   void add_shard(std::size_t s, Transaction &t, const std::string &without_period = "");
   void commit(Transaction &&t);
   void flushed(const Transaction &t, const wire::StoreReply &r);
-  void loans_recorded(int j);
+  void delegations_recorded(int j);
   void ended(int j, EndRecord end);
   void resync(int j);
   void resync_shard(std::size_t s);
   void settle_ghosts();
   void settled(std::size_t s, const std::string &id, const std::optional<EndRecord> &end);
   void fold();
-  void fold_into(std::size_t s, const std::string &period, SumsByTeam kept, std::uint64_t stamp);
+  void fold_into(std::size_t s, const std::string &period, SumsByTeam kept, std::uint64_t mod_revision);
   wire::Json shard_value(std::size_t s, const std::string &without_period) const;
 
-  Port &port_;
+  Runtime &runtime_;
   Events &events_;
   const Settings &settings_;
-  Leadership &lead_;
-  StoreBudget &budget_;
+  Leadership &leadership_;
+  StateServiceLimits &state_limits_;
   JobTable &jobs_;
   EndedJobs &ended_;
   const Dependencies &dependencies_;
-  FailureJudge &judge_;
-  const Reasons &reasons_;
-  const Wishes &wishes_;
+  FailureAttribution &failure_attribution_;
+  const PendingReasons &pending_reasons_;
+  const JobObjectives &objectives_;
   Ledger &ledger_;
   std::set<std::string> left_alone_; // periods whose record cannot be read: their sums stay where they are
   bool settling_ = false;
@@ -164,4 +166,4 @@
   double flush_after_ = 0, alone_until_ = -1e9; // the latter: one record a transaction, to find which is refused
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/relay.hpp
+++ b/include/loftrouter/core/relay.hpp
@@ -16,13 +16,13 @@
 
 #include "loftrouter/core/util.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 using RequestId = std::uint64_t;
 
 // Requests passed on to a sibling, each under a number of its own that is never used again. Owns them until they are
 // answered or given up. `T`: what is kept beside a request.
-template <class T> class PassedOn {
+template <class T> class ForwardedRequests {
 public:
   struct Item {
     RequestId req;
@@ -30,7 +30,7 @@
     T kept;
   };
   // `first`: begins at random, so that no answer to a former self's request is taken for one of this process.
-  PassedOn(std::size_t most, std::uint64_t first) : most_(most), nonce_(first) {}
+  ForwardedRequests(std::size_t most, std::uint64_t first) : most_(most), nonce_(first) {}
 
   bool full() const { return waiting_.size() >= most_; }
   std::uint64_t take(RequestId req, double give_up_at, T kept) {
@@ -62,15 +62,15 @@
 };
 
 // Of a node that does not lead: the reports under way, and the workers that come here. Owns both.
-class ReportRelay {
+class HeartbeatForwarder {
 public:
   // Each worker has one report under way, and with the other nodes gone all 11,000 may come here. 1.9 MB at 0.16 KB
   // each, for kPatience at the most. Beyond, a worker is sent elsewhere.
-  static constexpr std::size_t kMostWaiting = 12'000;
+  static constexpr std::size_t kMaxWaiting = 12'000;
   static constexpr double kPatience = 1.5; // s; a worker waits 4 s for its answer
   // `workers`: most that may come here; `forget_s`: after so long without a report a worker counts no more.
-  ReportRelay(std::size_t workers, double forget_s, std::uint64_t first_nonce)
-      : most_(workers), forget_s_(forget_s), passed_(kMostWaiting, first_nonce) {}
+  HeartbeatForwarder(std::size_t workers, double forget_s, std::uint64_t first_nonce)
+      : most_(workers), forget_s_(forget_s), passed_(kMaxWaiting, first_nonce) {}
 
   bool has_room() const { return known_.size() < most_ && !passed_.full(); }
   // The number to pass the report on under; nothing if there is no room for this worker.
@@ -88,7 +88,7 @@
 private:
   std::size_t most_;
   double forget_s_;
-  PassedOn<std::string> passed_; // with the machine's name
+  ForwardedRequests<std::string> passed_; // with the machine's name
   std::unordered_map<std::string, double> known_;
   double pruned_at_ = -1e9, broken_until_ = -1e9;
 };
@@ -96,13 +96,13 @@
 // Of the leader: whether siblings are to keep workers, and which of its own it sends there. It counts reports that
 // came straight here, since they cost many times what passed-on ones cost. A node that does not lead counts too, for
 // people to see.
-class WorkerSpread {
+class HeartbeatLoadBalancer {
 public:
   struct Limits {
     double reports = 0;      // a second that this node takes itself
     std::size_t sockets = 0; // of workers
   };
-  explicit WorkerSpread(Limits limits) : limits_(limits) {}
+  explicit HeartbeatLoadBalancer(Limits limits) : limits_(limits) {}
 
   void heard(bool direct) { ++(direct ? direct_ : passed_); }
   // Some workers do not reach this node, and may reach a sibling: those are to pass reports on for a while.
@@ -127,4 +127,4 @@
   TokenBucket pace_{1, 1};
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/reports.hpp
+++ b/include/loftrouter/core/reports.hpp
@@ -12,33 +12,33 @@
 #include "loftrouter/core/fleet.hpp"
 #include "loftrouter/core/reach.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class ReportDesk {
+class HeartbeatHandler {
 public:
   // Where the answer to a report goes: to the worker, or to the sibling that passed it on.
   struct Asker {
     RequestId req = 0;
     std::uint64_t link = 0, nonce = 0;
-    int sibling = -1;
-    bool direct() const { return sibling < 0; }
+    int replica = -1;
+    bool direct() const { return replica < 0; }
   };
   // A report that this node answers, once what it says has been listened to.
   struct Pending {
     Asker from;
     int machine;
-    std::vector<TaskOrder> orders;
+    std::vector<TaskCommand> orders;
   };
   struct Load {
-    double reports, reports_most, passed; // a second
-    std::size_t workers, workers_most;
+    double reports, max_reports, passed; // a second
+    std::size_t workers, max_workers;
     bool spreads;
   };
 
-  ReportDesk(Port &port, const Settings &settings, Leadership &lead, Siblings &siblings, Reach &reach,
-             const Silence &silence, Fleet &fleet);
+  HeartbeatHandler(Runtime &runtime, const Settings &settings, Leadership &leadership, Replicas &replicas,
+                   ConnectivityMonitor &connectivity, const FailureDetector &failure_detector, WorkerRegistry &workers);
 
-  std::optional<Pending> take(CmdReport &&cmd);
+  std::optional<Pending> take(CmdHeartbeat &&cmd);
   std::optional<Pending> take_passed(const CmdPeer &cmd);
   void answer(Pending &&p);
   void take_orders(const wire::PeerMessage &m);
@@ -46,37 +46,37 @@
   void count_rates();
   void pong_taken(const wire::PeerMessage &m);
 
-  Siblings::Standing standing() const;
+  Replicas::Standing standing() const;
   Load load() const;
   // Reports of which this holds get no answer for now: a leader may not keep alive what it cannot vouch for.
-  void refuse_while(std::function<bool(const WorkerReport &)> unsure) { unsure_ = std::move(unsure); }
+  void refuse_while(std::function<bool(const Heartbeat &)> unsure) { unsure_ = std::move(unsure); }
   std::size_t kept() const { return relay_.workers(); } // workers whose reports this node passes on
-  void on(const TermBegun &) { spread_.begin(spread_known_); }
+  void on(const TermStarted &) { spread_.begin(spread_known_); }
   void on(const TermEnded &) { sent_away_.clear(); }
-  void on(const MachineReturned &e);
+  void on(const MachineRemoved &e);
 
 private:
-  std::optional<Pending> hear(const Asker &from, const WorkerReport &r);
-  void pass_on(CmdReport &&cmd);
-  void tell(const Asker &from, int status, const std::vector<TaskOrder> &orders = {}, std::string_view why = "");
+  std::optional<Pending> hear(const Asker &from, const Heartbeat &r);
+  void pass_on(CmdHeartbeat &&cmd);
+  void tell(const Asker &from, int status, const std::vector<TaskCommand> &orders = {}, std::string_view why = "");
   void send_elsewhere(RequestId req);
-  int leading_sibling() const;
+  int leading_replica() const;
   int relay_to() const;
-  int keeper_for(const WorkerReport &r);
+  int keeper_for(const Heartbeat &r);
   std::string_view leader_by_word() const;
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
-  Leadership &lead_;
-  Siblings &siblings_;
-  Reach &reach_;
-  const Silence &silence_;
-  Fleet &fleet_;
-  ReportRelay relay_;
-  WorkerSpread spread_;
-  std::function<bool(const WorkerReport &)> unsure_;
+  Leadership &leadership_;
+  Replicas &replicas_;
+  ConnectivityMonitor &connectivity_;
+  const FailureDetector &failure_detector_;
+  WorkerRegistry &workers_;
+  HeartbeatForwarder relay_;
+  HeartbeatLoadBalancer spread_;
+  std::function<bool(const Heartbeat &)> unsure_;
   bool spread_known_ = false;     // what the last known leader did
   std::vector<double> sent_away_; // to a sibling, when; by machine
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/scaler.hpp
+++ b/include/loftrouter/core/scaler.hpp
@@ -11,20 +11,21 @@
 #include "loftrouter/core/placer.hpp"
 #include "loftrouter/core/silence.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class Scaler {
+class Autoscaler {
 public:
-  Scaler(Port &port, const Settings &settings, Catalogue &catalogue, const Operators &operators, const Leadership &lead,
-         const JobTable &jobs, const Dependencies &dependencies, const FailureJudge &judge, Fleet &fleet,
-         const Silence &silence, const Placer &placer, const Wishes &wishes);
+  Autoscaler(Runtime &runtime, const Settings &settings, InstanceTypeCatalog &catalog, const Operators &operators,
+             const Leadership &leadership, const JobTable &jobs, const Dependencies &dependencies,
+             const FailureAttribution &failure_attribution, WorkerRegistry &workers,
+             const FailureDetector &failure_detector, const Scheduler &scheduler, const JobObjectives &objectives);
 
   void tick();
   void probe(); // asks the cloud something, so that it is known whether it answers this node; seldom
   // The cloud had none of this kind to give, lately.
   bool refused(const MachineKind &kind) const;
   std::vector<MachineKind> refused_kinds() const;
-  void on(const TermBegun &);
+  void on(const TermStarted &);
   void on(const TermEnded &);
 
 private:
@@ -40,22 +41,22 @@
   void scale();
   void drain_surplus(double waiting_cpus);
   void rent(const Wanted &w);
-  void send_rent(CloudRent call, MachineKind kind, int tries);
+  void send_rent(CloudScaleOut call, MachineKind kind, int tries);
   std::vector<std::string> names_to_return();
   void return_machines();
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
-  Catalogue &catalogue_;
+  InstanceTypeCatalog &catalog_;
   const Operators &operators_;
-  const Leadership &lead_;
+  const Leadership &leadership_;
   const JobTable &jobs_;
   const Dependencies &dependencies_;
-  const FailureJudge &judge_;
-  Fleet &fleet_;
-  const Silence &silence_;
-  const Placer &placer_;
-  const Wishes &wishes_;
+  const FailureAttribution &failure_attribution_;
+  WorkerRegistry &workers_;
+  const FailureDetector &failure_detector_;
+  const Scheduler &scheduler_;
+  const JobObjectives &objectives_;
   TokenBucket calls_;
   bool types_loading_ = false, listing_ = false, returning_ = false;
   double next_types_ = 0, next_probe_ = 0, next_list_ = 0, next_scale_ = 0, listed_once_at_ = -1;
@@ -66,4 +67,4 @@
   std::map<MachineKind, double> no_capacity_until_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/served.hpp
+++ b/include/loftrouter/core/served.hpp
@@ -12,49 +12,49 @@
 #include "loftrouter/core/events.hpp"
 #include "loftrouter/wire/admin.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class Served {
+class ServiceLevelCounters {
 public:
-  Served(Port &port, const JobTable &jobs, const EndedJobs &ended, const Dependencies &dependencies)
-      : port_(port), jobs_(jobs), ended_(ended), dependencies_(dependencies) {}
+  ServiceLevelCounters(Runtime &runtime, const JobTable &jobs, const EndedJobs &ended, const Dependencies &dependencies)
+      : runtime_(runtime), jobs_(jobs), ended_(ended), dependencies_(dependencies) {}
 
-  std::vector<wire::AdminStatus::Served> rows() const;
+  std::vector<wire::AdminStatus::ServiceLevel> rows() const;
   void tick(); // a line each minute for whoever has work waiting
 
   void on(const JobAccepted &e);
-  void on(const TaskRuns &e);
-  void on(const JobOver &e);
-  void on(const TermBegun &);
+  void on(const TaskRunning &e);
+  void on(const JobFinalized &e);
+  void on(const TermStarted &);
   void on(const TermEnded &);
 
 private:
-  static constexpr int kMostNames = 64;   // classes, and teams
+  static constexpr int kMaxNames = 64;    // classes, and teams
   static constexpr double kLargest = 0.5; // of the most CPUs that a job of its class has asked for
   struct Count {
     std::uint64_t accepted = 0, begun = 0, done = 0, cancelled = 0;
   };
   struct Group { // a class or a team
     Count all, largest;
-    double most_cpus = 0; // of one job
+    double max_cpus = 0; // of one job
   };
   struct Entry { // of an open job
     int job_class = -1, team = -1;
     bool largest = false, begun = false;
   };
-  static int place(Names &names, const std::string &name) {
-    return names.find(name) >= 0 || names.size() < kMostNames ? names.get(name) : names.get("others");
+  static int place(NameIndex &names, const std::string &name) {
+    return names.find(name) >= 0 || names.size() < kMaxNames ? names.get(name) : names.get("others");
   }
   template <class Fn> void each_count(const Entry &e, Fn &&fn);
 
-  Port &port_;
+  Runtime &runtime_;
   const JobTable &jobs_;
   const EndedJobs &ended_;
   const Dependencies &dependencies_;
-  Names class_names_, team_names_;
+  NameIndex class_names_, team_names_;
   std::vector<Group> classes_, teams_;
   std::vector<Entry> entries_; // by job
   double next_line_ = 0;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/settings.hpp
+++ b/include/loftrouter/core/settings.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace loft {
+namespace loftrouter {
 
 struct Team {
   std::string name;
@@ -15,7 +15,7 @@
   std::string kind, job_class;
   double within_s = 0, share = 0, times = 1;
 };
-struct Sibling {
+struct Replica {
   std::string node, zone, address;
 };
 // Cells that work as one fleet; switched on in the features file. Without a name this one is alone.
@@ -30,14 +30,14 @@
 };
 struct Settings {
   std::string node, zone, listen, peer_listen;
-  std::vector<Sibling> siblings;
+  std::vector<Replica> replicas;
   std::string cloud_address, state_address;
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double report_s = 1, lease_s = 10, gang_wait_s = 30, gang_peer_s = 4, cancel_s = 40;
+  double heartbeat_interval_s = 1, lease_s = 10, gang_wait_s = 30, gang_peer_s = 4, cancel_s = 40;
   // Limits of the state service. They may fall without notice: what is written obeys the smaller of the sizes from the
-  // first write; the rates are those in force until the fall has shown (StoreBudget).
+  // first write; the rates are those in force until the fall has shown (StateServiceLimits).
   double state_rps = 100, state_write_rps = 10, state_value_kb = 8;
   int state_txn_ops = 8;
   std::optional<double> state_next_rps, state_next_write_rps;
@@ -50,4 +50,4 @@
   bool accounts = false;      // what teams use is kept and budgets are held; switched on in the features file
 };
 
-} // namespace loft
+} // namespace loftrouter
--- a/include/loftrouter/core/silence.hpp
+++ b/include/loftrouter/core/silence.hpp
@@ -1,10 +1,10 @@
 // Which of a leader's machines have fallen silent, and what explains it best: the machine, its zone, the way by which
 // it reports (this node, or the sibling that passes its reports on), or that nobody is heard at all.
 //
-// Owns the counts of who is late. It proves nothing: tasks of a silent machine are over only by `Fleet`'s proofs. It
-// decides what a silence may cost: a machine that is silent along with its whole zone or way is not given back, and
-// one that is silent along with its way or with all others is not replaced, for as long as waiting costs no more than
-// renting it anew would (`hold_s`). See docs/links.md, "No fleet is thrown away".
+// Owns the counts of who is late. It proves nothing: tasks of a silent machine are over only by `WorkerRegistry`'s
+// proofs. It decides what a silence may cost: a machine that is silent along with its whole zone or way is not given
+// back, and one that is silent along with its way or with all others is not replaced, for as long as waiting costs no
+// more than renting it anew would (`hold_s`). See docs/links.md, "No fleet is thrown away".
 #pragma once
 
 #include <string>
@@ -12,28 +12,29 @@
 
 #include "loftrouter/core/fleet.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 // Seconds after a report until the next one is late: workers report within 1.25 of their interval.
 inline double late_after(const Settings &s) {
-  return 1.25 * s.report_s + 1.5;
+  return 1.25 * s.heartbeat_interval_s + 1.5;
 }
 
-class Silence {
+class FailureDetector {
 public:
   enum class Cause : std::uint8_t { None, Machine, Zone, Way, All };
   struct Count {
     std::size_t known = 0, late = 0;
-    static constexpr std::size_t kLeast = 4; // with fewer, chance explains it as well
-    bool silent() const { return known >= kLeast && late * 100 >= known * 95; }
+    static constexpr std::size_t kMin = 4; // with fewer, chance explains it as well
+    bool silent() const { return known >= kMin && late * 100 >= known * 95; }
     void add(const Count &o) {
       known += o.known;
       late += o.late;
     }
   };
 
-  Silence(Port &port, const Settings &settings, const Catalogue &catalogue, const Leadership &lead, const Fleet &fleet)
-      : port_(port), settings_(settings), catalogue_(catalogue), lead_(lead), fleet_(fleet) {}
+  FailureDetector(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog,
+                  const Leadership &leadership, const WorkerRegistry &workers)
+      : runtime_(runtime), settings_(settings), catalog_(catalog), leadership_(leadership), workers_(workers) {}
 
   void tick(); // counts anew, a few times a second
   Cause cause(int m) const;
@@ -55,18 +56,18 @@
   std::size_t way(const Machine &m) const;
   void tell(bool now_in_part, const std::string &what);
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
-  const Catalogue &catalogue_;
-  const Leadership &lead_;
-  const Fleet &fleet_;
+  const InstanceTypeCatalog &catalog_;
+  const Leadership &leadership_;
+  const WorkerRegistry &workers_;
   std::vector<std::vector<Count>> table_; // by way (this node, siblings, not heard yet), then zone
   // A group, and when it was last silent: for a while afterwards its machines are still about to report.
   struct Group {
     Count count;
     double silent_at = -1e9;
   };
-  bool silent(const Group &g) const { return port_.now() - g.silent_at < late_after(settings_); }
+  bool silent(const Group &g) const { return runtime_.now() - g.silent_at < late_after(settings_); }
   std::vector<Group> ways_, zones_;
   Count all_;
   double all_silent_at_ = -1e9;
@@ -75,4 +76,4 @@
   double next_ = 0;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/types.hpp
+++ b/include/loftrouter/core/types.hpp
@@ -11,7 +11,7 @@
 
 #include "loftrouter/accounts/usage.hpp"
 
-namespace loft {
+namespace loftrouter {
 
 enum class Shape : std::uint8_t { Array, Gang, Service };
 enum class Urgency : std::uint8_t { Low, Normal, High, Production };
@@ -46,25 +46,25 @@
   std::optional<double> deadline_s;
   std::vector<std::string> waits_for; // jobs that have to be done before any of its tasks starts, each once
 };
-constexpr std::size_t kMostWaitsFor = 100; // names; a record has room for about so many where values are small
+constexpr std::size_t kMaxWaitsFor = 100; // names; a record has room for about so many where values are small
 
 // Half-open index ranges, sorted and apart.
 using Ranges = std::vector<std::pair<std::uint32_t, std::uint32_t>>;
 
 // At a borrower: whose work it is, by which hand-over, and which of the job's tasks.
-struct Lent {
-  std::string home;
+struct DelegationSource {
+  std::string origin;
   std::uint64_t generation = 0;
   Ranges tasks;
 };
 struct OpenRecord {
   JobSpec spec;
   double submit_wall = 0;
-  bool cancelled = false;   // of lent work: somebody here wants its id
-  std::optional<Lent> lent; // not a job of this cell's own users
+  bool cancelled = false;                    // of lent work: somebody here wants its id
+  std::optional<DelegationSource> delegated; // not a job of this cell's own users
 };
 // At home: tasks that another cell runs, or has run.
-struct LoanRecord {
+struct DelegationRecord {
   std::uint64_t generation = 0;
   std::string cell;
   Ranges tasks;
@@ -88,8 +88,8 @@
   // With accounts: used so far; held by attempts under way when this was written, ms; and when, ms since 1970.
   accounts::Usage usage;
   std::int64_t running_ms = 0, at_ms = 0;
-  std::vector<LoanRecord> loans;
-  std::uint64_t borrowed = 0; // of another cell's job: the generation of the loan; its end is kept there
+  std::vector<DelegationRecord> delegations;
+  std::uint64_t delegated_here = 0; // of another cell's job: the generation of the loan; its end is kept there
 };
 using SumsByTeam = std::map<std::pair<std::string, std::string>, accounts::Sums>; // period, team
 struct ProgressShard {
@@ -102,18 +102,22 @@
 };
 
 // What a node says of what it reaches.
-enum class Hearing : std::uint8_t { Unknown, Hears, Silent }; // the last: workers kept here have all fallen silent
-enum class CloudWord : std::uint8_t { Unknown, Answers, Fails };
-struct ReachWord {
-  static constexpr double kMostQuiet = 3600;
-  Hearing workers = Hearing::Unknown;
-  std::uint16_t machines = 0;    // about so many report to it straight
-  double quiet_s = kMostQuiet;   // since one last did
-  double carried_s = kMostQuiet; // since one last reported to a sibling that can pass reports on to it
-  CloudWord cloud = CloudWord::Unknown;
-};
-struct ReachRecord {
-  ReachWord word;
+enum class WorkerReachability : std::uint8_t {
+  Unknown,
+  Reachable,
+  Unreachable
+}; // the last: workers kept here have all fallen silent
+enum class ProviderHealth : std::uint8_t { Unknown, Healthy, Unhealthy };
+struct ConnectivityRecord {
+  static constexpr double kMaxQuiet = 3600;
+  WorkerReachability workers = WorkerReachability::Unknown;
+  std::uint16_t machines = 0;   // about so many report to it straight
+  double quiet_s = kMaxQuiet;   // since one last did
+  double carried_s = kMaxQuiet; // since one last reported to a sibling that can pass reports on to it
+  ProviderHealth cloud = ProviderHealth::Unknown;
+};
+struct StoredConnectivityRecord {
+  ConnectivityRecord word;
   double wall = 0; // when it was so
 };
 
@@ -124,7 +128,7 @@
   std::vector<std::string> zones;
 };
 
-struct TaskReport {
+struct TaskStatus {
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
@@ -132,15 +136,15 @@
   ExitCause cause = ExitCause::None;
   bool saved = false;
 };
-struct WorkerReport {
+struct Heartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
-  std::uint64_t session = 0, seq = 0, token = 0;
+  std::uint64_t incarnation = 0, sequence = 0, fencing_token = 0;
   std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
 };
 
-struct TaskOrder {
+struct TaskCommand {
   enum class Verb : std::uint8_t { Start, Stop, Forget } verb = Verb::Start;
   std::string job;
   std::uint32_t index = 0;
@@ -164,4 +168,4 @@
   std::string reason;
 };
 
-} // namespace loft
+} // namespace loftrouter
--- a/include/loftrouter/core/users.hpp
+++ b/include/loftrouter/core/users.hpp
@@ -16,29 +16,30 @@
 #include "loftrouter/core/insight.hpp"
 #include "loftrouter/core/relay.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class UserDesk {
+class JobApiHandler {
 public:
-  UserDesk(Port &port, const Settings &settings, const Catalogue &catalogue, StoreBudget &budget,
-           const Leadership &lead, JobTable &jobs, EndedJobs &ended, Siblings &siblings, Cancellations &cancellations,
-           const Quotas &quotas, const Insight &insight)
-      : port_(port), settings_(settings), catalogue_(catalogue), budget_(budget), lead_(lead), jobs_(jobs),
-        ended_(ended), siblings_(siblings), cancellations_(cancellations), quotas_(quotas), insight_(insight),
-        passed_(kMostPassed, port.nonce()) {}
+  JobApiHandler(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog,
+                StateServiceLimits &state_limits, const Leadership &leadership, JobTable &jobs, EndedJobs &ended,
+                Replicas &replicas, Cancellations &cancellations, const Quotas &quotas,
+                const StatusReporter &status_reporter)
+      : runtime_(runtime), settings_(settings), catalog_(catalog), state_limits_(state_limits), leadership_(leadership),
+        jobs_(jobs), ended_(ended), replicas_(replicas), cancellations_(cancellations), quotas_(quotas),
+        status_reporter_(status_reporter), passed_(kMaxPassed, runtime.nonce()) {}
 
   void take(CmdSubmit &&cmd);
   void take(CmdLookup &&cmd);
-  void take(CmdAbort &&cmd);
+  void take(CmdCancel &&cmd);
   void confirm();                             // at the end of each batch
   void tick();                                // gives up what a sibling has not answered
   void take_asked(const CmdPeer &cmd);        // by a sibling, for a user of its own
   void take_told(const wire::PeerMessage &m); // by a sibling, about what was passed on to it
   bool can_answer() const;                    // here, or by way of a sibling
-  void on(const EndLearnt &e) { known_open_.erase(e.id); }
+  void on(const JobEndLearned &e) { known_open_.erase(e.id); }
 
 private:
-  static constexpr std::size_t kMostPassed = 512;
+  static constexpr std::size_t kMaxPassed = 512;
   static constexpr double kQuestionPatience = 0.25; // s, that a question waits for a comparison
   static constexpr double kNamesPatience = 1.0;     // the same where others have to be read first
   using Verb = wire::PeerMessage::Verb;
@@ -64,7 +65,7 @@
     bool waits;          // a submission that names others
   };
   struct KnownOpen {
-    std::uint64_t stamp;
+    std::uint64_t mod_revision;
     bool cancelled, service;
     std::vector<std::string> waits_for; // without those known to be done
   };
@@ -76,7 +77,7 @@
   void answer_state(const Question &q);
   void answer_end(RequestId req, const std::string &id, const EndRecord &end, bool brief);
   void tell_open(const Question &q, bool cancelled);
-  void note_open(const OpenRecord &record, std::uint64_t stamp, bool cancelled);
+  void note_open(const OpenRecord &record, std::uint64_t mod_revision, bool cancelled);
   const KnownOpen *known_open(const std::string &id);
   Named known(const std::string &id);
   void learn(const std::string &id, std::function<void(Named)> then);
@@ -85,37 +86,37 @@
   void accept(const Question &q, OpenRecord record);
   void refuse_for_ever(const Question &q, const JobSpec &spec, const std::string &why);
   void abort(const Question &q);
-  std::size_t most_guards() const { return static_cast<std::size_t>(4 * settings_.state_txn_ops); } // of a comparison
+  std::size_t max_guards() const { return static_cast<std::size_t>(4 * settings_.state_txn_ops); } // of a comparison
   std::optional<Compared> compare(Question q, StoreCommit &commit);
   std::string cancelled_name(const std::string &id);
   void read_open(const Question &q);
-  void want_id(const Question &q, std::uint64_t stamp, OpenRecord record);
+  void want_id(const Question &q, std::uint64_t mod_revision, OpenRecord record);
   void read_end(const Question &q, bool as_abort);
-  int helper(std::uint64_t tried = 0, bool knows_waiting = false) const; // the sibling to pass on to, or -1
+  int helper(std::uint64_t tried = 0, bool knows_dependencies = false) const; // the sibling to pass on to, or -1
   bool pass_on(RequestId req, Verb verb, const std::string &id, double asked, std::string body = {},
                std::uint64_t tried = 0, bool waits = false);
   // The state service has not answered: somebody else may.
   void no_answer(const Question &q, Verb verb, std::string_view why, std::string body = {}, bool waits = false);
   void no_answer(const Question &q, const JobSpec &spec, std::string_view why); // to its submission
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
-  const Catalogue &catalogue_;
-  StoreBudget &budget_;
-  const Leadership &lead_;
+  const InstanceTypeCatalog &catalog_;
+  StateServiceLimits &state_limits_;
+  const Leadership &leadership_;
   JobTable &jobs_;
   EndedJobs &ended_;
-  Siblings &siblings_;
+  Replicas &replicas_;
   Cancellations &cancellations_;
   const Quotas &quotas_;
-  const Insight &insight_;
+  const StatusReporter &status_reporter_;
   int under_way_ = 0; // operations for users
   std::deque<Question> questions_;
   bool confirming_ = false;
   double next_confirm_ = 0, next_sweep_ = 0;
   std::unordered_map<std::string, KnownOpen> known_open_;
   std::deque<std::string> known_order_;
-  PassedOn<Passed> passed_;
+  ForwardedRequests<Passed> passed_;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/util.hpp
+++ b/include/loftrouter/core/util.hpp
@@ -9,7 +9,7 @@
 
 #include "loftrouter/core/types.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 class TokenBucket {
 public:
@@ -42,7 +42,7 @@
 };
 
 // Names that arrive from outside become small integers once, at the door.
-class Names {
+class NameIndex {
 public:
   int get(const std::string &name) {
     auto [it, fresh] = index_.try_emplace(name, static_cast<int>(names_.size()));
@@ -85,4 +85,4 @@
 // At most `max` ranges covering at most what `r` covers (keeps the longest).
 Ranges narrow(Ranges r, std::size_t max);
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/watch.hpp
+++ b/include/loftrouter/core/watch.hpp
@@ -10,17 +10,19 @@
 #include "loftrouter/core/leadership.hpp"
 #include "loftrouter/core/recorder.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class RecordWatch {
+class StateWatch {
 public:
-  RecordWatch(Port &port, const Settings &settings, Leadership &lead, Recorder &recorder, Cancellations &cancellations)
-      : port_(port), settings_(settings), lead_(lead), recorder_(recorder), cancellations_(cancellations) {}
+  StateWatch(Runtime &runtime, const Settings &settings, Leadership &leadership, StateWriter &state_writer,
+             Cancellations &cancellations)
+      : runtime_(runtime), settings_(settings), leadership_(leadership), state_writer_(state_writer),
+        cancellations_(cancellations) {}
 
   void tick();
 
-  void on(const TermElected &);
-  void on(const TermBegun &) { follow(); }
+  void on(const LeaderElected &);
+  void on(const TermStarted &) { follow(); }
   void on(const TermEnded &) { following_ = relisting_ = auditing_ = false; }
 
 private:
@@ -31,10 +33,10 @@
   // Calls `fn` after a pause, if this node's role is still the same.
   void again(std::function<void()> fn);
 
-  Port &port_;
+  Runtime &runtime_;
   const Settings &settings_;
-  Leadership &lead_;
-  Recorder &recorder_;
+  Leadership &leadership_;
+  StateWriter &state_writer_;
   Cancellations &cancellations_;
   std::uint64_t follow_from_ = 0;
   bool following_ = false, relisting_ = false, auditing_ = false;
@@ -43,4 +45,4 @@
   double listed_from_ = -1e9;
 };
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/core/wishes.hpp
+++ b/include/loftrouter/core/wishes.hpp
@@ -6,11 +6,11 @@
 #include "loftrouter/core/settings.hpp"
 #include "loftrouter/core/types.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
-class Wishes {
+class JobObjectives {
 public:
-  explicit Wishes(const Settings &settings) : settings_(settings) {}
+  explicit JobObjectives(const Settings &settings) : settings_(settings) {}
 
   // Seconds after it could start, as its age: nothing if nobody has said. `deadline`: its own or what its path leaves
   // it.
@@ -18,7 +18,7 @@
   // What to work for: of several objectives the first that a job of this age can still meet.
   double due_after(const JobSpec &spec, std::optional<double> deadline, double age_s) const;
   // Small work that nobody wants at a certain time.
-  bool patient(const JobSpec &spec, Urgency urgency, std::optional<double> deadline, double age_s) const;
+  bool deferrable(const JobSpec &spec, Urgency urgency, std::optional<double> deadline, double age_s) const;
 
 private:
   std::optional<double> started_within(const JobSpec &spec) const;
@@ -30,4 +30,4 @@
   return urgency == Urgency::Low && spec.spot;
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/include/loftrouter/net/client.hpp
+++ b/include/loftrouter/net/client.hpp
@@ -10,7 +10,7 @@
 #include "loftrouter/net/http.hpp"
 #include "loftrouter/net/loop.hpp"
 
-namespace loft::net {
+namespace loftrouter::net {
 
 class HttpClient {
 public:
@@ -50,4 +50,4 @@
   Timer sweep_timer_;
 };
 
-} // namespace loft::net
+} // namespace loftrouter::net
--- a/include/loftrouter/net/couriers.hpp
+++ b/include/loftrouter/net/couriers.hpp
@@ -8,23 +8,23 @@
 
 #include "loftrouter/net/client.hpp"
 
-namespace loft::net {
+namespace loftrouter::net {
 
-class Couriers {
+class OutboundRequestPool {
 public:
-  static constexpr std::size_t kMost = 32; // connections at a time
+  static constexpr std::size_t kMax = 32; // connections at a time
 
-  explicit Couriers(Loop &loop);
-  ~Couriers();
+  explicit OutboundRequestPool(Loop &loop);
+  ~OutboundRequestPool();
   void post(const Address &to, std::string_view target, std::string_view body);
 
 private:
-  struct Errand;
+  struct OutboundRequest;
   void sweep();
 
   Loop &loop_;
-  std::vector<std::unique_ptr<Errand>> errands_;
+  std::vector<std::unique_ptr<OutboundRequest>> requests_;
   Timer sweep_timer_;
 };
 
-} // namespace loft::net
+} // namespace loftrouter::net
--- a/include/loftrouter/net/http.hpp
+++ b/include/loftrouter/net/http.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-namespace loft::net {
+namespace loftrouter::net {
 
 struct HttpMessage {
   std::string method; // requests
@@ -68,4 +68,4 @@
 std::string format_response(int status, std::string_view body, std::optional<int> retry_after, bool keep_alive,
                             std::string_view content_type = "application/cbor");
 
-} // namespace loft::net
+} // namespace loftrouter::net
--- a/include/loftrouter/net/loop.hpp
+++ b/include/loftrouter/net/loop.hpp
@@ -11,7 +11,7 @@
 
 #include <ev.h>
 
-namespace loft::net {
+namespace loftrouter::net {
 
 double mono_now(); // steady clock, seconds
 double wall_now(); // time of day, seconds
@@ -106,4 +106,4 @@
 Fd listen_on(const Address &addr, std::string &error);
 Fd connect_to(const Address &addr); // connection in progress, or empty
 
-} // namespace loft::net
+} // namespace loftrouter::net
--- a/include/loftrouter/net/peers.hpp
+++ b/include/loftrouter/net/peers.hpp
@@ -9,19 +9,19 @@
 
 #include "loftrouter/net/loop.hpp"
 
-namespace loft::net {
+namespace loftrouter::net {
 
 using LinkId = std::uint64_t;
 
 class PeerLinks {
 public:
-  // Called with what has arrived; takes whole frames off the buffer, false closes the link. `sibling` is
+  // Called with what has arrived; takes whole frames off the buffer, false closes the link. `replica` is
   // the index of the one dialled, or -1 on links that others opened.
-  using Reader = std::function<bool(LinkId, int sibling, std::string &buffer)>;
+  using Reader = std::function<bool(LinkId, int replica, std::string &buffer)>;
 
-  PeerLinks(Loop &loop, Fd listener, std::vector<Address> siblings, Reader reader);
+  PeerLinks(Loop &loop, Fd listener, std::vector<Address> replicas, Reader reader);
   ~PeerLinks();
-  void send_to_sibling(int sibling, std::string_view bytes); // dials if need be; drops what cannot be sent
+  void send_to_replica(int replica, std::string_view bytes); // dials if need be; drops what cannot be sent
   void send_on(LinkId link, std::string_view bytes);
   std::uint32_t remote_ip(LinkId link) const; // host order; 0: no such link
   void send_all();                            // what the two above have taken: frames of one batch leave together
@@ -29,7 +29,7 @@
 private:
   struct Link;
   void accept_ready();
-  Link *open(Fd fd, int sibling);
+  Link *open(Fd fd, int replica);
   void on_io(Link &l, int events);
   void flush(Link &l);
   void close(Link &l);
@@ -37,7 +37,7 @@
 
   Loop &loop_;
   Fd listener_;
-  std::vector<Address> siblings_;
+  std::vector<Address> replicas_;
   std::vector<LinkId> dialled_;
   Reader reader_;
   IoWatch accept_watch_;
@@ -48,4 +48,4 @@
   std::vector<LinkId> unsent_;
 };
 
-} // namespace loft::net
+} // namespace loftrouter::net
--- a/include/loftrouter/net/server.hpp
+++ b/include/loftrouter/net/server.hpp
@@ -10,7 +10,7 @@
 #include "loftrouter/net/http.hpp"
 #include "loftrouter/net/loop.hpp"
 
-namespace loft::net {
+namespace loftrouter::net {
 
 using ConnId = std::uint64_t;
 
@@ -54,4 +54,4 @@
   std::vector<std::unique_ptr<Conn>> graveyard_;
 };
 
-} // namespace loft::net
+} // namespace loftrouter::net
--- a/include/loftrouter/store/store.hpp
+++ b/include/loftrouter/store/store.hpp
@@ -6,7 +6,7 @@
 #include "loftrouter/core/effects.hpp"
 #include "loftrouter/net/client.hpp"
 
-namespace loft::store {
+namespace loftrouter::store {
 
 class StoreClient {
 public:
@@ -21,4 +21,4 @@
   Done done_;
 };
 
-} // namespace loft::store
+} // namespace loftrouter::store
