--- a/include/loftrouter/wire/admin.hpp
+++ b/include/loftrouter/wire/admin.hpp
@@ -16,17 +16,17 @@
 #include "loftrouter/wire/cbor.hpp"
 #include "loftrouter/wire/configuration.hpp"
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 // Operators' own settings. Every one has a range; they are kept in the state service.
 struct Tunables {
-  double whole_bonus = 10, age_weight = 0.05, image_weight = 0.3, price_weight = 1, in_time_bonus = 30;
+  double full_plan_bonus = 10, age_weight = 0.05, image_weight = 0.3, price_weight = 1, in_time_bonus = 30;
   double reserve_after_s = 120, idle_boots = 0.8, probe_pause_s = 5, late_notice_share = 1;
 };
-enum class MachineOrder : std::uint8_t { Drain, Quarantine };
-using MachineOrders = std::map<std::string, MachineOrder>;
+enum class MachineAdminState : std::uint8_t { Drain, Quarantine };
+using MachineAdminStates = std::map<std::string, MachineAdminState>;
 // In the document alone, without records of their own: the production version reads no more of it.
-constexpr std::size_t kMostMachineOrders = 100;
+constexpr std::size_t kMaxMachineOrders = 100;
 // Of the entries of one answer that lists what is configured; what is beyond stands on the next page.
 constexpr std::size_t kMaxListingBytes = 48 * 1024;
 // What a team may use of the machines in a period.
@@ -43,8 +43,8 @@
 
 // What may leave this cell, and what is taken from others.
 struct CellRules {
-  bool lend = true, borrow = true;
-  double most_borrowed_cpus = 1e6;
+  bool delegate = true, accept = true;
+  double max_accepted_cpus = 1e6;
   std::vector<std::string> stay_teams, stay_classes; // whose work stays, however long the queue
 };
 
@@ -60,7 +60,7 @@
     Budgets,
     ChangeBudgets,
     Statement,
-    Cells,
+    CellFederation,
     ChangeCells,
     Quotas,
     ChangeQuota,
@@ -72,7 +72,7 @@
   Json change;             // settings or budgets, checked
   std::string period;      // statement: by name; empty: the present one
   std::string machine;     // machine order
-  std::optional<MachineOrder> order;                                 // nothing: release
+  std::optional<MachineAdminState> order;                            // nothing: release
   std::optional<QuotaChange> quota;                                  // ChangeQuota
   double round_p50 = 0, round_p99 = 0, queue_p50 = 0, queue_p99 = 0; // ms, measured by the program around the core
   double cpu_s = 0; // the same: processor time that this process has used
@@ -94,30 +94,30 @@
 Json to_json(const CellRules &r);
 std::optional<std::string> apply_cell_rules(const Json &j, CellRules &r);
 std::string encode_cell_rules(const CellRules &r);
-Json to_json(MachineOrder order);
-Json to_json(const MachineOrders &orders);
-MachineOrders machine_orders_from_json(const Json &j);
-std::optional<MachineOrder> machine_order_from_json(const Json &j);
+Json to_json(MachineAdminState order);
+Json to_json(const MachineAdminStates &orders);
+MachineAdminStates machine_admin_states_from_json(const Json &j);
+std::optional<MachineAdminState> machine_admin_state_from_json(const Json &j);
 
 struct AdminStatus {
   std::string node, role, leader;
   std::uint64_t term = 0;
   std::string leader_since;                                  // empty: not known
   double state_age_s = 0, cloud_age_s = 0, report_age_s = 0; // since the last answer or report; negative: none yet
-  struct Sibling {
+  struct Replica {
     std::string node;
     double heard_s; // negative: never
     bool cut_off, passes_reports;
-    std::size_t keeps = 0; // workers whose reports it passes on here
-    ReachWord reach;       // what it says that it reaches
-    std::string told_by;   // link, state service or nothing
-    std::string version;   // earlier, this or later, unknown; by whether it knows of jobs that wait for others
+    std::size_t keeps = 0;           // workers whose reports it passes on here
+    ConnectivityRecord connectivity; // what it says that it reaches
+    std::string told_by;             // link, state service or nothing
+    std::string version; // earlier, this or later, unknown; by whether it knows of jobs that wait for others
   };
-  struct Reach { // of this node
-    ReachWord word;
+  struct Connectivity { // of this node
+    ConnectivityRecord word;
     std::vector<std::pair<std::string, double>> machines; // about so many report here, by zone
-  } reach;
-  std::vector<Sibling> siblings;
+  } connectivity;
+  std::vector<Replica> replicas;
   struct Kind {
     std::string type, zone;
     bool spot = false;
@@ -127,17 +127,17 @@
   };
   // Reports that come straight from workers, and those passed on to this node (leader) or by it (others).
   struct Load {
-    double reports = 0, reports_most = 0, passed = 0; // a second
-    std::size_t workers = 0, workers_most = 0;        // that report straight to this node
-    bool spreads = false;                             // siblings keep workers
-    double cpu_s = 0, up_s = 0, cpu_share = 1;        // used since it started; of a core, allowed
+    double reports = 0, max_reports = 0, passed = 0; // a second
+    std::size_t workers = 0, max_workers = 0;        // that report straight to this node
+    bool spreads = false;                            // siblings keep workers
+    double cpu_s = 0, up_s = 0, cpu_share = 1;       // used since it started; of a core, allowed
   } load;
   std::vector<Kind> fleet;
   struct Cell { // another one
     std::string name;
     double heard_s; // negative: never
-    bool lends;     // cancellations leave time for it
-    std::uint64_t lent_tasks, borrowed_tasks;
+    bool delegates; // cancellations leave time for it
+    std::uint64_t delegated_out_tasks, delegated_in_tasks;
   };
   std::string cell; // this one's name; empty: it is alone
   std::vector<Cell> cells;
@@ -148,12 +148,12 @@
     double oldest_s = 0;
     int waiting_for_others = 0; // jobs
   };
-  struct Served { // of a class, the largest jobs of one, or a team; since the leader leads
+  struct ServiceLevel { // of a class, the largest jobs of one, or a team; since the leader leads
     std::string of, name;
     std::uint64_t accepted = 0, begun = 0, done = 0, cancelled = 0, waiting = 0; // the last: could start, and have not
     double longest_wait_s = 0;
   };
-  std::vector<Served> served;
+  std::vector<ServiceLevel> served;
   std::vector<Queue> queues;
   double round_p50 = 0, round_p99 = 0, queue_p50 = 0, queue_p99 = 0;
   std::vector<std::string> troubles; // in plain words
@@ -190,9 +190,9 @@
 // Bytes that an order takes in `encode_settings`, at the most.
 std::size_t listed_bytes(const std::string &machine);
 // `next`: where to go on, if there are more orders.
-std::string encode_settings(const Tunables &t, const MachineOrders &orders, std::string_view next);
+std::string encode_settings(const Tunables &t, const MachineAdminStates &orders, std::string_view next);
 std::string encode_admin_error(std::string_view text);
 
 std::string clock_time(double wall); // "02:14:05Z"
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/include/loftrouter/wire/admin_configuration.hpp
+++ b/include/loftrouter/wire/admin_configuration.hpp
@@ -10,7 +10,7 @@
 #include "loftrouter/core/settings.hpp"
 #include "loftrouter/wire/configuration.hpp"
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 struct AdminQuota {
   Team here, over_all_cells; // in force at this node
@@ -40,4 +40,4 @@
 std::string encode_configuration(const AdminConfiguration &configuration);
 std::string encode_quota_history(const std::string &team, const std::vector<QuotaRecord::Change> &history);
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/include/loftrouter/wire/cbor.hpp
+++ b/include/loftrouter/wire/cbor.hpp
@@ -7,7 +7,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 using Json = nlohmann::json;
 
@@ -22,4 +22,4 @@
 std::string encode(const Json &value);
 bool valid_utf8(std::string_view text);
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/include/loftrouter/wire/cell.hpp
+++ b/include/loftrouter/wire/cell.hpp
@@ -11,7 +11,7 @@
 #include "loftrouter/core/types.hpp"
 #include "loftrouter/wire/peer.hpp"
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 // Machines of one kind in a cell, as it tells others.
 struct CellKind {
@@ -80,4 +80,4 @@
 // Whether a buffer begins like a frame between cells; false also while that is not clear.
 bool looks_like_cell(std::string_view buffer);
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/include/loftrouter/wire/configuration.hpp
+++ b/include/loftrouter/wire/configuration.hpp
@@ -13,7 +13,7 @@
 
 #include "loftrouter/wire/cbor.hpp"
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 constexpr std::string_view kConfigPrefix = "conf";             // of all that follows, and of the older documents
 constexpr std::string_view kConfigRecords = "config/";         // config/<kind>/<name>
@@ -24,9 +24,9 @@
 constexpr std::string_view kConfigApplied = "config-applied/"; // by node
 // Of a kind. Every one of 11,000 machines may be cordoned or drained at once, with some of machines that are gone.
 // A node keeps them all: 0.5 KB each, 6.1 MB, and 1.7 MB more while it lists.
-constexpr std::size_t kMostConfigRecords = 12'000;
-constexpr std::size_t kMostConfigChanges = 64; // under way
-constexpr std::size_t kMostQuotaHistory = 8;   // changes kept in a quota's record
+constexpr std::size_t kMaxConfigRecords = 12'000;
+constexpr std::size_t kMaxConfigChanges = 64; // under way
+constexpr std::size_t kMaxQuotaHistory = 8;   // changes kept in a quota's record
 
 // CPUs and GPUs; infinite where there is no limit.
 struct Amounts {
@@ -61,7 +61,7 @@
 // What an operator asks for. Nothing: stays as it is.
 struct QuotaChange {
   std::string team;
-  std::optional<double> guaranteed_cpus, most_cpus, guaranteed_gpus, most_gpus;
+  std::optional<double> guaranteed_cpus, max_cpus, guaranteed_gpus, max_gpus;
   std::optional<AmountsByCell> shares;
   std::optional<std::uint64_t> version; // that the operator has seen; another one: conflict
 };
@@ -88,4 +88,4 @@
 Json to_json(const AppliedRecord &applied);
 std::optional<AppliedRecord> applied_from_json(const Json &j);
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/include/loftrouter/wire/messages.hpp
+++ b/include/loftrouter/wire/messages.hpp
@@ -10,7 +10,7 @@
 #include "loftrouter/core/types.hpp"
 #include "loftrouter/wire/cbor.hpp"
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 bool valid_job_id(std::string_view id);
 
@@ -21,17 +21,18 @@
 std::string encode_error(std::string_view text);
 
 // Workers.
-std::optional<WorkerReport> decode_report(std::string_view body);
-std::string encode_orders(std::uint64_t token, const std::vector<TaskOrder> &orders);
-std::string encode_call(std::uint64_t token, std::uint64_t session, const std::vector<TaskOrder> &orders); // to /orders
-std::string encode_redirect(std::string_view node); // empty: no node named
+std::optional<Heartbeat> decode_heartbeat(std::string_view body);
+std::string encode_commands(std::uint64_t fencing_token, const std::vector<TaskCommand> &orders);
+std::string encode_call(std::uint64_t fencing_token, std::uint64_t incarnation,
+                        const std::vector<TaskCommand> &orders); // to /orders
+std::string encode_redirect(std::string_view node);              // empty: no node named
 // The worker's side of the two, for load tools and tests.
-std::string encode_report(const WorkerReport &report);
-struct WorkerOrders {
-  std::uint64_t token = 0;
-  std::vector<TaskOrder> orders;
+std::string encode_heartbeat(const Heartbeat &report);
+struct WorkerCommands {
+  std::uint64_t fencing_token = 0;
+  std::vector<TaskCommand> orders;
 };
-std::optional<WorkerOrders> decode_orders(std::string_view body);
+std::optional<WorkerCommands> decode_commands(std::string_view body);
 
 // State service: records.
 Json to_json(const JobSpec &spec);
@@ -43,7 +44,7 @@
 Json to_json(const SumsByTeam &sums);
 std::optional<SumsByTeam> sums_from_json(const Json &j);
 Json to_json(const LeaderRecord &r);
-Json to_json(const ReachRecord &r);
+Json to_json(const StoredConnectivityRecord &r);
 Json to_json(const std::vector<MachineType> &types);
 std::optional<OpenRecord> open_from_json(const Json &j);
 std::optional<EndRecord> end_from_json(const Json &j);
@@ -53,29 +54,29 @@
 // A shard's jobs. `key` names the job of a record that is of one job alone, as earlier versions wrote them.
 std::optional<ProgressShard> progress_from_json(std::string_view key, const Json &j);
 std::optional<LeaderRecord> leader_from_json(const Json &j);
-std::optional<ReachRecord> reach_from_json(const Json &j);
+std::optional<StoredConnectivityRecord> connectivity_from_json(const Json &j);
 std::optional<std::vector<MachineType>> types_from_json(const Json &j);
 
 // State service: requests and answers.
-struct Guard {
+struct Precondition {
   std::string key;
-  std::uint64_t stamp = 0;
+  std::uint64_t mod_revision = 0;
 };
-struct Write {
+struct Mutation {
   std::string key;
   std::optional<Json> value; // nothing: delete
   std::uint64_t lease = 0;
 };
-struct Entry {
+struct KeyValue {
   std::string key;
   Json value;
-  std::uint64_t stamp = 0;
+  std::uint64_t mod_revision = 0;
   std::uint64_t lease = 0;
 };
-struct Event {
+struct WatchEvent {
   std::string key;
   std::optional<Json> value;
-  std::uint64_t stamp = 0;
+  std::uint64_t mod_revision = 0;
 };
 struct StoreReply {
   int status = 0; // 0: no answer, outcome unknown
@@ -83,10 +84,10 @@
   std::uint64_t lease = 0;
   bool more = false;
   std::vector<std::string> failed;
-  std::vector<Entry> entries;
-  std::vector<Event> events;
+  std::vector<KeyValue> entries;
+  std::vector<WatchEvent> events;
 };
-std::string encode_commit(const std::vector<Guard> &guards, const std::vector<Write> &writes);
+std::string encode_commit(const std::vector<Precondition> &preconditions, const std::vector<Mutation> &writes);
 std::string encode_ttl(double ttl_s);
 StoreReply decode_store(int status, std::string_view body);
 
@@ -99,9 +100,10 @@
   std::vector<ListedMachine> machines;
   bool more = false;
 };
-std::string encode_rent(std::string_view request, std::string_view type, std::string_view zone, bool spot, int count);
-std::string encode_return(const std::vector<std::string> &names);
+std::string encode_scale_out(std::string_view request, std::string_view type, std::string_view zone, bool spot,
+                             int count);
+std::string encode_scale_in(const std::vector<std::string> &names);
 enum class CloudCall : std::uint8_t { Types, List, Rent, Return };
 CloudReply decode_cloud(CloudCall call, int status, std::string_view body);
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/include/loftrouter/wire/packed.hpp
+++ b/include/loftrouter/wire/packed.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-namespace loft::wire::packed {
+namespace loftrouter::wire::packed {
 
 template <class T> inline void put(std::string &out, T v) {
   for (std::size_t i = 0; i < sizeof v; ++i)
@@ -57,4 +57,4 @@
   return true;
 }
 
-} // namespace loft::wire::packed
+} // namespace loftrouter::wire::packed
--- a/include/loftrouter/wire/peer.hpp
+++ b/include/loftrouter/wire/peer.hpp
@@ -10,11 +10,11 @@
 
 #include "loftrouter/core/types.hpp"
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 // Set in the number of a ping, and in the one of the leader's record, by nodes that know of jobs that wait for others.
 // Earlier versions use lower numbers and repeat any, so neither frame nor record is another one for it.
-constexpr std::uint64_t kKnowsWaiting = std::uint64_t(1) << 63;
+constexpr std::uint64_t kKnowsDependencies = std::uint64_t(1) << 63;
 
 struct PeerMessage {
   // Digest: the leader tells how its jobs are getting on; not answered. Report: one that a worker has sent to a node
@@ -40,7 +40,7 @@
   std::uint8_t sender = 0;             // index of the sender's name among those of all nodes, sorted
   std::uint32_t uptime_ms = 0;         // capped
   std::uint16_t reads = 0, writes = 0; // of the state service for users, tenths a second
-  ReachWord reach;                     // the sender's
+  ConnectivityRecord connectivity;     // the sender's
   std::vector<std::string> cancelled;  // jobs whose cancellation the sender has confirmed lately
   struct JobNews {
     std::string id;
@@ -49,9 +49,9 @@
     std::string reason;
   };
   std::vector<JobNews> news;
-  WorkerReport report;           // Report
-  std::uint16_t status = 0;      // Orders, Told: as the answer to the worker or user has
-  std::vector<TaskOrder> orders; // with 200
+  Heartbeat report;                // Report
+  std::uint16_t status = 0;        // Orders, Told: as the answer to the worker or user has
+  std::vector<TaskCommand> orders; // with 200
   enum class Verb : std::uint8_t { Submit, Look, Abort } verb = Verb::Look; // Ask
   std::string id;                                                           // Ask: the job's
   // Ask: the description of a job to be submitted; Told: the answer's; CellAsk, CellTold: the frame.
@@ -72,4 +72,4 @@
 // Takes one frame off the front of `buffer`.
 PeerRead read_peer(std::string_view &buffer, PeerMessage &out);
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/src/accounts/period.cpp
+++ b/src/accounts/period.cpp
@@ -6,7 +6,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::accounts {
+namespace loftrouter::accounts {
 
 double Clock::begin(double wall) const {
   const double local = wall + offset_min * 60.0 - starts_min * 60.0;
@@ -44,4 +44,4 @@
   return (m < 0 ? "-" : "+") + format_minute(std::abs(m));
 }
 
-} // namespace loft::accounts
+} // namespace loftrouter::accounts
--- a/src/accounts/usage.cpp
+++ b/src/accounts/usage.cpp
@@ -5,10 +5,10 @@
 
 #include "loftrouter/core/types.hpp"
 
-namespace loft::accounts {
+namespace loftrouter::accounts {
 
 namespace {
-constexpr std::int64_t kMost = 1'000'000'000'000'000'000; // of one number that is read: several add up without overflow
+constexpr std::int64_t kMax = 1'000'000'000'000'000'000; // of one number that is read: several add up without overflow
 } // namespace
 
 Sums sums_of(const Usage &u, const Resources &need) {
@@ -45,7 +45,7 @@
     const char *end = text.data() + point;
     if (c >= N) return std::nullopt;
     const auto got = std::from_chars(text.data(), end, out[c], 36);
-    if (got.ec != std::errc{} || got.ptr != end || out[c] < 0 || out[c] > kMost) return std::nullopt;
+    if (got.ec != std::errc{} || got.ptr != end || out[c] < 0 || out[c] > kMax) return std::nullopt;
     if (point + 1 == text.size()) return std::nullopt; // a point with nothing behind it
     text.remove_prefix(std::min(text.size(), point + 1));
   }
@@ -57,4 +57,4 @@
 template std::optional<Usage> unpack(std::string_view);
 template std::optional<Sums> unpack(std::string_view);
 
-} // namespace loft::accounts
+} // namespace loftrouter::accounts
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -17,7 +17,7 @@
 #include "loftrouter/net/server.hpp"
 #include "loftrouter/store/store.hpp"
 
-namespace loft::app {
+namespace loftrouter::app {
 
 namespace {
 
@@ -35,7 +35,7 @@
 // Reports passed on to the leader leave together, so often: a packet costs a node more than reading a report does.
 // Small beside the time between two reports, which is what a worker waits for its next task.
 double pass_on_every(const Settings &s) {
-  return std::min(0.05, s.report_s / 100);
+  return std::min(0.05, s.heartbeat_interval_s / 100);
 }
 
 class Daemon {
@@ -52,8 +52,8 @@
                [this](core::OpId op, wire::CloudReply &&r) {
                  push(core::CmdCloudReply{op, std::move(r)});
                }),
-        peers_(loop_, std::move(peers), sibling_addresses(s),
-               [this](net::LinkId link, int sibling, std::string &buffer) { return on_peer(link, sibling, buffer); }),
+        peers_(loop_, std::move(peers), replica_addresses(s),
+               [this](net::LinkId link, int replica, std::string &buffer) { return on_peer(link, replica, buffer); }),
         tick_(loop_,
               [this] {
                 tick_.once(kTick);
@@ -63,7 +63,7 @@
               [this] {
                 if (!queue_.empty()) drain();
               }),
-        siblings_(s.siblings.size()), cells_(s.cells.others), pass_on_every_(pass_on_every(s)), pass_on_(loop_, [this] {
+        replicas_(s.replicas.size()), cells_(s.cells.others), pass_on_every_(pass_on_every(s)), pass_on_(loop_, [this] {
           passing_on_ = false;
           peers_.send_all();
         }) {}
@@ -80,13 +80,14 @@
   static net::HttpServer::Options server_options(const Settings &s) {
     net::HttpServer::Options o;
     // The rest is for this node's own connections: state service, cloud, siblings, workers told at once, log.
-    o.max_connections = static_cast<std::size_t>(std::max(8, s.fd_limit - 60 - static_cast<int>(net::Couriers::kMost)));
+    o.max_connections =
+        static_cast<std::size_t>(std::max(8, s.fd_limit - 60 - static_cast<int>(net::OutboundRequestPool::kMax)));
     return o;
   }
 
-  static std::vector<net::Address> sibling_addresses(const Settings &s) {
+  static std::vector<net::Address> replica_addresses(const Settings &s) {
     std::vector<net::Address> out;
-    for (const auto &x : s.siblings)
+    for (const auto &x : s.replicas)
       out.push_back(*net::parse_address(x.address));
     for (const auto &c : s.cells.others)
       for (const auto &node : c.nodes)
@@ -116,9 +117,9 @@
     return true;
   }
 
-  bool on_peer(net::LinkId link, int sibling, std::string &buffer) {
+  bool on_peer(net::LinkId link, int replica, std::string &buffer) {
     std::string_view rest = buffer;
-    const int node = sibling - static_cast<int>(siblings_);
+    const int node = replica - static_cast<int>(replicas_);
     for (;;) {
       if (!cells_.empty() && wire::looks_like_cell(rest)) {
         const auto before = rest.size();
@@ -131,7 +132,7 @@
       wire::PeerMessage m;
       const auto got = wire::read_peer(rest, m);
       if (got == wire::PeerRead::Frame) {
-        push(core::CmdPeer{sibling, link, std::move(m)});
+        push(core::CmdPeer{replica, link, std::move(m)});
         continue;
       }
       buffer.erase(0, buffer.size() - rest.size());
@@ -161,12 +162,12 @@
       cloud_.send(op);
     for (const auto &w : effects.workers)
       if (auto to = net::parse_address(w.address))
-        couriers_.post(*to, "/orders", wire::encode_call(w.token, w.session, w.orders));
+        outbound_requests_.post(*to, "/orders", wire::encode_call(w.fencing_token, w.incarnation, w.orders));
     bool prompt = false;
     for (const auto &p : effects.peers) {
       auto frame = wire::encode_peer(p.message);
-      if (p.sibling >= 0)
-        peers_.send_to_sibling(p.sibling, frame);
+      if (p.replica >= 0)
+        peers_.send_to_replica(p.replica, frame);
       else
         peers_.send_on(p.link, frame);
       prompt |= p.message.kind != wire::PeerMessage::Kind::Report;
@@ -174,7 +175,7 @@
     for (const auto &c : effects.cells) {
       const auto frame = wire::encode_cell(c.message);
       if (c.node >= 0)
-        peers_.send_to_sibling(static_cast<int>(siblings_) + c.node, frame);
+        peers_.send_to_replica(static_cast<int>(replicas_) + c.node, frame);
       else
         peers_.send_on(c.link, frame);
       prompt = true;
@@ -209,13 +210,13 @@
     };
     if (target == "/v1/report") {
       if (!only("POST")) return;
-      auto r = wire::decode_report(m.body);
+      auto r = wire::decode_heartbeat(m.body);
       if (!r) return server_.respond(id, 400, wire::encode_error("malformed report"));
-      return push(core::CmdReport{id, std::move(*r)});
+      return push(core::CmdHeartbeat{id, std::move(*r)});
     }
     if (target == "/up") {
       if (!only("GET")) return;
-      return push(core::CmdUp{id});
+      return push(core::CmdHealthCheck{id});
     }
     constexpr std::string_view jobs = "/api/jobs";
     if (target == jobs) {
@@ -230,7 +231,7 @@
       constexpr std::string_view abort = "/abort";
       if (rest.size() > abort.size() && rest.substr(rest.size() - abort.size()) == abort) {
         if (!only("POST")) return;
-        return push(core::CmdAbort{id, std::string(rest.substr(0, rest.size() - abort.size()))});
+        return push(core::CmdCancel{id, std::string(rest.substr(0, rest.size() - abort.size()))});
       }
       if (!only("GET")) return;
       return push(core::CmdLookup{id, std::string(rest)});
@@ -259,10 +260,10 @@
   store::StoreClient store_;
   cloud::CloudClient cloud_;
   net::PeerLinks peers_;
-  net::Couriers couriers_{loop_};
+  net::OutboundRequestPool outbound_requests_{loop_};
   net::Timer tick_;
   net::BeforeWait work_;
-  const std::size_t siblings_;
+  const std::size_t replicas_;
   const std::vector<OtherCell> cells_;
   bool told_stranger_ = false;
   double queued_at_ = 0;
@@ -303,4 +304,4 @@
   return {};
 }
 
-} // namespace loft::app
+} // namespace loftrouter::app
--- a/src/app/features.cpp
+++ b/src/app/features.cpp
@@ -10,7 +10,7 @@
 
 #include "loftrouter/net/loop.hpp"
 
-namespace loft::app {
+namespace loftrouter::app {
 
 namespace {
 std::string at(const toml::source_region &where, std::string_view what) {
@@ -114,7 +114,7 @@
   for (const auto &c : features.cells.others)
     for (const auto &node : c.nodes) {
       bool own = node == settings.peer_listen;
-      for (const auto &s : settings.siblings)
+      for (const auto &s : settings.replicas)
         own |= node == s.address;
       if (own) return fmt::format("cells.other: {} is an address of this cell", node);
     }
@@ -133,4 +133,4 @@
   return out;
 }
 
-} // namespace loft::app
+} // namespace loftrouter::app
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -20,19 +20,19 @@
   } catch (const CLI::ParseError &e) {
     return app.exit(e) == 0 ? 0 : 2;
   }
-  auto loaded = loft::app::load_settings(config);
+  auto loaded = loftrouter::app::load_settings(config);
   if (auto *problem = std::get_if<std::string>(&loaded)) {
     std::fprintf(stderr, "loftrouterd: settings: %s\n", problem->c_str());
     return 2;
   }
-  auto &settings = std::get<loft::Settings>(loaded);
+  auto &settings = std::get<loftrouter::Settings>(loaded);
   if (!features.empty()) {
-    auto read = loft::app::load_features(features);
+    auto read = loftrouter::app::load_features(features);
     if (auto *problem = std::get_if<std::string>(&read)) {
       std::fprintf(stderr, "loftrouterd: features: %s\n", problem->c_str());
       return 2;
     }
-    if (const auto problem = loft::app::apply_features(std::get<loft::app::Features>(read), settings);
+    if (const auto problem = loftrouter::app::apply_features(std::get<loftrouter::app::Features>(read), settings);
         !problem.empty()) {
       std::fprintf(stderr, "loftrouterd: features: %s\n", problem.c_str());
       return 2;
@@ -43,8 +43,8 @@
     return 0;
   }
   std::signal(SIGPIPE, SIG_IGN);
-  loft::app::setup_logging();
-  auto problem = loft::app::run_daemon(settings);
+  loftrouter::app::setup_logging();
+  auto problem = loftrouter::app::run_daemon(settings);
   std::fprintf(stderr, "loftrouterd: %s\n", problem.c_str());
   return 1;
 }
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -11,7 +11,7 @@
 
 #include "loftrouter/net/loop.hpp"
 
-namespace loft::app {
+namespace loftrouter::app {
 
 namespace {
 
@@ -62,7 +62,7 @@
   s.listen = root["api_addr"].address();
   s.peer_listen = root["peer_listen"].address();
   root["siblings"].each([&](At a) {
-    s.siblings.push_back({a["node_name"].text(), a["site"].text(), a["address"].address()});
+    s.replicas.push_back({a["node_name"].text(), a["site"].text(), a["address"].address()});
   });
   s.cloud_address = root["outside"]["cloud"].address();
   s.state_address = root["outside"]["state"].address();
@@ -88,7 +88,7 @@
       s.objectives.push_back(std::move(o));
     });
   auto w = set["workers"];
-  s.report_s = w["report_s"].number(0.01, 3600);
+  s.heartbeat_interval_s = w["report_s"].number(0.01, 3600);
   s.lease_s = w["lease_s"].number(0.1, 86400);
   s.gang_wait_s = w["gang_wait_s"].number(0, 86400);
   s.gang_peer_s = w["gang_peer_s"].number(0, 86400);
@@ -138,4 +138,4 @@
   return parse_settings(text.str());
 }
 
-} // namespace loft::app
+} // namespace loftrouter::app
--- a/src/cells/handover.cpp
+++ b/src/cells/handover.cpp
@@ -2,46 +2,46 @@
 
 #include <algorithm>
 
-namespace loft::cells {
+namespace loftrouter::cells {
 
-AtHome AtHome::restored(Generation g, std::uint64_t term, double now, const Terms &t) {
-  AtHome h(g, term);
-  h.phase_ = Phase::Lent;
+DelegationAtOrigin DelegationAtOrigin::restored(Generation g, std::uint64_t term, double now, const Terms &t) {
+  DelegationAtOrigin h(g, term);
+  h.phase_ = Phase::DelegationSource;
   h.until_ = now + t.over_after_s();
   return h;
 }
 
-void AtHome::recorded() {
-  if (phase_ == Phase::Recording) phase_ = Phase::Lent;
+void DelegationAtOrigin::recorded() {
+  if (phase_ == Phase::Recording) phase_ = Phase::DelegationSource;
 }
 
-bool AtHome::confirm(double now, std::uint64_t borrower_term, const Terms &t) {
-  if (phase_ != Phase::Lent || borrower_term < borrower_term_) return false;
-  borrower_term_ = borrower_term;
+bool DelegationAtOrigin::confirm(double now, std::uint64_t remote_term, const Terms &t) {
+  if (phase_ != Phase::DelegationSource || remote_term < remote_term_) return false;
+  remote_term_ = remote_term;
   until_ = std::max(until_, now + t.over_after_s());
   return true;
 }
 
-bool AtHome::ended(std::uint64_t borrower_term, std::uint64_t home_term) {
-  if (borrower_term < borrower_term_ || home_term != term_) return false;
+bool DelegationAtOrigin::ended(std::uint64_t remote_term, std::uint64_t origin_term) {
+  if (remote_term < remote_term_ || origin_term != term_) return false;
   phase_ = Phase::Over;
   return true;
 }
 
-void AtHome::close() {
+void DelegationAtOrigin::close() {
   if (phase_ != Phase::Over) phase_ = Phase::Closing;
 }
 
-bool AtHome::over(double now) const {
+bool DelegationAtOrigin::over(double now) const {
   return phase_ == Phase::Over || (phase_ == Phase::Closing && now >= until_);
 }
 
-void AtBorrower::granted(std::uint64_t question, double asked_at, const Terms &t) {
+void DelegationAtRemote::granted(std::uint64_t question, double asked_at, const Terms &t) {
   if (question > asked_before_) until_ = std::max(until_, asked_at + t.grant_s * (1 - t.drift));
 }
 
-void AtBorrower::tick(double now) {
+void DelegationAtRemote::tick(double now) {
   if (until_ != kNever && now >= until_) closed_ = true;
 }
 
-} // namespace loft::cells
+} // namespace loftrouter::cells
--- a/src/cells/membership.cpp
+++ b/src/cells/membership.cpp
@@ -2,13 +2,13 @@
 
 #include <algorithm>
 
-namespace loft::cells {
+namespace loftrouter::cells {
 
-void Membership::answered(int node, int leader, double now) {
+void CellMembership::answered(int node, int leader, double now) {
   asked_at_ = -1;
   heard_at_ = now;
   tried_ = 0;
-  pause_ = kLeastPause;
+  pause_ = kMinPause;
   // The leader itself, unless it could not be dialled lately: then by way of this one.
   if (leader < 0 || leader == node) return;
   const auto it = std::find(nodes_.begin(), nodes_.end(), leader);
@@ -17,18 +17,18 @@
   if (now - failed_at_[k] > kFailedFor) current_ = k;
 }
 
-void Membership::tick(double now, double jitter) {
+void CellMembership::tick(double now, double jitter) {
   if (asked_at_ >= 0 && now - asked_at_ > kPatience) move_on(now, jitter);
 }
 
-void Membership::move_on(double now, double jitter) {
+void CellMembership::move_on(double now, double jitter) {
   asked_at_ = -1;
   failed_at_[current_] = now;
   current_ = (current_ + 1) % nodes_.size();
   if (++tried_ < nodes_.size()) return;
   tried_ = 0;
   quiet_until_ = now + pause_ * (0.75 + 0.5 * jitter);
-  pause_ = std::min(kMostPause, 2 * pause_);
+  pause_ = std::min(kMaxPause, 2 * pause_);
 }
 
-} // namespace loft::cells
+} // namespace loftrouter::cells
--- a/src/cells/plan.cpp
+++ b/src/cells/plan.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace loft::cells {
+namespace loftrouter::cells {
 
 bool allowed(const Work &work, const wire::CellKind &kind) {
   if (kind.spot && !work.spot) return false;
@@ -81,36 +81,36 @@
   return best;
 }
 
-void Promises::expire(double now) {
-  std::erase_if(promises_, [now](const Promise &p) { return now >= p.until; });
+void CapacityGrants::expire(double now) {
+  std::erase_if(capacity_grants_, [now](const CapacityGrant &p) { return now >= p.until; });
 }
 
-double Promises::promised_cpus(double now) {
+double CapacityGrants::promised_cpus(double now) {
   expire(now);
   double sum = 0;
-  for (const auto &p : promises_)
+  for (const auto &p : capacity_grants_)
     sum += p.cpus;
   return sum;
 }
 
-std::uint32_t Promises::promise(std::uint64_t ticket, double cpus_each, std::uint32_t most, bool whole,
-                                double free_cpus, double now) {
+std::uint32_t CapacityGrants::promise(std::uint64_t ticket, double cpus_each, std::uint32_t most, bool whole,
+                                      double free_cpus, double now) {
   const double left = free_cpus - promised_cpus(now);
-  if (promises_.size() >= kMost || left <= 0) return 0;
+  if (capacity_grants_.size() >= kMax || left <= 0) return 0;
   const auto n =
       std::min(most, static_cast<std::uint32_t>(std::min(1e6, std::floor(left / std::max(0.01, cpus_each) + 1e-9))));
   if (n == 0 || (whole && n < most)) return 0;
-  promises_.push_back({ticket, n, n * cpus_each, now + kKept});
+  capacity_grants_.push_back({ticket, n, n * cpus_each, now + kKept});
   return n;
 }
 
-bool Promises::take(std::uint64_t ticket, std::uint32_t tasks, double now) {
+bool CapacityGrants::take(std::uint64_t ticket, std::uint32_t tasks, double now) {
   expire(now);
-  const auto it =
-      std::find_if(promises_.begin(), promises_.end(), [&](const Promise &p) { return p.ticket == ticket; });
-  if (it == promises_.end() || tasks > it->tasks) return false;
-  promises_.erase(it);
+  const auto it = std::find_if(capacity_grants_.begin(), capacity_grants_.end(),
+                               [&](const CapacityGrant &p) { return p.ticket == ticket; });
+  if (it == capacity_grants_.end() || tasks > it->tasks) return false;
+  capacity_grants_.erase(it);
   return true;
 }
 
-} // namespace loft::cells
+} // namespace loftrouter::cells
--- a/src/cells/shares.cpp
+++ b/src/cells/shares.cpp
@@ -6,7 +6,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::cells {
+namespace loftrouter::cells {
 
 namespace {
 
@@ -115,4 +115,4 @@
   return changed;
 }
 
-} // namespace loft::cells
+} // namespace loftrouter::cells
--- a/src/client/ask.cpp
+++ b/src/client/ask.cpp
@@ -9,16 +9,16 @@
 
 #include <curl/curl.h>
 
-namespace loft::client {
+namespace loftrouter::client {
 
 namespace {
 constexpr double kTry = 5.0;                 // s, for one try
 constexpr double kPause = 0.2, kLongest = 3; // s, between tries
-constexpr std::size_t kMostBytes = 64 << 20; // of an answer
+constexpr std::size_t kMaxBytes = 64 << 20;  // of an answer
 
 std::size_t take(char *data, std::size_t size, std::size_t n, void *to) {
   auto &body = *static_cast<std::string *>(to);
-  if (body.size() + size * n > kMostBytes) return 0; // ends the transfer
+  if (body.size() + size * n > kMaxBytes) return 0; // ends the transfer
   body.append(data, size * n);
   return size * n;
 }
@@ -99,4 +99,4 @@
           }};
 }
 
-} // namespace loft::client
+} // namespace loftrouter::client
--- a/src/client/main.cpp
+++ b/src/client/main.cpp
@@ -3,7 +3,7 @@
 
 #include "loftrouter/client/verbs.hpp"
 
-using namespace loft::client;
+using namespace loftrouter::client;
 
 int main(int argc, char **argv) {
   CLI::App app{"loft, the command-line client of loftrouter", "loft"};
--- a/src/client/render.cpp
+++ b/src/client/render.cpp
@@ -11,7 +11,7 @@
 #include <fmt/format.h>
 #include <kainjow/mustache.hpp>
 
-namespace loft::client {
+namespace loftrouter::client {
 
 using Json = nlohmann::json;
 
@@ -319,4 +319,4 @@
   return begin == std::string::npos ? "" : svg.substr(begin);
 }
 
-} // namespace loft::client
+} // namespace loftrouter::client
--- a/src/client/verbs.cpp
+++ b/src/client/verbs.cpp
@@ -9,7 +9,7 @@
 #include "loftrouter/client/ask.hpp"
 #include "loftrouter/client/render.hpp"
 
-namespace loft::client {
+namespace loftrouter::client {
 
 using nlohmann::json;
 
@@ -159,4 +159,4 @@
   return kGood;
 }
 
-} // namespace loft::client
+} // namespace loftrouter::client
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::cloud {
+namespace loftrouter::cloud {
 
 CloudClient::CloudClient(net::Loop &loop, net::Address address, Done done)
     : http_(loop, std::move(address), {4, 32, 2 << 20}), done_(std::move(done)) {}
@@ -20,14 +20,15 @@
       call(wire::CloudCall::List, "GET",
            fmt::format("/machines?{}most=500", x.from.empty() ? "" : "from=" + x.from + "&"), "");
     }
-    void operator()(const core::CloudRent &x) {
-      call(wire::CloudCall::Rent, "POST", "/machines", wire::encode_rent(x.request, x.type, x.zone, x.spot, x.count));
+    void operator()(const core::CloudScaleOut &x) {
+      call(wire::CloudCall::Rent, "POST", "/machines",
+           wire::encode_scale_out(x.request, x.type, x.zone, x.spot, x.count));
     }
-    void operator()(const core::CloudReturn &x) {
-      call(wire::CloudCall::Return, "POST", "/machines/return", wire::encode_return(x.names));
+    void operator()(const core::CloudScaleIn &x) {
+      call(wire::CloudCall::Return, "POST", "/machines/return", wire::encode_scale_in(x.names));
     }
   };
   std::visit(Visitor{go}, op.what);
 }
 
-} // namespace loft::cloud
+} // namespace loftrouter::cloud
--- a/src/core/administration.cpp
+++ b/src/core/administration.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kAdminDeadline = 2.0; // s
@@ -31,11 +31,11 @@
 }
 } // namespace
 
-void Administration::fail(RequestId req, int status, std::string_view text) {
-  port_.reply_json(req, status, wire::encode_admin_error(text), status == 503 ? std::optional(1) : std::nullopt);
+void AdministrationApiHandler::fail(RequestId req, int status, std::string_view text) {
+  runtime_.reply_json(req, status, wire::encode_admin_error(text), status == 503 ? std::optional(1) : std::nullopt);
 }
 
-void Administration::take(CmdAdmin &&cmd) {
+void AdministrationApiHandler::take(CmdAdmin &&cmd) {
   using Kind = wire::AdminRequest::Kind;
   const auto &ask = cmd.ask;
   switch (ask.kind) {
@@ -53,42 +53,42 @@
   }
 }
 
-void Administration::status(RequestId req, const wire::AdminRequest &ask) {
+void AdministrationApiHandler::status(RequestId req, const wire::AdminRequest &ask) {
   wire::AdminStatus s;
-  const bool leads = lead_.leading();
-  auto ago = [this](double at) { return at < -1e8 ? -1.0 : port_.now() - at; };
+  const bool leads = leadership_.leading();
+  auto ago = [this](double at) { return at < -1e8 ? -1.0 : runtime_.now() - at; };
   s.node = settings_.node;
-  s.role = leads                            ? (lead_.active() ? "leading" : "leading, paused")
-           : lead_.role() == Role::Follower ? "following"
-                                            : "taking over";
-  s.leader = leads ? settings_.node : lead_.leader_name();
-  s.term = leads ? lead_.term() : lead_.leader_term();
-  if (leads) s.leader_since = wire::clock_time(lead_.leading_since_wall());
-  s.state_age_s = ago(port_.state_ok_at());
-  s.cloud_age_s = ago(port_.cloud_ok_at());
-  s.report_age_s = ago(reach_.last_report_at());
-  s.reach = {reach_.own(), reach_.machines_by_zone()};
-  for (std::size_t i = 0; i < siblings_.count(); ++i) {
-    const auto &x = siblings_[i];
-    const auto word = reach_.word(i);
-    s.siblings.push_back({siblings_.name(i), ago(x.stated_at), x.cut_off, x.passes,
-                          leads ? fleet_.kept_by(static_cast<int>(i)) : 0, word ? word->says : ReachWord{},
+  s.role = leads                                  ? (leadership_.active() ? "leading" : "leading, paused")
+           : leadership_.role() == Role::Follower ? "following"
+                                                  : "taking over";
+  s.leader = leads ? settings_.node : leadership_.leader_name();
+  s.term = leads ? leadership_.term() : leadership_.leader_term();
+  if (leads) s.leader_since = wire::clock_time(leadership_.leading_since_wall());
+  s.state_age_s = ago(runtime_.state_ok_at());
+  s.cloud_age_s = ago(runtime_.cloud_ok_at());
+  s.report_age_s = ago(connectivity_.last_report_at());
+  s.connectivity = {connectivity_.own(), connectivity_.machines_by_zone()};
+  for (std::size_t i = 0; i < replicas_.count(); ++i) {
+    const auto &x = replicas_[i];
+    const auto word = connectivity_.word(i);
+    s.replicas.push_back({replicas_.name(i), ago(x.stated_at), x.cut_off, x.passes,
+                          leads ? workers_.kept_by(static_cast<int>(i)) : 0, word ? word->says : ConnectivityRecord{},
                           !word           ? "nothing"
                           : word->by_link ? "link"
                                           : "state service",
-                          x.asked_at < -1e8 ? "unknown"
-                          : x.knows_waiting ? "this or later"
-                                            : "earlier"});
+                          x.asked_at < -1e8      ? "unknown"
+                          : x.knows_dependencies ? "this or later"
+                                                 : "earlier"});
   }
-  const auto load = reports_.load();
-  s.load = {load.reports, load.reports_most, load.passed,  load.workers,       load.workers_most,
-            load.spreads, ask.cpu_s,         port_.up_s(), settings_.cpu_share};
+  const auto load = heartbeats_.load();
+  s.load = {load.reports, load.max_reports, load.passed,     load.workers,       load.max_workers,
+            load.spreads, ask.cpu_s,        runtime_.up_s(), settings_.cpu_share};
   std::map<MachineKind, wire::AdminStatus::Kind> kinds;
   int silent = 0, ordered = 0;
-  fleet_.each([&](int, const Machine &m) {
+  workers_.each([&](int, const Machine &m) {
     if (m.type < 0) return;
     auto &k = kinds[{m.type, m.zone, m.spot}];
-    const bool quiet = m.heard && m.silent(port_.now(), settings_.report_s);
+    const bool quiet = m.heard && m.silent(runtime_.now(), settings_.heartbeat_interval_s);
     ++(quiet ? k.silent : m.heard ? k.up : k.starting);
     silent += quiet;
     ordered += m.order.has_value();
@@ -96,20 +96,20 @@
     k.cpus += m.size.cpus;
     k.used += m.used.cpus;
   });
-  for (const auto &kind : scaler_.refused_kinds())
+  for (const auto &kind : autoscaler_.refused_kinds())
     kinds[kind].refused = true;
   for (auto &[key, k] : kinds) {
     const auto [type, zone, spot] = key;
-    k.type = catalogue_.type_name(type);
-    k.zone = catalogue_.zone_name(zone);
+    k.type = catalog_.type_name(type);
+    k.zone = catalog_.zone_name(zone);
     k.spot = spot;
     s.fleet.push_back(k);
   }
-  if (leads) s.served = served_.rows();
+  if (leads) s.served = service_levels_.rows();
   s.cell = settings_.cells.name;
   if (leads)
-    for (const auto &c : cells_.states())
-      s.cells.push_back({c.name, c.heard_s, c.lends, c.lent_tasks, c.borrowed_tasks});
+    for (const auto &c : federation_.states())
+      s.cells.push_back({c.name, c.heard_s, c.delegates, c.delegated_out_tasks, c.delegated_in_tasks});
   if (leads) { // only the leader knows
     for (const auto &t : settings_.teams)
       s.queues.push_back({.team = t.name});
@@ -122,7 +122,7 @@
       if (!dependencies_.ready(i))
         ++q.waiting_for_others;
       else if (j.pending())
-        q.oldest_s = std::max(q.oldest_s, port_.wall() - dependencies_.ready_wall(i));
+        q.oldest_s = std::max(q.oldest_s, runtime_.wall() - dependencies_.ready_wall(i));
     });
   }
   s.troubles = troubles(s, silent, ordered);
@@ -130,36 +130,38 @@
   s.round_p99 = ask.round_p99;
   s.queue_p50 = ask.queue_p50;
   s.queue_p99 = ask.queue_p99;
-  port_.reply_json(req, 200, wire::encode_status(s));
+  runtime_.reply_json(req, 200, wire::encode_status(s));
 }
 
-std::vector<std::string> Administration::troubles(const wire::AdminStatus &s, int silent, int ordered) const {
+std::vector<std::string> AdministrationApiHandler::troubles(const wire::AdminStatus &s, int silent, int ordered) const {
   std::vector<std::string> out;
-  const bool leads = lead_.leading();
-  if (siblings_.cut_off())
-    out.push_back(port_.state_ok_wall() > 0 ? fmt::format("this node gets no answer from the state service since {}{}",
-                                                          wire::clock_time(port_.state_ok_wall()),
-                                                          siblings_.common_outage() ? ", nor do its siblings" : "")
-                                            : "this node has had no answer from the state service yet");
+  const bool leads = leadership_.leading();
+  if (replicas_.cut_off())
+    out.push_back(runtime_.state_ok_wall() > 0
+                      ? fmt::format("this node gets no answer from the state service since {}{}",
+                                    wire::clock_time(runtime_.state_ok_wall()),
+                                    replicas_.common_outage() ? ", nor do its siblings" : "")
+                      : "this node has had no answer from the state service yet");
   if (s.leader.empty())
-    out.push_back(lead_.leaderless_since_wall() > 0
-                      ? fmt::format("no leader since {}", wire::clock_time(lead_.leaderless_since_wall()))
+    out.push_back(leadership_.leaderless_since_wall() > 0
+                      ? fmt::format("no leader since {}", wire::clock_time(leadership_.leaderless_since_wall()))
                       : "no leader is known yet");
-  if (leads && !lead_.active()) out.push_back("this node leads but starts nothing: its lease could not be renewed");
-  if (lead_.active() && !cancellations_.may_renew())
+  if (leads && !leadership_.active())
+    out.push_back("this node leads but starts nothing: its lease could not be renewed");
+  if (leadership_.active() && !cancellations_.may_renew())
     out.push_back(fmt::format("nothing is started: no news of cancellations since {}",
                               wire::clock_time(cancellations_.known_until_wall())));
   std::uint64_t unaccounted = 0;
   std::size_t suspects = 0;
   jobs_.each([&](int j, const Job &n) {
     unaccounted += n.unaccounted;
-    suspects += !n.cancelled && n.team >= 0 && judge_.suspect(j);
+    suspects += !n.cancelled && n.team >= 0 && failure_attribution_.suspect(j);
   });
-  if (leads && unaccounted && jobs_.unaccounted_until() > port_.now())
+  if (leads && unaccounted && jobs_.unaccounted_until() > runtime_.now())
     out.push_back(fmt::format("took over at {}: tasks not found again by {} are started anew",
-                              wire::clock_time(lead_.leading_since_wall()),
-                              wire::clock_time(port_.wall() + jobs_.unaccounted_until() - port_.now())));
-  for (const auto &x : s.siblings)
+                              wire::clock_time(leadership_.leading_since_wall()),
+                              wire::clock_time(runtime_.wall() + jobs_.unaccounted_until() - runtime_.now())));
+  for (const auto &x : s.replicas)
     if (x.heard_s < 0 || x.heard_s > 3) out.push_back(fmt::format("sibling {} does not answer", x.node));
   if (leads && s.cloud_age_s > 15) out.push_back("the cloud does not answer: nothing is rented or given back");
   std::string refused;
@@ -177,108 +179,110 @@
                                 ledger_.budget(t)->cpu_hours,
                                 ledger_.spent(t) ? ": nothing new of it is started" : ""));
   if (suspects) out.push_back(fmt::format("jobs that fail on every machine: {}; see /admin/v1/jobs", suspects));
-  if (const auto late = insight_.foreseen_late_count())
+  if (const auto late = status_reporter_.foreseen_late_count())
     out.push_back(fmt::format("jobs that will miss or have missed their time: {}; see /admin/v1/foreseen", late));
   return out;
 }
 
 // Open jobs by id, a page at a time: all of them, or those foreseen to be late.
-void Administration::jobs(RequestId req, const wire::AdminRequest &ask, bool foreseen) {
-  if (!budget_.take_read(port_.now())) return fail(req, 503, "too many questions at once");
-  port_.store(StoreList{"open/", ask.from.empty() ? "" : "open/" + ask.from}, kAdminDeadline,
-              [this, req, ask, foreseen](const wire::StoreReply &r) {
-                if (r.status != 200) return fail(req, 503, "the state service did not answer");
-                std::vector<wire::AdminJob> out;
-                std::string next;
-                for (const auto &e : r.entries) {
-                  auto open = wire::open_from_json(e.value);
-                  if (!open) continue;
-                  next = open->spec.id;
-                  if (!ask.team.empty() && ask.team != open->spec.team) continue;
-                  auto view = insight_.view(open->spec.id, open->cancelled);
-                  const bool late = insight_.foreseen_late(open->spec.id);
-                  if (foreseen && !late) continue;
-                  out.push_back({open->spec.id, open->spec.job_class, open->spec.team,
-                                 open->cancelled ? "being stopped"
-                                 : view.running  ? "running"
-                                                 : "waiting",
-                                 view.reason, open->spec.tasks, view.done, view.running, open->submit_wall, 0, late});
-                }
-                port_.reply_json(req, 200, wire::encode_jobs(out, r.more ? next : ""));
-              });
+void AdministrationApiHandler::jobs(RequestId req, const wire::AdminRequest &ask, bool foreseen) {
+  if (!state_limits_.take_read(runtime_.now())) return fail(req, 503, "too many questions at once");
+  runtime_.store(StoreList{"open/", ask.from.empty() ? "" : "open/" + ask.from}, kAdminDeadline,
+                 [this, req, ask, foreseen](const wire::StoreReply &r) {
+                   if (r.status != 200) return fail(req, 503, "the state service did not answer");
+                   std::vector<wire::AdminJob> out;
+                   std::string next;
+                   for (const auto &e : r.entries) {
+                     auto open = wire::open_from_json(e.value);
+                     if (!open) continue;
+                     next = open->spec.id;
+                     if (!ask.team.empty() && ask.team != open->spec.team) continue;
+                     auto view = status_reporter_.view(open->spec.id, open->cancelled);
+                     const bool late = status_reporter_.foreseen_late(open->spec.id);
+                     if (foreseen && !late) continue;
+                     out.push_back({open->spec.id, open->spec.job_class, open->spec.team,
+                                    open->cancelled ? "being stopped"
+                                    : view.running  ? "running"
+                                                    : "waiting",
+                                    view.reason, open->spec.tasks, view.done, view.running, open->submit_wall, 0,
+                                    late});
+                   }
+                   runtime_.reply_json(req, 200, wire::encode_jobs(out, r.more ? next : ""));
+                 });
 }
 
 // What has ended within the period, a page of the records at a time.
-void Administration::report(RequestId req, const wire::AdminRequest &ask) {
-  if (!budget_.take_read(port_.now())) return fail(req, 503, "too many questions at once");
-  port_.store(StoreList{"end/", ask.from.empty() ? "" : "end/" + ask.from}, kAdminDeadline,
-              [this, req, ask](const wire::StoreReply &r) {
-                if (r.status != 200) return fail(req, 503, "the state service did not answer");
-                std::vector<wire::AdminJob> out;
-                std::string next;
-                for (const auto &e : r.entries) {
-                  next = e.key.substr(e.key.find('/') + 1);
-                  auto end = wire::end_from_json(e.value);
-                  if (!end || (!ask.team.empty() && ask.team != end->team) ||
-                      end->end_wall < port_.wall() - ask.period_s)
-                    continue;
-                  out.push_back(ended_job(next, *end));
-                }
-                port_.reply_json(req, 200, wire::encode_jobs(out, r.more ? next : ""));
-              });
+void AdministrationApiHandler::report(RequestId req, const wire::AdminRequest &ask) {
+  if (!state_limits_.take_read(runtime_.now())) return fail(req, 503, "too many questions at once");
+  runtime_.store(StoreList{"end/", ask.from.empty() ? "" : "end/" + ask.from}, kAdminDeadline,
+                 [this, req, ask](const wire::StoreReply &r) {
+                   if (r.status != 200) return fail(req, 503, "the state service did not answer");
+                   std::vector<wire::AdminJob> out;
+                   std::string next;
+                   for (const auto &e : r.entries) {
+                     next = e.key.substr(e.key.find('/') + 1);
+                     auto end = wire::end_from_json(e.value);
+                     if (!end || (!ask.team.empty() && ask.team != end->team) ||
+                         end->end_wall < runtime_.wall() - ask.period_s)
+                       continue;
+                     out.push_back(ended_job(next, *end));
+                   }
+                   runtime_.reply_json(req, 200, wire::encode_jobs(out, r.more ? next : ""));
+                 });
 }
 
 // What each team has used in a period, from the records, so that any node can tell it; then the jobs that ended in it,
 // a page at a time. The records follow what happens within a second or two.
-void Administration::statement(RequestId req, const wire::AdminRequest &ask) {
+void AdministrationApiHandler::statement(RequestId req, const wire::AdminRequest &ask) {
   if (!ledger_.on()) return fail(req, 409, kNoAccounts);
-  if (!budget_.take_read(port_.now(), 3)) return fail(req, 503, "too many questions at once");
+  if (!state_limits_.take_read(runtime_.now(), 3)) return fail(req, 503, "too many questions at once");
   const auto &clock = operators_.budgets().clock;
   wire::AdminStatement s;
-  s.period = ask.period.empty() ? clock.name(port_.wall()) : ask.period;
-  for (double wall = port_.wall(); s.ends == 0 && wall > port_.wall() - 400 * 86400.0; wall = clock.begin(wall) - 1)
+  s.period = ask.period.empty() ? clock.name(runtime_.wall()) : ask.period;
+  for (double wall = runtime_.wall(); s.ends == 0 && wall > runtime_.wall() - 400 * 86400.0;
+       wall = clock.begin(wall) - 1)
     if (clock.name(wall) == s.period) {
       s.begins = clock.begin(wall);
       s.ends = clock.end(wall);
     }
   if (s.ends == 0) return fail(req, 404, "no such period: the date of its beginning is wanted, within 400 days");
-  port_.store(StoreList{"progress/", ""}, kAdminDeadline, [this, req, ask, s](const wire::StoreReply &r) {
+  runtime_.store(StoreList{"progress/", ""}, kAdminDeadline, [this, req, ask, s](const wire::StoreReply &r) {
     if (r.status != 200 || r.more) return fail(req, 503, "the state service did not answer");
     SumsByTeam sums;
     for (const auto &e : r.entries)
       if (auto shard = wire::progress_from_json(e.key, e.value)) add(sums, shard->sums);
-    port_.store(StoreGet{"accounts/" + s.period}, kAdminDeadline,
-                [this, req, ask, s, sums](const wire::StoreReply &a) mutable {
-                  if (a.status != 200 && a.status != 404) return fail(req, 503, "the state service did not answer");
-                  if (a.status == 200 && a.entries.size() == 1)
-                    if (auto kept = wire::sums_from_json(a.entries[0].value)) add(sums, *kept);
-                  const auto &budgets = operators_.budgets().teams;
-                  for (const auto &t : settings_.teams) {
-                    if (!ask.team.empty() && ask.team != t.name) continue;
-                    const auto b = budgets.find(t.name);
-                    s.teams.push_back({t.name, sums[{s.period, t.name}],
-                                       b == budgets.end() ? std::nullopt : std::optional(b->second)});
-                  }
-                  statement_jobs(req, ask, std::move(s));
-                });
+    runtime_.store(StoreGet{"accounts/" + s.period}, kAdminDeadline,
+                   [this, req, ask, s, sums](const wire::StoreReply &a) mutable {
+                     if (a.status != 200 && a.status != 404) return fail(req, 503, "the state service did not answer");
+                     if (a.status == 200 && a.entries.size() == 1)
+                       if (auto kept = wire::sums_from_json(a.entries[0].value)) add(sums, *kept);
+                     const auto &budgets = operators_.budgets().teams;
+                     for (const auto &t : settings_.teams) {
+                       if (!ask.team.empty() && ask.team != t.name) continue;
+                       const auto b = budgets.find(t.name);
+                       s.teams.push_back({t.name, sums[{s.period, t.name}],
+                                          b == budgets.end() ? std::nullopt : std::optional(b->second)});
+                     }
+                     statement_jobs(req, ask, std::move(s));
+                   });
   });
 }
 
-void Administration::statement_jobs(RequestId req, const wire::AdminRequest &ask, wire::AdminStatement s) {
-  port_.store(StoreList{"end/", ask.from.empty() ? "" : "end/" + ask.from}, kAdminDeadline,
-              [this, req, ask, s = std::move(s)](const wire::StoreReply &r) mutable {
-                if (r.status != 200) return fail(req, 503, "the state service did not answer");
-                std::string last;
-                for (const auto &e : r.entries) {
-                  last = e.key.substr(e.key.find('/') + 1);
-                  const auto end = wire::end_from_json(e.value);
-                  if (!end || (!ask.team.empty() && ask.team != end->team)) continue;
-                  if (end->end_wall < s.begins || end->end_wall >= s.ends) continue;
-                  s.jobs.push_back({ended_job(last, *end), end->usage, end->need});
-                }
-                if (r.more) s.next = last;
-                port_.reply_json(req, 200, wire::encode_statement(s));
-              });
+void AdministrationApiHandler::statement_jobs(RequestId req, const wire::AdminRequest &ask, wire::AdminStatement s) {
+  runtime_.store(StoreList{"end/", ask.from.empty() ? "" : "end/" + ask.from}, kAdminDeadline,
+                 [this, req, ask, s = std::move(s)](const wire::StoreReply &r) mutable {
+                   if (r.status != 200) return fail(req, 503, "the state service did not answer");
+                   std::string last;
+                   for (const auto &e : r.entries) {
+                     last = e.key.substr(e.key.find('/') + 1);
+                     const auto end = wire::end_from_json(e.value);
+                     if (!end || (!ask.team.empty() && ask.team != end->team)) continue;
+                     if (end->end_wall < s.begins || end->end_wall >= s.ends) continue;
+                     s.jobs.push_back({ended_job(last, *end), end->usage, end->need});
+                   }
+                   if (r.more) s.next = last;
+                   runtime_.reply_json(req, 200, wire::encode_statement(s));
+                 });
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/applied.cpp
+++ b/src/core/applied.cpp
@@ -2,7 +2,7 @@
 
 #include "loftrouter/wire/configuration.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kTellEvery = 2.0, kCommitWithin = 1.0; // s
@@ -12,21 +12,21 @@
   if (!settings_.configuration) return;
   if (configuration_.revision() > seen_) {
     seen_ = configuration_.revision();
-    seen_wall_ = port_.wall();
+    seen_wall_ = runtime_.wall();
   }
-  if (seen_ <= told_ || writing_ || port_.now() < next_ || !budget_.take_write(port_.now())) return;
-  next_ = port_.now() + kTellEvery;
+  if (seen_ <= told_ || writing_ || runtime_.now() < next_ || !state_limits_.take_write(runtime_.now())) return;
+  next_ = runtime_.now() + kTellEvery;
   writing_ = true;
   const auto key = std::string(wire::kConfigApplied) + settings_.node;
   const auto *own = configuration_.find(key);
   const auto value = wire::to_json(wire::AppliedRecord{seen_, seen_wall_});
-  port_.store(StoreCommit{{{key, own ? own->revision : 0}}, {{key, value, 0}}}, kCommitWithin,
-              [this, key, value, telling = seen_](const wire::StoreReply &r) {
-                writing_ = false;
-                if (r.status != 200) return;
-                told_ = telling;
-                configuration_.learn(key, value, r.revision);
-              });
+  runtime_.store(StoreCommit{{{key, own ? own->revision : 0}}, {{key, value, 0}}}, kCommitWithin,
+                 [this, key, value, telling = seen_](const wire::StoreReply &r) {
+                   writing_ = false;
+                   if (r.status != 200) return;
+                   told_ = telling;
+                   configuration_.learn(key, value, r.revision);
+                 });
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/budget.cpp
+++ b/src/core/budget.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 // Of what the state service allows: for users' reads, users' writes, and all writes.
@@ -11,23 +11,24 @@
 constexpr double kUserReads = 0.75, kUserWrites = 0.6, kAllWrites = 0.95;
 } // namespace
 
-StoreBudget::StoreBudget(const Settings &s) : settings_(s), rps_(s.state_rps), write_rps_(s.state_write_rps) {
+StateServiceLimits::StateServiceLimits(const Settings &s)
+    : settings_(s), rps_(s.state_rps), write_rps_(s.state_write_rps) {
   share_evenly(0);
 }
 
 // Each node its equal part, with bursts to match.
-void StoreBudget::share_evenly(double now) {
-  const double nodes = static_cast<double>(settings_.siblings.size() + 1), w = write_rps_, r = rps_;
+void StateServiceLimits::share_evenly(double now) {
+  const double nodes = static_cast<double>(settings_.replicas.size() + 1), w = write_rps_, r = rps_;
   writes_.reset(now, kUserWrites * w / nodes, std::max(1.0, 0.25 * w));
   leader_writes_.reset(now, (1 - kUserWrites) * w, std::max(0.5 * w, 3.0));
   reads_.reset(now, kUserReads * r / nodes, std::max(2.0, 0.7 * r / nodes));
 }
 
-bool StoreBudget::fits(const wire::Json &value, std::size_t spare) const {
+bool StateServiceLimits::fits(const wire::Json &value, std::size_t spare) const {
   return static_cast<double>(value.dump().size() + spare) <= settings_.state_value_kb * 1024;
 }
 
-bool StoreBudget::refused(double now) {
+bool StateServiceLimits::refused(double now) {
   const double rps = std::min(rps_, settings_.state_next_rps.value_or(rps_));
   const double write_rps = std::min(write_rps_, settings_.state_next_write_rps.value_or(write_rps_));
   if (rps >= rps_ && write_rps >= write_rps_) return false;
@@ -40,8 +41,8 @@
   return true;
 }
 
-void StoreBudget::share(double now, double dt_s, const std::vector<std::optional<Use>> &siblings) {
-  const double nodes = static_cast<double>(siblings.size() + 1);
+void StateServiceLimits::share(double now, double dt_s, const std::vector<std::optional<Use>> &replicas) {
+  const double nodes = static_cast<double>(replicas.size() + 1);
   const double reads = kUserReads * rps_, writes = kUserWrites * write_rps_;
   auto smooth = [dt_s](double &rate, double &before, double taken) {
     rate += 0.5 * ((taken - before) / dt_s - rate);
@@ -50,7 +51,7 @@
   smooth(use_.reads, taken_.reads, reads_.taken());
   smooth(use_.writes, taken_.writes, writes_.taken());
   Use others;
-  for (const auto &s : siblings) {
+  for (const auto &s : replicas) {
     others.reads += s ? s->reads : reads / nodes;
     others.writes += s ? s->writes : writes / nodes;
   }
@@ -60,4 +61,4 @@
       now, std::max((1 - kUserWrites) * write_rps_, kAllWrites * write_rps_ - use_.writes - others.writes));
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/cancellations.cpp
+++ b/src/core/cancellations.cpp
@@ -2,14 +2,14 @@
 
 #include <algorithm>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 // From an order to stop, or the end of a lease, until the task is off its machine; and what two clocks' steps add.
 constexpr double kLate = 2.5; // s
 // Where `cancel_s` leaves no more beyond a lease, leases alone cannot end tasks in time. Words of this age will do
 // then: what works tells of cancellations sooner than that, and the orders to stop end them.
-constexpr double kLeastAge = 5.0; // s
+constexpr double kMinAge = 5.0; // s
 } // namespace
 
 bool Cancellations::mark(const std::string &id) {
@@ -17,20 +17,20 @@
     jobs_.cancel(j);
     return true;
   }
-  if (awaited_.size() >= kMostAwaited && !awaited_.contains(id)) return false;
-  awaited_[id] = port_.now();
+  if (awaited_.size() >= kMaxAwaited && !awaited_.contains(id)) return false;
+  awaited_[id] = runtime_.now();
   return true;
 }
 
 void Cancellations::note(const std::string &id) {
-  noted_.emplace_back(id, port_.now());
+  noted_.emplace_back(id, runtime_.now());
   // The oldest of so many is forgotten without harm: by the time that a frame holds the rest, its time is over too.
-  if (noted_.size() > kMostNoted) noted_.pop_front();
-  if (reads() && !mark(id)) unmarked_at_ = port_.now();
+  if (noted_.size() > kMaxNoted) noted_.pop_front();
+  if (reads() && !mark(id)) unmarked_at_ = runtime_.now();
 }
 
 std::vector<std::string> Cancellations::repeated() {
-  std::erase_if(noted_, [this](const auto &c) { return port_.now() - c.second > settings_.cancel_s; });
+  std::erase_if(noted_, [this](const auto &c) { return runtime_.now() - c.second > settings_.cancel_s; });
   std::vector<std::string> out;
   for (auto it = noted_.rbegin(); it != noted_.rend() && out.size() < wire::kPeerMaxCancelled; ++it)
     out.push_back(it->first);
@@ -42,20 +42,21 @@
   std::erase_if(awaited_, [this](const auto &x) { return x.second < news_; });
 }
 
-void Cancellations::hear(std::size_t sibling, double asked, double uptime_s, const std::vector<std::string> &ids) {
+void Cancellations::hear(std::size_t replica, double asked, double uptime_s, const std::vector<std::string> &ids) {
   if (!reads()) return;
   bool whole = ids.size() < wire::kPeerMaxCancelled; // a full frame may have left some out
   for (const auto &id : ids)
     whole &= mark(id);
   // It holds what was noted since both that process and, by its clock, `cancel_s` ago; so it continues what is known up
   // to a moment after the later of the two.
-  double &until = words_[sibling];
-  const double from = std::max(port_.now() - uptime_s * (1 - kDrift), port_.now() - settings_.cancel_s * (1 - kDrift));
+  double &until = words_[replica];
+  const double from =
+      std::max(runtime_.now() - uptime_s * (1 - kDrift), runtime_.now() - settings_.cancel_s * (1 - kDrift));
   if (whole && std::max(until, news_) >= from) until = std::max(until, asked);
 }
 
 double Cancellations::known_until() const {
-  double by_words = port_.now(); // all that this node itself has noted
+  double by_words = runtime_.now(); // all that this node itself has noted
   for (double until : words_)
     by_words = std::min(by_words, std::max(until, news_));
   return unmarked_at_ > news_ ? news_ : std::max(news_, by_words);
@@ -63,10 +64,10 @@
 
 bool Cancellations::may_renew() const {
   const double spare = settings_.cancel_s * (1 - kDrift) - settings_.lease_s * (1 + kDrift) - kLate;
-  return port_.now() - known_until() < std::max(spare, kLeastAge);
+  return runtime_.now() - known_until() < std::max(spare, kMinAge);
 }
 
-void Cancellations::on(const TermElected &) {
+void Cancellations::on(const LeaderElected &) {
   news_ = unmarked_at_ = -1e9;
   awaited_.clear();
   std::fill(words_.begin(), words_.end(), -1e9);
@@ -83,4 +84,4 @@
   awaited_.clear();
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/catalogue.cpp
+++ b/src/core/catalogue.cpp
@@ -2,14 +2,14 @@
 
 #include <limits>
 
-namespace loft::core {
+namespace loftrouter::core {
 
-Catalogue::Catalogue(const std::vector<std::string> &zones) {
+InstanceTypeCatalog::InstanceTypeCatalog(const std::vector<std::string> &zones) {
   for (const auto &z : zones)
     zone_names_.get(z);
 }
 
-void Catalogue::take(std::vector<MachineType> types) {
+void InstanceTypeCatalog::take(std::vector<MachineType> types) {
   if (types.empty()) return;
   for (auto &t : types) {
     const auto i = static_cast<std::size_t>(type_names_.get(t.name));
@@ -19,11 +19,11 @@
   known_ = true;
 }
 
-double Catalogue::cheapest_cpu() const {
+double InstanceTypeCatalog::cheapest_cpu() const {
   double cheapest = std::numeric_limits<double>::infinity();
   for (const auto &t : types_)
     cheapest = std::min({cheapest, cpu_price(t, true), cpu_price(t, false)});
   return std::max(1e-9, cheapest);
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/cells_borrower.cpp
+++ b/src/core/cells_borrower.cpp
@@ -3,11 +3,11 @@
 
 #include <algorithm>
 
-namespace loft::core {
+namespace loftrouter::core {
 
-bool Cells::may_use(const cells::Work &work, const Lot &l) const {
+bool CellFederation::may_use(const cells::Work &work, const Lot &l) const {
   wire::CellKind k;
-  k.type = catalogue_.type_name(std::get<0>(l.kind));
+  k.type = catalog_.type_name(std::get<0>(l.kind));
   k.spot = std::get<2>(l.kind);
   k.size = l.size;
   return cells::allowed(work, k);
@@ -15,8 +15,8 @@
 
 // CPUs for such work that own work does not need: places that are free, machine by machine, and what may be rented for
 // others.
-double Cells::spare_cpus(const cells::Work &work) const {
-  double free = 0, up = 0, borrowed = 0;
+double CellFederation::spare_cpus(const cells::Work &work) const {
+  double free = 0, up = 0, delegated_here = 0;
   bool rentable = false;
   std::set<MachineKind> open;
   for (const auto &l : lots_) {
@@ -25,25 +25,26 @@
     open.insert(l.kind);
     rentable |= !l.refused;
   }
-  fleet_.each([&](int, const Machine &m) {
+  workers_.each([&](int, const Machine &m) {
     if (!m.heard || m.lost || m.returning || m.order || m.taken_at || m.draining ||
-        m.silent(port_.now(), settings_.report_s) || !open.contains({m.type, m.zone, m.spot}))
+        m.silent(runtime_.now(), settings_.heartbeat_interval_s) || !open.contains({m.type, m.zone, m.spot}))
       return;
     Resources room = m.size;
     room.add(m.used, -1);
     for (; work.need.fits(room); free += work.need.cpus)
       room.add(work.need, -1);
   });
-  for (int j : indebted_) {
+  for (int j : inbound_list_) {
     const Job &n = jobs_[j];
-    borrowed += (n.pending() + n.placed) * n.spec.need.cpus;
+    delegated_here += (n.pending() + n.placed) * n.spec.need.cpus;
     free -= n.pending() * n.spec.need.cpus;
   }
-  const double rent = rentable ? std::max(kBorrowLeast, kBorrowShare * up) : 0;
-  return std::max(0.0, std::min(operators_.cell_rules().most_borrowed_cpus - borrowed, std::max(0.0, free) + rent));
+  const double rent = rentable ? std::max(kMinAcceptedCpus, kAcceptShare * up) : 0;
+  return std::max(0.0,
+                  std::min(operators_.cell_rules().max_accepted_cpus - delegated_here, std::max(0.0, free) + rent));
 }
 
-void Cells::offered(const Route &from, int cell, wire::CellMessage &&m) {
+void CellFederation::offered(const Route &from, int cell, wire::CellMessage &&m) {
   auto answer = [this, from, cell, generation = m.generation, number = m.number](bool yes, std::string_view why) {
     auto r = message(Kind::Taken, cell);
     r.number = number;
@@ -53,80 +54,81 @@
     reply(from, std::move(r));
   };
   int known = -1;
-  if (debt(m.generation, cell, known)) return answer(true, "");
+  if (inbound(m.generation, cell, known)) return answer(true, "");
   if (taking_.contains(m.generation)) return;
-  if (!lead_.active() || !siblings_.answering()) return; // asked again
+  if (!leadership_.active() || !replicas_.answering()) return; // asked again
   auto spec = wire::decode_job(m.body);
   auto *job = std::get_if<JobSpec>(&spec);
   if (!job || m.ranges.back().second > job->tasks) return answer(false, "the job cannot be read");
   if (jobs_.index(job->id) >= 0) return answer(false, "its id is in use here");
-  if (!operators_.cell_rules().borrow) return answer(false, "nothing is borrowed here");
-  if (indebted_.size() >= kMostDebts) return answer(false, "too much is borrowed already");
+  if (!operators_.cell_rules().accept) return answer(false, "nothing is borrowed here");
+  if (inbound_list_.size() >= kMaxInboundDelegations) return answer(false, "too much is borrowed already");
   std::uint32_t tasks = 0;
   for (auto [a, b] : m.ranges)
     tasks += b - a;
-  if (!promises_.take(m.number, tasks, port_.now())) return answer(false, "no room was promised for it");
-  OpenRecord record{std::move(*job), port_.wall(), false, Lent{m.from, m.generation, m.ranges}};
+  if (!capacity_grants_.take(m.number, tasks, runtime_.now())) return answer(false, "no room was promised for it");
+  OpenRecord record{std::move(*job), runtime_.wall(), false, DelegationSource{m.from, m.generation, m.ranges}};
   record.spec.zone.reset();
   const std::string key = "open/" + record.spec.id, end = "end/" + record.spec.id;
   auto value = wire::to_json(record);
-  if (!budget_.fits(value, StoreBudget::kRoomForMark)) return answer(false, "its description is too long to be kept");
-  budget_.take_leader_writes(port_.now(), 1);
+  if (!state_limits_.fits(value, StateServiceLimits::kRoomForMark))
+    return answer(false, "its description is too long to be kept");
+  state_limits_.take_leader_writes(runtime_.now(), 1);
   taking_.insert(m.generation);
   // The record comes before the yes; an id that anybody here uses or has used is not mixed with it.
-  port_.store(StoreCommit{{{"leader", lead_.term()}, {key, 0}, {end, 0}}, {{key, value, 0}}}, 1.5,
-              [this, answer, key, value, g = m.generation, epoch = lead_.epoch()](const wire::StoreReply &r) {
-                if (epoch != lead_.epoch()) return;
-                taking_.erase(g);
-                if (r.status == 409) return answer(false, "its id is in use here");
-                if (r.status != 200)
-                  return; // if it is there all the same, the watch tells, and the next offer gets a yes
-                recorder_.take_open(key, value, r.revision);
-                answer(true, "");
-              });
+  runtime_.store(StoreCommit{{{"leader", leadership_.term()}, {key, 0}, {end, 0}}, {{key, value, 0}}}, 1.5,
+                 [this, answer, key, value, g = m.generation, epoch = leadership_.epoch()](const wire::StoreReply &r) {
+                   if (epoch != leadership_.epoch()) return;
+                   taking_.erase(g);
+                   if (r.status == 409) return answer(false, "its id is in use here");
+                   if (r.status != 200)
+                     return; // if it is there all the same, the watch tells, and the next offer gets a yes
+                   state_writer_.take_open(key, value, r.revision);
+                   answer(true, "");
+                 });
 }
 
-Cells::Debt *Cells::debt(std::uint64_t generation, int home, int &job) {
-  const auto it = debt_jobs_.find({home, generation});
-  if (it == debt_jobs_.end()) return nullptr;
+CellFederation::InboundDelegation *CellFederation::inbound(std::uint64_t generation, int origin, int &job) {
+  const auto it = inbound_jobs_.find({origin, generation});
+  if (it == inbound_jobs_.end()) return nullptr;
   job = it->second;
-  return &*debts_[static_cast<std::size_t>(job)];
+  return &*inbound_[static_cast<std::size_t>(job)];
 }
 
-void Cells::close(int j, Debt &d) {
+void CellFederation::close(int j, InboundDelegation &d) {
   d.state.close();
   if (!jobs_[j].cancelled) jobs_.cancel(j); // its tasks stop; that nobody here has cancelled it is not recorded
 }
 
-void Cells::expire() {
-  if (!lead_.leading()) return;
-  for (int j : indebted_) {
-    auto &d = *debts_[static_cast<std::size_t>(j)];
-    d.state.tick(port_.now());
+void CellFederation::expire() {
+  if (!leadership_.leading()) return;
+  for (int j : inbound_list_) {
+    auto &d = *inbound_[static_cast<std::size_t>(j)];
+    d.state.tick(runtime_.now());
     const double patience = d.restored ? kSureWithin : kFirstGrant;
-    if (d.state.closed() || (!d.state.granted_once() && port_.now() - d.known_at > patience)) close(j, d);
-    jobs_.pause(j, d.draining || !d.state.may_run(port_.now()));
+    if (d.state.closed() || (!d.state.granted_once() && runtime_.now() - d.known_at > patience)) close(j, d);
+    jobs_.pause(j, d.draining || !d.state.may_run(runtime_.now()));
   }
 }
 
-bool Cells::unsure_of(const WorkerReport &r) const {
-  if (indebted_.empty()) return false;
-  return std::any_of(r.tasks.begin(), r.tasks.end(), [this](const TaskReport &t) {
+bool CellFederation::unsure_of(const Heartbeat &r) const {
+  if (inbound_list_.empty()) return false;
+  return std::any_of(r.tasks.begin(), r.tasks.end(), [this](const TaskStatus &t) {
     const int j = jobs_.index(t.job);
-    const auto *d = j >= 0 && static_cast<std::size_t>(j) < debts_.size() && debts_[static_cast<std::size_t>(j)]
-                        ? &*debts_[static_cast<std::size_t>(j)]
+    const auto *d = j >= 0 && static_cast<std::size_t>(j) < inbound_.size() && inbound_[static_cast<std::size_t>(j)]
+                        ? &*inbound_[static_cast<std::size_t>(j)]
                         : nullptr;
     return d && !d->state.granted_once() && !d->state.closed();
   });
 }
 
-void Cells::tend_debts() {
-  if (indebted_.empty()) return;
-  const double now = port_.now();
-  const auto counts = fleet_.running_counts();
-  for (std::size_t k = 0; k < indebted_.size(); ++k) {
-    const int j = indebted_[k];
-    auto &d = *debts_[static_cast<std::size_t>(j)];
+void CellFederation::tend_inbound() {
+  if (inbound_list_.empty()) return;
+  const double now = runtime_.now();
+  const auto counts = workers_.running_counts();
+  for (std::size_t k = 0; k < inbound_list_.size(); ++k) {
+    const int j = inbound_list_[k];
+    auto &d = *inbound_[static_cast<std::size_t>(j)];
     const Job &n = jobs_[j];
     // Not begun for long, or own work waits: what has not begun goes back, what runs may end.
     const bool waits = n.pending() > 0 && !d.state.closed() && (n.placed == 0 || own_waiting_cpus_ > 0);
@@ -136,7 +138,7 @@
       d.idle_since = now;
     if (waits && now - d.idle_since > kUnstarted && !std::exchange(d.draining, true)) {
       jobs_.pause(j, true);
-      fleet_.withdraw(j); // or it would keep a place for a start that is never sent
+      workers_.withdraw(j); // or it would keep a place for a start that is never sent
     }
     const bool still = n.placed == 0 && n.unaccounted == 0;
     if (d.draining && still) close(j, d);
@@ -147,48 +149,48 @@
     const auto used = ledger_.on() ? ledger_.usage(j) : accounts::Usage{};
     const bool news = d.ended || n.done != d.told_done || running != d.told_running || used.held() != d.told_held;
     if (n.ending || now < d.next_told || (!news && now < d.next_told + kToldAtLeast - kToldEvery)) continue;
-    if (d.home < 0) continue;
-    auto m = message(Kind::Told, d.home);
+    if (d.origin < 0) continue;
+    auto m = message(Kind::Told, d.origin);
     m.generation = d.state.generation();
-    m.other_term = cells_[static_cast<std::size_t>(d.home)].term;
+    m.other_term = cells_[static_cast<std::size_t>(d.origin)].term;
     m.yes = d.ended;
     m.running = running;
     m.usage = used;
     std::vector<char> done(n.spec.tasks, 0);
-    for (auto [a, b] : n.borrowed->tasks)
+    for (auto [a, b] : n.delegated_here->tasks)
       for (auto i = a; i < b && i < n.spec.tasks; ++i)
         done[i] = n.tasks[i].state == TaskState::Done;
     m.ranges = narrow(make_ranges(n.spec.tasks, [&](std::uint32_t i) { return done[i] != 0; }), wire::kCellMaxRanges);
     d.next_told = now + (d.ended ? 1.0 : kToldEvery);
-    if (!send(d.home, std::move(m))) continue;
+    if (!send(d.origin, std::move(m))) continue;
     d.told_done = n.done;
     d.told_running = running;
     d.told_held = used.held();
   }
 }
 
-void Cells::renew(int home) {
-  auto &c = cells_[static_cast<std::size_t>(home)];
+void CellFederation::renew(int origin) {
+  auto &c = cells_[static_cast<std::size_t>(origin)];
   std::vector<std::uint64_t> about;
   bool urgent = false;
-  for (int j : indebted_) {
-    const auto &d = *debts_[static_cast<std::size_t>(j)];
-    if (d.home != home || d.state.closed()) continue;
+  for (int j : inbound_list_) {
+    const auto &d = *inbound_[static_cast<std::size_t>(j)];
+    if (d.origin != origin || d.state.closed()) continue;
     about.push_back(d.state.generation());
     urgent |= !d.state.granted_once();
   }
-  if (about.empty() || (port_.now() < c.next_renew && !(urgent && port_.now() > c.next_renew - 2))) return;
-  c.next_renew = port_.now() + kMostGrant * kRenewShare;
-  std::erase_if(c.renewals, [this](const auto &r) { return port_.now() - r.second.first > kMostGrant; });
+  if (about.empty() || (runtime_.now() < c.next_renew && !(urgent && runtime_.now() > c.next_renew - 2))) return;
+  c.next_renew = runtime_.now() + kMaxGrant * kRenewShare;
+  std::erase_if(c.renewals, [this](const auto &r) { return runtime_.now() - r.second.first > kMaxGrant; });
   for (std::size_t i = 0; i < about.size(); i += wire::kCellMaxGenerations) {
-    auto m = message(Kind::Renew, home);
+    auto m = message(Kind::Renew, origin);
     m.number = ++c.question;
     m.lease_s = settings_.lease_s;
     m.generations.assign(about.begin() + static_cast<long>(i),
                          about.begin() + static_cast<long>(std::min(about.size(), i + wire::kCellMaxGenerations)));
-    c.renewals[m.number] = {port_.now(), m.generations};
-    send(home, std::move(m));
+    c.renewals[m.number] = {runtime_.now(), m.generations};
+    send(origin, std::move(m));
   }
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/cells_survey.cpp
+++ b/src/core/cells_survey.cpp
@@ -4,13 +4,13 @@
 #include <algorithm>
 #include <cmath>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 // Machines by kind, with what they still have to do and what waits for them, job after job in the order of their turns:
 // from it, how long each job's work will wait here.
-void Cells::survey() {
+void CellFederation::survey() {
   std::map<MachineKind, Lot> lots;
-  fleet_.each([&](int, const Machine &m) {
+  workers_.each([&](int, const Machine &m) {
     if (m.type < 0 || m.lost || m.returning || m.order || m.taken_at) return;
     Lot &l = lots[{m.type, m.zone, m.spot}];
     l.size = m.size;
@@ -18,26 +18,26 @@
       ++l.starting;
       return;
     }
-    if (m.silent(port_.now(), settings_.report_s)) return;
+    if (m.silent(runtime_.now(), settings_.heartbeat_interval_s)) return;
     ++l.machines;
-    l.idle += m.slots.empty();
+    l.idle += m.allocations.empty();
     l.cpus += m.size.cpus;
     l.free.add(m.size);
     l.free.add(m.used, -1);
-    for (const auto &s : m.slots) {
-      if (s.job < 0 || s.finished || jobs_[s.job].borrowed) continue;
-      const double ran = s.running_since >= 0 ? port_.now() - s.running_since : 0;
+    for (const auto &s : m.allocations) {
+      if (s.job < 0 || s.finished || jobs_[s.job].delegated_here) continue;
+      const double ran = s.running_since >= 0 ? runtime_.now() - s.running_since : 0;
       l.busy += std::max(3.0, jobs_[s.job].spec.estimate_s - ran) * s.need.cpus;
     }
   });
-  for (std::size_t t = 0; t < catalogue_.types().size(); ++t)
-    for (const auto &zone : catalogue_.types()[t].zones)
+  for (std::size_t t = 0; t < catalog_.types().size(); ++t)
+    for (const auto &zone : catalog_.types()[t].zones)
       for (bool spot : {false, true}) {
-        const MachineKind kind(static_cast<int>(t), catalogue_.find_zone(zone), spot);
+        const MachineKind kind(static_cast<int>(t), catalog_.find_zone(zone), spot);
         if (std::get<1>(kind) < 0) continue;
         Lot &l = lots[kind];
-        l.size = catalogue_.types()[t].size;
-        l.refused = scaler_.refused(kind);
+        l.size = catalog_.types()[t].size;
+        l.refused = autoscaler_.refused(kind);
       }
   lots_.clear();
   for (auto &[kind, l] : lots) {
@@ -46,16 +46,16 @@
   }
   std::vector<int> order;
   jobs_.each([&](int j, const Job &n) {
-    if (!n.borrowed && !n.cancelled && n.pending() > 0 && n.spec.waits_for.empty()) order.push_back(j);
+    if (!n.delegated_here && !n.cancelled && n.pending() > 0 && n.spec.waits_for.empty()) order.push_back(j);
   });
   std::sort(order.begin(), order.end(), [this](int a, int b) {
     return std::pair(-static_cast<int>(jobs_[a].spec.urgency), jobs_[a].submit_wall) <
            std::pair(-static_cast<int>(jobs_[b].spec.urgency), jobs_[b].submit_wall);
   });
-  waits_.assign(jobs_.slots(), 0);
+  waits_.assign(jobs_.index_limit(), 0);
   std::fill(std::begin(wait_by_urgency_), std::end(wait_by_urgency_), 0);
   own_waiting_cpus_ = 0;
-  const double cheapest = catalogue_.cheapest_cpu();
+  const double cheapest = catalog_.cheapest_cpu();
   for (int j : order) {
     const Job &n = jobs_[j];
     const auto work = work_of(j);
@@ -75,9 +75,9 @@
         any.types.clear();
         places += cells::room(any, one);
       }
-      const auto &type = catalogue_.type(std::get<0>(l.kind));
-      const bool dear = Catalogue::cpu_price(type, std::get<2>(l.kind)) > kDear * cheapest;
-      if (l.starting > 0 || (!l.refused && !(dear && n.spec.urgency == Urgency::Low)))
+      const auto &type = catalog_.type(std::get<0>(l.kind));
+      const bool price_premium = InstanceTypeCatalog::cpu_price(type, std::get<2>(l.kind)) > kExpensiveRatio * cheapest;
+      if (l.starting > 0 || (!l.refused && !(price_premium && n.spec.urgency == Urgency::Low)))
         soon = std::min(soon, 1.1 * type.boot_s + 1);
     }
     double wait = cpus > 0 ? (load + 0.5 * own) / cpus : std::numeric_limits<double>::infinity();
@@ -86,7 +86,7 @@
     if (places >= n.pending()) wait = 0.25;
     wait = std::min(wait, soon);
     // Whatever the figures say: what has waited for so long without a start will wait on.
-    const double age = port_.wall() - n.submit_wall;
+    const double age = runtime_.wall() - n.submit_wall;
     if (n.placed + n.done + n.unaccounted == 0 && age > kLongWait) wait = std::max(wait, 0.5 * age);
     waits_[static_cast<std::size_t>(j)] = std::isfinite(wait) ? wait : 1e6;
     auto &of_class = wait_by_urgency_[static_cast<std::size_t>(n.spec.urgency)];
@@ -97,15 +97,15 @@
   }
 }
 
-void Cells::summarize(wire::CellMessage &m) const {
+void CellFederation::summarize(wire::CellMessage &m) const {
   m.address = settings_.peer_listen;
   m.lease_s = settings_.lease_s;
   m.wait_s.assign(std::begin(wait_by_urgency_), std::end(wait_by_urgency_));
   for (const auto &l : lots_) {
     wire::CellKind k;
     const auto [type, zone, spot] = l.kind;
-    k.type = catalogue_.type_name(type);
-    k.zone = catalogue_.zone_name(zone);
+    k.type = catalog_.type_name(type);
+    k.zone = catalog_.zone_name(zone);
     k.spot = spot;
     k.refused = l.refused;
     k.machines = static_cast<std::uint32_t>(l.machines);
@@ -114,10 +114,10 @@
       k.free = l.free;
       k.idle = static_cast<std::uint32_t>(l.idle);
     }
-    k.boot_s = catalogue_.type(type).boot_s;
-    k.fetch_gb_per_s = catalogue_.type(type).fetch_gb_per_s;
+    k.boot_s = catalog_.type(type).boot_s;
+    k.fetch_gb_per_s = catalog_.type(type).fetch_gb_per_s;
     if (m.kinds.size() < wire::kCellMaxKinds) m.kinds.push_back(std::move(k));
   }
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/chronicle.cpp
+++ b/src/core/chronicle.cpp
@@ -1,6 +1,6 @@
 #include "loftrouter/core/chronicle.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 std::string_view name_of(ExitCause cause) {
@@ -27,66 +27,68 @@
 }
 } // namespace
 
-void Chronicle::on(const TermElected &e) {
-  port_.log(LogLevel::Info, "elected", {{"term", e.term}});
+void EventLog::on(const LeaderElected &e) {
+  runtime_.log(LogLevel::Info, "leader_elected", {{"term", e.term}});
 }
 
-void Chronicle::on(const TermBegun &e) {
+void EventLog::on(const TermStarted &e) {
   std::uint64_t unaccounted = 0;
   jobs_.each([&](int, const Job &n) { unaccounted += n.unaccounted; });
-  port_.log(LogLevel::Info, "leading",
-            {{"term", e.term}, {"jobs_open", jobs_.open()}, {"tasks_unaccounted", unaccounted}});
+  runtime_.log(LogLevel::Info, "leadership_acquired",
+               {{"term", e.term}, {"jobs_open", jobs_.open()}, {"tasks_unaccounted", unaccounted}});
 }
 
-void Chronicle::on(const TermEnded &e) {
-  port_.log(LogLevel::Info, "term_ended", {{"term", e.term}, {"why", e.why}});
+void EventLog::on(const TermEnded &e) {
+  runtime_.log(LogLevel::Info, "term_ended", {{"term", e.term}, {"why", e.why}});
 }
 
-void Chronicle::on(const JobSuspected &e) {
-  port_.log(LogLevel::Info, "job_fails_everywhere",
-            {{"job", jobs_[e.job].spec.id}, {"machines", e.machines}, {"then", "tried seldom from now on"}});
+void EventLog::on(const JobSuspected &e) {
+  runtime_.log(LogLevel::Info, "job_suspected",
+               {{"job", jobs_[e.job].spec.id}, {"machines", e.machines}, {"then", "tried seldom from now on"}});
 }
 
-void Chronicle::on(const TaskRuns &e) {
-  if (!port_.shows(LogLevel::Debug)) return;
-  port_.log(
-      LogLevel::Debug, "task_runs",
-      {{"job", jobs_[e.job].spec.id}, {"task", e.index}, {"machine", fleet_[e.machine].name}, {"after_s", e.after_s}});
+void EventLog::on(const TaskRunning &e) {
+  if (!runtime_.shows(LogLevel::Debug)) return;
+  runtime_.log(LogLevel::Debug, "task_runs",
+               {{"job", jobs_[e.job].spec.id},
+                {"task", e.index},
+                {"machine", workers_[e.machine].name},
+                {"after_s", e.after_s}});
 }
 
-void Chronicle::on(const TaskExited &e) {
-  if (!port_.shows(LogLevel::Debug)) return;
-  port_.log(LogLevel::Debug, "task_exited",
-            {{"job", jobs_[e.job].spec.id},
-             {"task", e.index},
-             {"machine", e.machine_name},
-             {"cause", name_of(e.cause)},
-             {"after_s", port_.now() - e.placed_at}});
+void EventLog::on(const TaskExited &e) {
+  if (!runtime_.shows(LogLevel::Debug)) return;
+  runtime_.log(LogLevel::Debug, "task_exited",
+               {{"job", jobs_[e.job].spec.id},
+                {"task", e.index},
+                {"machine", e.machine_name},
+                {"cause", name_of(e.cause)},
+                {"after_s", runtime_.now() - e.placed_at}});
 }
 
-void Chronicle::on(const TasksGivenUp &e) {
-  port_.log(LogLevel::Info, "tasks_not_seen_in_time",
-            {{"job", jobs_[e.job].spec.id}, {"tasks", e.tasks}, {"then", "they count as lost"}});
+void EventLog::on(const TasksAbandoned &e) {
+  runtime_.log(LogLevel::Info, "tasks_abandoned",
+               {{"job", jobs_[e.job].spec.id}, {"tasks", e.tasks}, {"then", "they count as lost"}});
 }
 
-void Chronicle::on(const MachineLost &e) {
-  if (e.tasks) port_.log(LogLevel::Info, "machine_lost", {{"machine", e.name}, {"why", e.why}, {"tasks", e.tasks}});
+void EventLog::on(const MachineLost &e) {
+  if (e.tasks) runtime_.log(LogLevel::Info, "machine_lost", {{"machine", e.name}, {"why", e.why}, {"tasks", e.tasks}});
 }
 
-void Chronicle::on(const MachineCondemned &e) {
-  port_.log(LogLevel::Info, "machine_fails_tasks",
-            {{"machine", fleet_[e.machine].name}, {"of_jobs", e.jobs}, {"then", "given back"}});
+void EventLog::on(const MachineQuarantined &e) {
+  runtime_.log(LogLevel::Info, "machine_quarantined",
+               {{"machine", workers_[e.machine].name}, {"of_jobs", e.jobs}, {"then", "given back"}});
 }
 
-void Chronicle::on(const MachineReturned &e) {
-  port_.log(LogLevel::Info, "machine_returned",
-            {{"machine", e.name},
-             {"type", e.type},
-             {"zone", e.zone},
-             {"spot", e.spot},
-             {"lived_s", e.lived_s},
-             {"up_s", e.up_s},
-             {"cpu_used_percent", 100 * e.used_share}});
+void EventLog::on(const MachineRemoved &e) {
+  runtime_.log(LogLevel::Info, "machine_removed",
+               {{"machine", e.name},
+                {"type", e.type},
+                {"zone", e.zone},
+                {"spot", e.spot},
+                {"lived_s", e.lived_s},
+                {"up_s", e.up_s},
+                {"cpu_used_percent", 100 * e.used_share}});
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/configuration.cpp
+++ b/src/core/configuration.cpp
@@ -4,7 +4,7 @@
 
 #include "loftrouter/wire/configuration.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kPollEvery = 5.0;               // s, of the documents, with the feature switched off
@@ -17,33 +17,34 @@
 } // namespace
 
 void Configuration::tick() {
-  if (!listing_now_ && port_.now() >= next_) {
+  if (!listing_now_ && runtime_.now() >= next_) {
     listing_now_ = true;
-    begun_at_ = port_.now();
-    next_ = port_.now() + (settings_.configuration ? kListEvery : kPollEvery);
+    begun_at_ = runtime_.now();
+    next_ = runtime_.now() + (settings_.configuration ? kListEvery : kPollEvery);
     listing_.clear();
     removed_.clear();
     list("");
   }
   const bool listed_once = list_begun_at_ > -1e8;
-  if (settings_.configuration && listed_once && !following_ && !listing_now_ && port_.now() >= next_follow_) follow();
+  if (settings_.configuration && listed_once && !following_ && !listing_now_ && runtime_.now() >= next_follow_)
+    follow();
 }
 
 void Configuration::list(const std::string &from) {
   const std::string prefix(settings_.configuration ? wire::kConfigPrefix : kDocuments);
   // Large pages: thousands of records take a few requests in kListEvery, and a list that fails begins again.
-  port_.store(StoreList{prefix, from, StoreList::kMaxPage}, kListWithin, [this, from](const wire::StoreReply &r) {
+  runtime_.store(StoreList{prefix, from, StoreList::kMaxPage}, kListWithin, [this, from](const wire::StoreReply &r) {
     if (r.status != 200) {
       listing_now_ = false;
-      if (settings_.configuration) next_ = port_.now() + kListRetry;
+      if (settings_.configuration) next_ = runtime_.now() + kListRetry;
       return;
     }
     // What changes between two pages comes with the watch, which begins at the first.
     if (from.empty()) follow_from_ = r.revision;
     for (const auto &e : r.entries) {
       const auto *known = find(e.key);
-      const bool had = known && known->revision == e.stamp; // its value isn't kept twice
-      listing_[e.key] = {had ? std::nullopt : std::optional(e.value), e.stamp};
+      const bool had = known && known->revision == e.mod_revision; // its value isn't kept twice
+      listing_[e.key] = {had ? std::nullopt : std::optional(e.value), e.mod_revision};
     }
     if (r.more && !r.entries.empty()) return list(r.entries.back().key);
     listed();
@@ -69,25 +70,25 @@
 
 void Configuration::follow() {
   following_ = true;
-  port_.store(StoreFollow{std::string(wire::kConfigPrefix), follow_from_, kHold}, kHold + kHoldMargin,
-              [this, sent = port_.now()](const wire::StoreReply &r) {
-                following_ = false;
-                if (r.status == 410 || r.status == 0) { // too far behind, or it has died without a word
-                  next_ = 0;
-                  return;
-                }
-                if (r.status != 200) {
-                  next_follow_ = port_.now() + kFollowRetry;
-                  return;
-                }
-                for (const auto &e : r.events)
-                  set(e.key, e.value, e.stamp);
-                // A list under way counts from its first page: what came since is told again after it. Guards against a
-                // record that is newer than the list's pages being taken for gone.
-                if (!listing_now_) follow_from_ = std::max(follow_from_, r.revision);
-                current_at_ = std::max(current_at_, sent);
-                if (!listing_now_) follow();
-              });
+  runtime_.store(StoreWatch{std::string(wire::kConfigPrefix), follow_from_, kHold}, kHold + kHoldMargin,
+                 [this, sent = runtime_.now()](const wire::StoreReply &r) {
+                   following_ = false;
+                   if (r.status == 410 || r.status == 0) { // too far behind, or it has died without a word
+                     next_ = 0;
+                     return;
+                   }
+                   if (r.status != 200) {
+                     next_follow_ = runtime_.now() + kFollowRetry;
+                     return;
+                   }
+                   for (const auto &e : r.events)
+                     set(e.key, e.value, e.mod_revision);
+                   // A list under way counts from its first page: what came since is told again after it. Guards
+                   // against a record that is newer than the list's pages being taken for gone.
+                   if (!listing_now_) follow_from_ = std::max(follow_from_, r.revision);
+                   current_at_ = std::max(current_at_, sent);
+                   if (!listing_now_) follow();
+                 });
 }
 
 void Configuration::learn(const std::string &key, std::optional<wire::Json> value, std::uint64_t revision) {
@@ -118,4 +119,4 @@
   return n;
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/configuration_desk.cpp
+++ b/src/core/configuration_desk.cpp
@@ -4,12 +4,12 @@
 
 #include "loftrouter/wire/admin_configuration.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 using Kind = wire::AdminRequest::Kind;
 constexpr double kReadWithin = 1.0, kCommitWithin = 1.0; // s
-constexpr std::size_t kMostInDocument = 100;             // entries that the production version takes
+constexpr std::size_t kMaxInDocument = 100;              // entries that the production version takes
 // Up to here each answer to an order lists all, as with the document alone. Beyond, it has the one machine's: a page in
 // the answer to each of thousands would cost more than the orders.
 constexpr std::size_t kMaxOrdersWhole = 100;
@@ -24,11 +24,11 @@
 }
 } // namespace
 
-void ConfigurationDesk::fail(RequestId req, int status, std::string_view text) const {
-  port_.reply_json(req, status, wire::encode_admin_error(text), status == 503 ? std::optional(1) : std::nullopt);
+void ConfigurationApiHandler::fail(RequestId req, int status, std::string_view text) const {
+  runtime_.reply_json(req, status, wire::encode_admin_error(text), status == 503 ? std::optional(1) : std::nullopt);
 }
 
-void ConfigurationDesk::take(RequestId req, const wire::AdminRequest &ask) {
+void ConfigurationApiHandler::take(RequestId req, const wire::AdminRequest &ask) {
   switch (ask.kind) {
   case Kind::Quotas:
     return quotas(req);
@@ -40,22 +40,22 @@
     return history(req, ask.team);
   case Kind::Settings:
   case Kind::Budgets:
-  case Kind::Cells:
+  case Kind::CellFederation:
     return answer(req, ask);
   default:
     return change(req, ask);
   }
 }
 
-void ConfigurationDesk::answer(RequestId req, const wire::AdminRequest &ask) const {
+void ConfigurationApiHandler::answer(RequestId req, const wire::AdminRequest &ask) const {
   const auto &orders = operators_.orders();
   switch (ask.kind) {
   case Kind::Budgets:
   case Kind::ChangeBudgets:
-    return port_.reply_json(req, 200, wire::encode_budgets(operators_.budgets()));
-  case Kind::Cells:
+    return runtime_.reply_json(req, 200, wire::encode_budgets(operators_.budgets()));
+  case Kind::CellFederation:
   case Kind::ChangeCells:
-    return port_.reply_json(req, 200, wire::encode_cell_rules(operators_.cell_rules()));
+    return runtime_.reply_json(req, 200, wire::encode_cell_rules(operators_.cell_rules()));
   case Kind::Machine:
     if (orders.size() > kMaxOrdersWhole) return one_order(req, ask.machine);
     return orders_page(req, orders.begin());
@@ -64,16 +64,16 @@
   }
 }
 
-void ConfigurationDesk::one_order(RequestId req, const std::string &machine) const {
-  wire::MachineOrders one;
+void ConfigurationApiHandler::one_order(RequestId req, const std::string &machine) const {
+  wire::MachineAdminStates one;
   if (const auto order = operators_.order(machine)) one[machine] = *order;
-  port_.reply_json(req, 200, wire::encode_settings(operators_.tunables(), one, ""));
+  runtime_.reply_json(req, 200, wire::encode_settings(operators_.tunables(), one, ""));
 }
 
 // Operators' settings, with orders about machines from `first` on, as far as an answer holds them.
-void ConfigurationDesk::orders_page(RequestId req, wire::MachineOrders::const_iterator first) const {
+void ConfigurationApiHandler::orders_page(RequestId req, wire::MachineAdminStates::const_iterator first) const {
   const auto &orders = operators_.orders();
-  wire::MachineOrders page;
+  wire::MachineAdminStates page;
   std::size_t bytes = 0;
   auto it = first;
   for (; it != orders.end(); ++it) {
@@ -82,12 +82,12 @@
     page.insert(page.end(), *it);
   }
   const auto next = it == orders.end() || page.empty() ? std::string() : page.rbegin()->first;
-  port_.reply_json(req, 200, wire::encode_settings(operators_.tunables(), page, next));
+  runtime_.reply_json(req, 200, wire::encode_settings(operators_.tunables(), page, next));
 }
 
 // ---- quotas ----
 
-void ConfigurationDesk::quotas(RequestId req) const {
+void ConfigurationApiHandler::quotas(RequestId req) const {
   std::vector<wire::AdminQuota> out;
   const bool alone = quotas_.cells().size() == 1;
   for (int team = 0; team < static_cast<int>(settings_.teams.size()); ++team) {
@@ -102,30 +102,30 @@
     if (!alone) q.owner = changes_.owner(name);
     out.push_back(std::move(q));
   }
-  port_.reply_json(req, 200, wire::encode_quotas(out));
+  runtime_.reply_json(req, 200, wire::encode_quotas(out));
 }
 
-void ConfigurationDesk::change_quota(RequestId req, const wire::QuotaChange &change) {
+void ConfigurationApiHandler::change_quota(RequestId req, const wire::QuotaChange &change) {
   changes_.request(change, [this, req](const QuotaChanges::Outcome &o) {
     if (o.status != 200) return fail(req, o.status, o.text);
     quotas(req);
   });
 }
 
-void ConfigurationDesk::history(RequestId req, const std::string &team) const {
+void ConfigurationApiHandler::history(RequestId req, const std::string &team) const {
   const auto record = quotas_.record(team);
   if (!record) return fail(req, 404, "this team's quota was never changed");
-  port_.reply_json(req, 200, wire::encode_quota_history(team, record->history));
+  runtime_.reply_json(req, 200, wire::encode_quota_history(team, record->history));
 }
 
-void ConfigurationDesk::status(RequestId req, const std::string &from) const {
+void ConfigurationApiHandler::status(RequestId req, const std::string &from) const {
   wire::AdminConfiguration out;
   out.node = settings_.node;
   out.revision = configuration_.revision();
   out.watches = configuration_.watches();
-  out.current_s = configuration_.current_at() < -1e8 ? -1 : port_.now() - configuration_.current_at();
+  out.current_s = configuration_.current_at() < -1e8 ? -1 : runtime_.now() - configuration_.current_at();
   out.nodes.push_back(settings_.node);
-  for (const auto &s : settings_.siblings)
+  for (const auto &s : settings_.replicas)
     out.nodes.push_back(s.node);
   std::map<std::string, wire::AppliedRecord> applied;
   configuration_.each(wire::kConfigApplied, [&applied](std::string_view node, const Configuration::Record &r) {
@@ -148,12 +148,12 @@
     else
       out.records.push_back(std::move(record));
   });
-  port_.reply_json(req, 200, wire::encode_configuration(out));
+  runtime_.reply_json(req, 200, wire::encode_configuration(out));
 }
 
 // ---- documents, and records for their entries ----
 
-void ConfigurationDesk::change(RequestId req, const wire::AdminRequest &ask) {
+void ConfigurationApiHandler::change(RequestId req, const wire::AdminRequest &ask) {
   Change change{req, ask, "", "", {}};
   switch (ask.kind) {
   case Kind::ChangeBudgets:
@@ -181,20 +181,20 @@
   write(std::move(change));
 }
 
-void ConfigurationDesk::write(Change change) {
-  if (!budget_.take_write(port_.now())) return fail(change.req, 503, "too many requests at once");
+void ConfigurationApiHandler::write(Change change) {
+  if (!state_limits_.take_write(runtime_.now())) return fail(change.req, 503, "too many requests at once");
   const auto key = change.document;
-  port_.store(StoreGet{key}, kReadWithin, [this, change = std::move(change)](const wire::StoreReply &r) mutable {
+  runtime_.store(StoreGet{key}, kReadWithin, [this, change = std::move(change)](const wire::StoreReply &r) mutable {
     if (r.status != 200 && r.status != 404) return fail(change.req, 503, "the state service did not answer");
     const bool found = r.status == 200 && !r.entries.empty();
     const auto before = found ? r.entries[0].value : wire::Json::object();
     if (auto after = edited(change, before))
-      commit(std::move(change), before, std::move(*after), found ? r.entries[0].stamp : 0);
+      commit(std::move(change), before, std::move(*after), found ? r.entries[0].mod_revision : 0);
   });
 }
 
 // Fields of the document itself. Entries that have records of their own come with `commit`.
-std::optional<wire::Json> ConfigurationDesk::edited(const Change &change, const wire::Json &before) const {
+std::optional<wire::Json> ConfigurationApiHandler::edited(const Change &change, const wire::Json &before) const {
   const auto &ask = change.ask;
   wire::Json after;
   if (ask.kind == Kind::ChangeCells) {
@@ -215,30 +215,33 @@
     (void)wire::apply_budgets(fields, b); // checked at the door
     after = wire::to_json(b);
   } else {
-    auto orders = wire::machine_orders_from_json(before);
+    auto orders = wire::machine_admin_states_from_json(before);
     if (!settings_.configuration) {
       if (!ask.order)
         orders.erase(ask.machine);
-      else if (orders.size() < wire::kMostMachineOrders || orders.contains(ask.machine))
+      else if (orders.size() < wire::kMaxMachineOrders || orders.contains(ask.machine))
         orders[ask.machine] = *ask.order;
       else
         return fail(change.req, 409, "too many machines are under an order; release some first"), std::nullopt;
     }
     after = wire::to_json(orders);
   }
-  if (budget_.fits(after)) return after;
+  if (state_limits_.fits(after)) return after;
   fail(change.req, 409, "that is more than one record of the state service holds, now or after its limits fall");
   return std::nullopt;
 }
 
 // Whether an entry may stand in the document as well, for the production version to read.
-bool ConfigurationDesk::takes_entry(const Change &change, const wire::Json &document, const std::string &name) const {
+bool ConfigurationApiHandler::takes_entry(const Change &change, const wire::Json &document,
+                                          const std::string &name) const {
   wire::Json copy = document;
   const auto &entries = entries_in(copy, change.document);
-  return (entries.size() < kMostInDocument || entries.contains(name)) && budget_.fits(document, 2 * name.size() + 200);
+  return (entries.size() < kMaxInDocument || entries.contains(name)) &&
+         state_limits_.fits(document, 2 * name.size() + 200);
 }
 
-void ConfigurationDesk::commit(Change change, const wire::Json &before, wire::Json edited, std::uint64_t revision) {
+void ConfigurationApiHandler::commit(Change change, const wire::Json &before, wire::Json edited,
+                                     std::uint64_t revision) {
   StoreCommit transaction{{{change.document, revision}}, {}};
   wire::Json after = std::move(edited);
   const auto most = static_cast<std::size_t>(std::max(1, settings_.state_txn_ops - 1));
@@ -247,7 +250,7 @@
     change.left.erase(change.left.begin());
     const auto key = change.prefix + name;
     const auto *known = configuration_.find(key);
-    if (!known && value && configuration_.count(change.prefix) >= wire::kMostConfigRecords)
+    if (!known && value && configuration_.count(change.prefix) >= wire::kMaxConfigRecords)
       return fail(change.req, 409, "too many records of this kind; release some first");
     const bool fits = takes_entry(change, after, name);
     auto &entries = entries_in(after, change.document);
@@ -262,7 +265,7 @@
       entries[name] = *value;
     else
       entries.erase(name);
-    transaction.guards.push_back({key, known ? known->revision : 0});
+    transaction.preconditions.push_back({key, known ? known->revision : 0});
     if (value)
       transaction.writes.push_back({key, wire::Json{{"value", *value}, {"in_document", fits}}, 0});
     else if (known)
@@ -272,18 +275,18 @@
   // A document that is full stays as it is: one write an order instead of two, and orders at once don't conflict in it.
   if (!settings_.configuration || after != before) transaction.writes.push_back({change.document, after, 0});
   const auto writes = transaction.writes;
-  port_.store(std::move(transaction), kCommitWithin,
-              [this, change = std::move(change), writes](const wire::StoreReply &r) mutable {
-                if (r.status == 409) return fail(change.req, 409, "somebody else has just changed it; ask again");
-                if (r.status != 200) return fail(change.req, 503, "the state service did not confirm the change");
-                for (const auto &w : writes) {
-                  configuration_.learn(w.key, w.value, r.revision);
-                  operators_.on(ConfigurationChanged{w.key}); // so that the answer has it
-                }
-                if (change.left.empty()) return answer(change.req, change.ask);
-                change.ask.change = wire::Json::object(); // the document's own fields are written
-                write(std::move(change));
-              });
+  runtime_.store(std::move(transaction), kCommitWithin,
+                 [this, change = std::move(change), writes](const wire::StoreReply &r) mutable {
+                   if (r.status == 409) return fail(change.req, 409, "somebody else has just changed it; ask again");
+                   if (r.status != 200) return fail(change.req, 503, "the state service did not confirm the change");
+                   for (const auto &w : writes) {
+                     configuration_.learn(w.key, w.value, r.revision);
+                     operators_.on(ConfigurationChanged{w.key}); // so that the answer has it
+                   }
+                   if (change.left.empty()) return answer(change.req, change.ask);
+                   change.ask.change = wire::Json::object(); // the document's own fields are written
+                   write(std::move(change));
+                 });
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -2,48 +2,55 @@
 
 #include <cassert>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 Core::Core(Settings settings, std::uint64_t seed)
-    : settings_(with_cell_teams(std::move(settings))), port_(seed), wishes_(settings_), catalogue_(settings_.zones),
-      configuration_(port_, events_, settings_), operators_(port_, events_, configuration_), budget_(settings_),
-      lead_(port_, events_, settings_, catalogue_), jobs_(port_, events_, settings_), ended_(events_),
-      dependencies_(port_, settings_, budget_, lead_, jobs_, ended_), judge_(port_, events_, jobs_, operators_),
-      reasons_(port_, jobs_, dependencies_, judge_, wishes_), ledger_(port_, settings_, catalogue_, jobs_, operators_),
-      recorder_(port_, events_, settings_, lead_, budget_, jobs_, ended_, dependencies_, judge_, reasons_, wishes_,
-                ledger_),
-      cancellations_(port_, settings_, lead_, jobs_), watch_(port_, settings_, lead_, recorder_, cancellations_),
-      fleet_(port_, events_, settings_, catalogue_, operators_, lead_, jobs_, recorder_),
-      quotas_(port_, events_, settings_, configuration_, lead_, jobs_, fleet_),
-      silence_(port_, settings_, catalogue_, lead_, fleet_),
-      siblings_(port_, settings_, lead_, budget_, cancellations_),
-      reach_(port_, settings_, catalogue_, lead_, siblings_, fleet_, silence_),
-      reports_(port_, settings_, lead_, siblings_, reach_, silence_, fleet_),
-      placer_(port_, events_, settings_, catalogue_, operators_, lead_, jobs_, dependencies_, judge_, recorder_, fleet_,
-              wishes_, ledger_, quotas_),
-      scaler_(port_, settings_, catalogue_, operators_, lead_, jobs_, dependencies_, judge_, fleet_, silence_, placer_,
-              wishes_),
-      cells_(port_, events_, settings_, catalogue_, operators_, lead_, cancellations_, budget_, jobs_, judge_, ledger_,
-             recorder_, fleet_, siblings_, quotas_, scaler_, wishes_),
-      quota_changes_(port_, settings_, configuration_, quotas_, budget_),
-      quota_exchange_(port_, settings_, configuration_, lead_, quotas_, quota_changes_, budget_, cells_),
-      applied_(port_, settings_, configuration_, budget_),
-      configuration_desk_(port_, settings_, configuration_, operators_, quotas_, quota_changes_, quota_exchange_,
-                          budget_),
-      served_(port_, jobs_, ended_, dependencies_),
-      insight_(port_, settings_, catalogue_, operators_, lead_, cancellations_, jobs_, ended_, dependencies_, judge_,
-               reasons_, fleet_, placer_, quotas_, scaler_, wishes_, ledger_, siblings_),
-      users_(port_, settings_, catalogue_, budget_, lead_, jobs_, ended_, siblings_, cancellations_, quotas_, insight_),
-      administration_(port_, settings_, catalogue_, operators_, budget_, lead_, cancellations_, jobs_, dependencies_,
-                      judge_, fleet_, scaler_, siblings_, reach_, cells_, reports_, served_, insight_, ledger_,
-                      configuration_desk_),
-      chronicle_(port_, jobs_, fleet_) {
-  reports_.refuse_while([this](const WorkerReport &r) { return cells_.unsure_of(r); });
+    : settings_(with_cell_teams(std::move(settings))), runtime_(seed), objectives_(settings_),
+      catalog_(settings_.zones), configuration_(runtime_, events_, settings_),
+      operators_(runtime_, events_, configuration_), state_limits_(settings_),
+      leadership_(runtime_, events_, settings_, catalog_), jobs_(runtime_, events_, settings_), ended_(events_),
+      dependencies_(runtime_, settings_, state_limits_, leadership_, jobs_, ended_),
+      failure_attribution_(runtime_, events_, jobs_, operators_),
+      pending_reasons_(runtime_, jobs_, dependencies_, failure_attribution_, objectives_),
+      ledger_(runtime_, settings_, catalog_, jobs_, operators_),
+      state_writer_(runtime_, events_, settings_, leadership_, state_limits_, jobs_, ended_, dependencies_,
+                    failure_attribution_, pending_reasons_, objectives_, ledger_),
+      cancellations_(runtime_, settings_, leadership_, jobs_),
+      watch_(runtime_, settings_, leadership_, state_writer_, cancellations_),
+      workers_(runtime_, events_, settings_, catalog_, operators_, leadership_, jobs_, state_writer_),
+      quotas_(runtime_, events_, settings_, configuration_, leadership_, jobs_, workers_),
+      failure_detector_(runtime_, settings_, catalog_, leadership_, workers_),
+      replicas_(runtime_, settings_, leadership_, state_limits_, cancellations_),
+      connectivity_(runtime_, settings_, catalog_, leadership_, replicas_, workers_, failure_detector_),
+      heartbeats_(runtime_, settings_, leadership_, replicas_, connectivity_, failure_detector_, workers_),
+      scheduler_(runtime_, events_, settings_, catalog_, operators_, leadership_, jobs_, dependencies_,
+                 failure_attribution_, state_writer_, workers_, objectives_, ledger_, quotas_),
+      autoscaler_(runtime_, settings_, catalog_, operators_, leadership_, jobs_, dependencies_, failure_attribution_,
+                  workers_, failure_detector_, scheduler_, objectives_),
+      federation_(runtime_, events_, settings_, catalog_, operators_, leadership_, cancellations_, state_limits_, jobs_,
+                  failure_attribution_, ledger_, state_writer_, workers_, replicas_, quotas_, autoscaler_, objectives_),
+      quota_changes_(runtime_, settings_, configuration_, quotas_, state_limits_),
+      quota_exchange_(runtime_, settings_, configuration_, leadership_, quotas_, quota_changes_, state_limits_,
+                      federation_),
+      applied_(runtime_, settings_, configuration_, state_limits_),
+      configuration_api_(runtime_, settings_, configuration_, operators_, quotas_, quota_changes_, quota_exchange_,
+                         state_limits_),
+      service_levels_(runtime_, jobs_, ended_, dependencies_),
+      status_reporter_(runtime_, settings_, catalog_, operators_, leadership_, cancellations_, jobs_, ended_,
+                       dependencies_, failure_attribution_, pending_reasons_, workers_, scheduler_, quotas_,
+                       autoscaler_, objectives_, ledger_, replicas_),
+      users_(runtime_, settings_, catalog_, state_limits_, leadership_, jobs_, ended_, replicas_, cancellations_,
+             quotas_, status_reporter_),
+      administration_(runtime_, settings_, catalog_, operators_, state_limits_, leadership_, cancellations_, jobs_,
+                      dependencies_, failure_attribution_, workers_, autoscaler_, replicas_, connectivity_, federation_,
+                      heartbeats_, service_levels_, status_reporter_, ledger_, configuration_api_),
+      event_log_(runtime_, jobs_, workers_) {
+  heartbeats_.refuse_while([this](const Heartbeat &r) { return federation_.unsure_of(r); });
 }
 
 Effects Core::apply(std::vector<Command> batch, Now at) {
-  port_.begin(at);
-  cells_.expire();
+  runtime_.begin(at);
+  federation_.expire();
   deliver();
   for (auto &c : batch) {
     std::visit([this](auto &&cmd) { on(std::move(cmd)); }, std::move(c));
@@ -51,14 +58,14 @@
   }
   users_.confirm();
   deliver();
-  if (lead_.leading()) {
-    placer_.settle();
+  if (leadership_.leading()) {
+    scheduler_.settle();
     deliver();
-    recorder_.flush();
+    state_writer_.flush();
     deliver();
-    fleet_.send_stops();
+    workers_.send_stops();
   }
-  return port_.take();
+  return runtime_.take();
 }
 
 // In this order those listen that have something to say about the event: the log, then what decides, then what tells.
@@ -70,9 +77,9 @@
       };
       (one(parts), ...);
     };
-    hand(chronicle_, configuration_, operators_, quotas_, quota_changes_, quota_exchange_, cancellations_,
-         dependencies_, judge_, fleet_, silence_, ledger_, recorder_, watch_, reports_, placer_, scaler_, cells_,
-         served_, reasons_, insight_, users_, jobs_);
+    hand(event_log_, configuration_, operators_, quotas_, quota_changes_, quota_exchange_, cancellations_,
+         dependencies_, failure_attribution_, workers_, failure_detector_, ledger_, state_writer_, watch_, heartbeats_,
+         scheduler_, autoscaler_, federation_, service_levels_, pending_reasons_, status_reporter_, users_, jobs_);
   });
 }
 
@@ -81,105 +88,106 @@
     fn();
     deliver(); // what one part has done is known to the next
   };
-  step([this] { port_.run_due(); });
-  step([this] { lead_.tick(); });
+  step([this] { runtime_.run_due(); });
+  step([this] { leadership_.tick(); });
   step([this] { watch_.tick(); });
-  silence_.tick();
-  step([this] { reach_.tick(reports_.kept()); });
-  if (siblings_.ping_due()) {
-    reports_.count_rates();
-    siblings_.ping();
+  failure_detector_.tick();
+  step([this] { connectivity_.tick(heartbeats_.kept()); });
+  if (replicas_.ping_due()) {
+    heartbeats_.count_rates();
+    replicas_.ping();
   }
-  step([this] { reports_.tick(); });
+  step([this] { heartbeats_.tick(); });
   users_.tick();
-  step([this] { scaler_.tick(); });
-  if (reach_.probe_wanted()) scaler_.probe();
-  step([this] { cells_.tick(); });
+  step([this] { autoscaler_.tick(); });
+  if (connectivity_.probe_wanted()) autoscaler_.probe();
+  step([this] { federation_.tick(); });
   step([this] { configuration_.tick(); });
   step([this] { quota_changes_.tick(); });
   step([this] { quota_exchange_.tick(); });
   applied_.tick();
-  if (!lead_.leading()) return;
+  if (!leadership_.leading()) return;
   step([this] {
     for (int j : jobs_.age())
-      fleet_.tend_gang(j);
+      workers_.tend_gang(j);
   });
   step([this] { dependencies_.tick(); });
-  insight_.log_summary();
-  served_.tick();
-  step([this] { fleet_.tick(); });
+  status_reporter_.log_summary();
+  service_levels_.tick();
+  step([this] { workers_.tick(); });
   step([this] { quotas_.tick(); });
   ledger_.tick();
-  step([this] { placer_.tick(); });
-  insight_.tell_siblings();
+  step([this] { scheduler_.tick(); });
+  status_reporter_.publish_to_replicas();
   assert(consistent());
 }
 
 // For asserts: what two parts know of the same thing agrees. A placed task has one slot, on its own machine.
 bool Core::consistent() const {
   bool good = true;
-  std::vector<std::uint32_t> slots(jobs_.slots(), 0);
-  fleet_.each([&](int m, const Machine &n) {
-    good &= fleet_.consistent(m);
-    for (const auto &s : n.slots)
-      if (s.job >= 0 && !s.finished) ++slots[static_cast<std::size_t>(s.job)];
+  std::vector<std::uint32_t> allocations(jobs_.index_limit(), 0);
+  workers_.each([&](int m, const Machine &n) {
+    good &= workers_.consistent(m);
+    for (const auto &s : n.allocations)
+      if (s.job >= 0 && !s.finished) ++allocations[static_cast<std::size_t>(s.job)];
+  });
+  jobs_.each([&](int j, const Job &n) {
+    good &= jobs_.consistent(j) && allocations[static_cast<std::size_t>(j)] == n.placed;
   });
-  jobs_.each(
-      [&](int j, const Job &n) { good &= jobs_.consistent(j) && slots[static_cast<std::size_t>(j)] == n.placed; });
   return good;
 }
 
-void Core::on(CmdUp &&cmd) {
-  if (catalogue_.known() &&
-      (port_.now() - port_.state_ok_at() < 3.0 || siblings_.common_outage() || users_.can_answer()))
-    port_.reply(cmd.req, 200, "");
+void Core::on(CmdHealthCheck &&cmd) {
+  if (catalog_.known() &&
+      (runtime_.now() - runtime_.state_ok_at() < 3.0 || replicas_.common_outage() || users_.can_answer()))
+    runtime_.reply(cmd.req, 200, "");
   else
-    port_.refuse(cmd.req, catalogue_.known() ? "state service out of reach" : "starting up");
+    runtime_.refuse(cmd.req, catalog_.known() ? "state service out of reach" : "starting up");
 }
 
 void Core::on(CmdStoreReply &&cmd) {
-  if (cmd.reply.status == 429 && budget_.refused(port_.now()))
-    port_.log(LogLevel::Info, "state_limits_have_fallen", {{"then", "the announced rates are kept to"}});
-  port_.answered(cmd);
+  if (cmd.reply.status == 429 && state_limits_.refused(runtime_.now()))
+    runtime_.log(LogLevel::Info, "state_service_limits_lowered", {{"then", "the announced rates are kept to"}});
+  runtime_.answered(cmd);
 }
 
-void Core::on(CmdReport &&cmd) {
-  answer(reports_.take(std::move(cmd)));
+void Core::on(CmdHeartbeat &&cmd) {
+  answer(heartbeats_.take(std::move(cmd)));
 }
 
 // What a report says is listened to before anything new is started by its answer: a machine may have been condemned
 // by it, and room may have come up.
-void Core::answer(std::optional<ReportDesk::Pending> report) {
+void Core::answer(std::optional<HeartbeatHandler::Pending> report) {
   if (!report) return;
   deliver();
-  placer_.offer(report->machine);
-  reports_.answer(std::move(*report));
+  scheduler_.offer(report->machine);
+  heartbeats_.answer(std::move(*report));
 }
 
 void Core::on(CmdPeer &&cmd) {
   using Kind = wire::PeerMessage::Kind;
   const auto &m = cmd.message;
-  lead_.hear_of(m.term, "a sibling knows a higher term");
+  leadership_.observe_term(m.term, "a sibling knows a higher term");
   switch (m.kind) {
   case Kind::Digest:
-    return insight_.take_digest(m);
+    return status_reporter_.take_digest(m);
   case Kind::Orders:
-    return reports_.take_orders(m);
+    return heartbeats_.take_orders(m);
   case Kind::Report:
-    return answer(reports_.take_passed(cmd));
+    return answer(heartbeats_.take_passed(cmd));
   case Kind::CellAsk:
-    return cells_.take_passed(cmd);
+    return federation_.take_passed(cmd);
   case Kind::CellTold:
-    return cells_.take_back(m);
+    return federation_.take_back(m);
   case Kind::Ask:
     return users_.take_asked(cmd);
   case Kind::Told:
     return users_.take_told(m);
   case Kind::Ping:
-    return siblings_.answer_ping(cmd, reports_.standing());
+    return replicas_.answer_ping(cmd, heartbeats_.standing());
   case Kind::Pong:
-    if (siblings_.take_pong(cmd)) reports_.pong_taken(m);
+    if (replicas_.take_pong(cmd)) heartbeats_.pong_taken(m);
   }
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/dependencies.cpp
+++ b/src/core/dependencies.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kReadAgain = 1.0; // s, after a look-up that has told nothing
@@ -75,7 +75,7 @@
     end.cancelled ? stop(d, id) : done(d, end.end_wall);
 }
 
-void Dependencies::on(const EndLearnt &e) {
+void Dependencies::on(const JobEndLearned &e) {
   const auto *end = ended_.find(e.id);
   if (!end) return; // pushed out by newer ones: read again
   if (auto it = unknown_.find(e.id); it != unknown_.end()) {
@@ -91,7 +91,7 @@
   }
 }
 
-void Dependencies::on(const JobOver &e) {
+void Dependencies::on(const JobFinalized &e) {
   if (static_cast<std::size_t>(e.job) >= nodes_.size()) return;
   Node &n = at(e.job);
   for (int needed : n.needs)
@@ -122,10 +122,10 @@
 // ---- names that are not open here ----
 
 void Dependencies::tick() {
-  if (!lead_.leading()) return;
+  if (!leadership_.leading()) return;
   for (auto &[name, u] : unknown_) {
-    if (reading_ >= kMostReads) return;
-    if (u.reading || port_.now() < u.next_read || !budget_.take_read(port_.now(), 1.3)) continue;
+    if (reading_ >= kMaxReads) return;
+    if (u.reading || runtime_.now() < u.next_read || !state_limits_.take_read(runtime_.now(), 1.3)) continue;
     u.reading = true;
     ++reading_;
     read(name);
@@ -139,17 +139,17 @@
     --reading_;
     if (auto it = unknown_.find(name); it != unknown_.end()) {
       it->second.reading = false;
-      it->second.next_read = port_.now() + kReadAgain;
+      it->second.next_read = runtime_.now() + kReadAgain;
     }
     if (end) ended_.remember(name, std::move(*end));
   };
-  const auto epoch = lead_.epoch();
-  port_.store(StoreGet{"open/" + name}, 1.0, [this, name, told, epoch](const wire::StoreReply &r) {
-    if (epoch != lead_.epoch()) return;
+  const auto epoch = leadership_.epoch();
+  runtime_.store(StoreGet{"open/" + name}, 1.0, [this, name, told, epoch](const wire::StoreReply &r) {
+    if (epoch != leadership_.epoch()) return;
     if (r.status != 404)
       return told(r.status == 200 && r.entries.size() == 1 ? wire::final_from_json(r.entries[0].value) : std::nullopt);
-    port_.store(StoreGet{"end/" + name}, 1.0, [this, told, epoch](const wire::StoreReply &e) {
-      if (epoch != lead_.epoch()) return;
+    runtime_.store(StoreGet{"end/" + name}, 1.0, [this, told, epoch](const wire::StoreReply &e) {
+      if (epoch != leadership_.epoch()) return;
       told(e.status == 200 && e.entries.size() == 1 ? wire::end_from_json(e.entries[0].value) : std::nullopt);
     });
   });
@@ -158,7 +158,7 @@
 // ---- what follows along the graph ----
 
 double Dependencies::lead_time(int j) const {
-  return kEstimateCare * jobs_[j].spec.estimate_s + kHandOver + settings_.report_s;
+  return kEstimateCare * jobs_[j].spec.estimate_s + kHandOver + settings_.heartbeat_interval_s;
 }
 
 void Dependencies::recompute() const {
@@ -212,8 +212,8 @@
 }
 
 Dependencies::Path Dependencies::along(const std::function<double(int)> &left) const {
-  const std::vector<double> none(jobs_.slots(), 0);
-  Path out{none, none, std::vector<int>(jobs_.slots(), -1)};
+  const std::vector<double> none(jobs_.index_limit(), 0);
+  Path out{none, none, std::vector<int>(jobs_.index_limit(), -1)};
   for (int j : in_order()) {
     if (!jobs_.find(j)) continue;
     const auto at = static_cast<std::size_t>(j);
@@ -232,4 +232,4 @@
   return order_;
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/insight.cpp
+++ b/src/core/insight.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kDigestEvery = 0.5;     // s
@@ -18,9 +18,9 @@
 }
 } // namespace
 
-Insight::Supplies Insight::supplies() const {
+StatusReporter::Supplies StatusReporter::supplies() const {
   Supplies out;
-  fleet_.each([&](int, const Machine &m) {
+  workers_.each([&](int, const Machine &m) {
     if (m.type < 0 || m.lost || m.returning || m.order) return;
     auto &s = out[{m.type, m.zone, m.spot}];
     ++(m.heard ? s.up : s.starting);
@@ -28,32 +28,34 @@
   return out;
 }
 
-bool Insight::any_running(int j) const {
+bool StatusReporter::any_running(int j) const {
   for (const auto &t : jobs_[j].tasks)
     if (t.state == TaskState::Placed)
-      for (const auto &s : fleet_[t.machine].slots)
+      for (const auto &s : workers_[t.machine].allocations)
         if (s.job == j && s.phase == TaskPhase::Running) return true;
   return false;
 }
 
 // Why the job's tasks wait, or what last happened to them, in words for its owner.
-std::string Insight::why(int j, const Supplies &supply) const {
+std::string StatusReporter::why(int j, const Supplies &supply) const {
   const Job &n = jobs_[j];
   if (const auto &with = dependencies_.stopped_with(j); !with.empty()) return stopped_with(with);
   if (n.cancelled) return "stopped: cancelled by its user";
   if (!dependencies_.ready(j)) return why_not_ready(j);
   if (n.done == n.spec.tasks) return "all tasks have completed; this is being recorded";
-  if (judge_.suspect(j)) {
+  if (failure_attribution_.suspect(j)) {
     if (n.placed)
-      return fmt::format("failed with an error on {} machines; being tried again: check the job", judge_.failed_on(j));
-    return fmt::format("failed with an error on {} machines; next try in {:.0f} s: check the job", judge_.failed_on(j),
-                       std::max(0.0, judge_.retry_at(j) - port_.now()));
+      return fmt::format("failed with an error on {} machines; being tried again: check the job",
+                         failure_attribution_.failed_on(j));
+    return fmt::format("failed with an error on {} machines; next try in {:.0f} s: check the job",
+                       failure_attribution_.failed_on(j),
+                       std::max(0.0, failure_attribution_.retry_at(j) - runtime_.now()));
   }
-  const std::string &last = reasons_.of(j);
+  const std::string &last = pending_reasons_.of(j);
   std::string wait;
-  if (!lead_.lease_valid())
+  if (!leadership_.lease_valid())
     wait = fmt::format("nothing is started: the state service has not answered since {}",
-                       wire::clock_time(port_.state_ok_wall()));
+                       wire::clock_time(runtime_.state_ok_wall()));
   else if (!cancellations_.may_renew())
     wait = fmt::format("nothing is started: the state service has told of no cancellations since {}",
                        wire::clock_time(cancellations_.known_until_wall()));
@@ -63,24 +65,25 @@
     wait = fmt::format("{} started by an earlier leader {} looked for on the machines; what is not found by {} starts "
                        "again",
                        plural(n.unaccounted, "task"), n.unaccounted == 1 ? "is" : "are",
-                       wire::clock_time(port_.wall() + std::max(0.0, jobs_.unaccounted_until() - port_.now())));
+                       wire::clock_time(runtime_.wall() + std::max(0.0, jobs_.unaccounted_until() - runtime_.now())));
   else if (n.pending())
     wait = why_waiting(j, supply);
   if (wait.empty() && n.placed && n.done == 0 && last.empty() && !any_running(j))
     wait = n.placed == 1 ? "its task has a machine and fetches its image"
                          : fmt::format("its {} tasks have machines and fetch their images", n.placed);
-  if (n.lent) {
+  if (n.delegated) {
     std::string cells;
-    for (const auto &l : n.loans)
+    for (const auto &l : n.delegations)
       if (!l.lapsed) cells += (cells.empty() ? "" : " and ") + l.cell;
-    const auto where = fmt::format("{} of it {} in cell {}", plural(n.lent, "task"), n.lent == 1 ? "is" : "are", cells);
+    const auto where =
+        fmt::format("{} of it {} in cell {}", plural(n.delegated, "task"), n.delegated == 1 ? "is" : "are", cells);
     wait = wait.empty() ? where : wait + "; " + where;
   }
   if (wait.empty()) return last;
   return last.empty() ? wait : wait + "; " + last;
 }
 
-std::string Insight::why_not_ready(int j) const {
+std::string StatusReporter::why_not_ready(int j) const {
   const auto &open = dependencies_.waits_for(j);
   const std::size_t others = open.size() + dependencies_.unknown(j) - !open.empty();
   if (open.empty()) return fmt::format("waits for {} that this leader is still looking up", plural(others, "job"));
@@ -91,15 +94,15 @@
          at_risk(j);
 }
 
-std::string Insight::why_held(const Job &n) const {
+std::string StatusReporter::why_held(const Job &n) const {
   const auto &clock = operators_.budgets().clock;
   return fmt::format("held: team {} has used its {:g} CPU hours of this {}, since {}; {} {} for {} or a larger budget",
                      n.spec.team, ledger_.budget(n.team)->cpu_hours, clock.weekly ? "week" : "day",
-                     wire::clock_time(clock.begin(port_.wall())), plural(n.pending(), "task"),
-                     n.pending() == 1 ? "waits" : "wait", wire::clock_time(clock.end(port_.wall())));
+                     wire::clock_time(clock.begin(runtime_.wall())), plural(n.pending(), "task"),
+                     n.pending() == 1 ? "waits" : "wait", wire::clock_time(clock.end(runtime_.wall())));
 }
 
-std::string Insight::why_limited(const Job &n) const {
+std::string StatusReporter::why_limited(const Job &n) const {
   if (n.team < 0) return "";
   const Team &here = quotas_.here(n.team);
   if (here.cpus_max <= 0) return "";
@@ -117,19 +120,19 @@
   return fmt::format("team {} uses all of its {}", n.spec.team, limit);
 }
 
-std::string Insight::why_waiting(int j, const Supplies &supply) const {
+std::string StatusReporter::why_waiting(int j, const Supplies &supply) const {
   const Job &n = jobs_[j];
   int up = 0, starting = 0;
   bool refused = true;
-  PlaceJob p = placer_.place_job(j);
+  PlaceJob p = scheduler_.place_job(j);
   p.barred.clear();
-  const auto &types = catalogue_.types();
+  const auto &types = catalog_.types();
   for (std::size_t t = 0; t < types.size(); ++t)
     for (const auto &zone : types[t].zones)
       for (bool spot : {false, true}) {
         PlaceMachine m;
         m.type = static_cast<int>(t);
-        m.zone = catalogue_.find_zone(zone);
+        m.zone = catalog_.find_zone(zone);
         m.spot = spot;
         if (!allowed(p, m) || !p.need.fits(types[t].size)) continue;
         const MachineKind kind(m.type, m.zone, spot);
@@ -137,7 +140,7 @@
           up += s->second.up;
           starting += s->second.starting;
         }
-        refused &= scaler_.refused(kind);
+        refused &= autoscaler_.refused(kind);
       }
   const std::string what = fmt::format("{:g} CPUs and {:g} GB{}", n.spec.need.cpus, n.spec.need.memory,
                                        n.spec.zone ? " in " + *n.spec.zone : "");
@@ -159,34 +162,34 @@
          wait;
 }
 
-const Dependencies::Path &Insight::outlook() const {
-  if (port_.now() - outlook_at_ < kOutlookEvery && outlook_.done_in.size() == jobs_.slots()) return outlook_;
-  outlook_at_ = port_.now();
+const Dependencies::Path &StatusReporter::outlook() const {
+  if (runtime_.now() - outlook_at_ < kOutlookEvery && outlook_.done_in.size() == jobs_.index_limit()) return outlook_;
+  outlook_at_ = runtime_.now();
   outlook_ = dependencies_.along([this](int j) {
     const Job &n = jobs_[j];
-    const double queue = n.pending() * n.spec.need.cpus / std::max(1.0, placer_.up_cpus());
+    const double queue = n.pending() * n.spec.need.cpus / std::max(1.0, scheduler_.up_cpus());
     return n.pending() ? n.spec.estimate_s * (1 + queue)
-                       : std::max(0.0, n.spec.estimate_s - std::max(0.0, placer_.age(j)));
+                       : std::max(0.0, n.spec.estimate_s - std::max(0.0, scheduler_.age(j)));
   });
   return outlook_;
 }
 
-bool Insight::foreseen_late(int j) const {
+bool StatusReporter::foreseen_late(int j) const {
   const Job &n = jobs_[j];
-  const auto wanted = wishes_.wanted_after(n.spec, dependencies_.deadline(j));
+  const auto wanted = objectives_.wanted_after(n.spec, dependencies_.deadline(j));
   if (!wanted || n.cancelled || n.done == n.spec.tasks) return false;
   const auto &o = outlook();
   const auto at = static_cast<std::size_t>(j);
   const double left = at >= o.done_in.size() ? 0 : n.pending() ? o.done_in[at] : o.begins_in[at];
-  return std::max(0.0, placer_.age(j)) + left > operators_.tunables().late_notice_share * *wanted;
+  return std::max(0.0, scheduler_.age(j)) + left > operators_.tunables().late_notice_share * *wanted;
 }
 
 // Of a job that waits for others and has a deadline: which stage will make it late, and by how much.
-std::string Insight::at_risk(int j) const {
+std::string StatusReporter::at_risk(int j) const {
   const auto wanted = dependencies_.own_deadline(j);
   const auto &o = outlook();
   if (!wanted || static_cast<std::size_t>(j) >= o.done_in.size()) return {};
-  const double late = std::max(0.0, placer_.age(j)) + o.done_in[static_cast<std::size_t>(j)] - *wanted;
+  const double late = std::max(0.0, scheduler_.age(j)) + o.done_in[static_cast<std::size_t>(j)] - *wanted;
   if (late <= 0) return {};
   int stage = j;
   while (o.last[static_cast<std::size_t>(stage)] >= 0)
@@ -196,8 +199,8 @@
                      jobs_[stage].spec.id, jobs_[stage].spec.job_class);
 }
 
-bool Insight::foreseen_late(const std::string &id) const {
-  if (lead_.leading()) {
+bool StatusReporter::foreseen_late(const std::string &id) const {
+  if (leadership_.leading()) {
     const int j = jobs_.index(id);
     return j >= 0 && foreseen_late(j);
   }
@@ -205,23 +208,23 @@
   return it != news_.end() && it->second.late;
 }
 
-std::size_t Insight::foreseen_late_count() const {
+std::size_t StatusReporter::foreseen_late_count() const {
   std::size_t late = 0;
-  if (!lead_.leading())
+  if (!leadership_.leading())
     return static_cast<std::size_t>(
         std::count_if(news_.begin(), news_.end(), [](const auto &n) { return n.second.late; }));
   jobs_.each([&](int j, const Job &n) { late += !n.cancelled && n.team >= 0 && foreseen_late(j); });
   return late;
 }
 
-void Insight::log_summary() {
-  if (port_.now() < next_summary_) return;
-  next_summary_ = port_.now() + kSummaryEvery;
+void StatusReporter::log_summary() {
+  if (runtime_.now() < next_summary_) return;
+  next_summary_ = runtime_.now() + kSummaryEvery;
   struct Kind {
     int up = 0, booting = 0;
     double cpus = 0, used = 0;
   } kinds[2]; // ordinary, spot
-  fleet_.each([&](int, const Machine &m) {
+  workers_.each([&](int, const Machine &m) {
     if (m.lost) return;
     Kind &k = kinds[m.spot];
     ++(m.heard ? k.up : k.booting);
@@ -236,27 +239,27 @@
     ++open;
     waiting += n.pending();
   });
-  port_.log(LogLevel::Info, "summary",
-            {{"jobs_open", open},
-             {"tasks_waiting", waiting},
-             {"ordinary_up", kinds[0].up},
-             {"ordinary_booting", kinds[0].booting},
-             {"ordinary_cpus_used", kinds[0].used},
-             {"ordinary_cpus", kinds[0].cpus},
-             {"spot_up", kinds[1].up},
-             {"spot_booting", kinds[1].booting},
-             {"spot_cpus_used", kinds[1].used},
-             {"spot_cpus", kinds[1].cpus}});
+  runtime_.log(LogLevel::Info, "summary_reported",
+               {{"jobs_open", open},
+                {"tasks_waiting", waiting},
+                {"ordinary_up", kinds[0].up},
+                {"ordinary_booting", kinds[0].booting},
+                {"ordinary_cpus_used", kinds[0].used},
+                {"ordinary_cpus", kinds[0].cpus},
+                {"spot_up", kinds[1].up},
+                {"spot_booting", kinds[1].booting},
+                {"spot_cpus_used", kinds[1].used},
+                {"spot_cpus", kinds[1].cpus}});
 }
 
 // A frame each half second: the jobs whose counts have changed first, then the others in turn. What does not fit
 // waits for the next frame.
-void Insight::tell_siblings() {
-  if (!lead_.leading() || port_.now() < next_digest_ || siblings_.count() == 0) return;
-  next_digest_ = port_.now() + kDigestEvery;
-  const auto running = fleet_.running_counts();
+void StatusReporter::publish_to_replicas() {
+  if (!leadership_.leading() || runtime_.now() < next_digest_ || replicas_.count() == 0) return;
+  next_digest_ = runtime_.now() + kDigestEvery;
+  const auto running = workers_.running_counts();
   std::vector<int> first, rest;
-  const std::size_t n = jobs_.slots();
+  const std::size_t n = jobs_.index_limit();
   for (std::size_t k = 0; k < n; ++k) {
     const int j = static_cast<int>((cursor_ + k) % n);
     const Job *job = jobs_.find(j);
@@ -268,7 +271,7 @@
   const auto supply = supplies();
   wire::PeerMessage m;
   m.kind = wire::PeerMessage::Kind::Digest;
-  m.term = lead_.term();
+  m.term = leadership_.term();
   std::size_t room = wire::kPeerMaxBody - 64;
   for (const auto *list : {&first, &rest})
     for (int j : *list) {
@@ -280,11 +283,11 @@
       if (list == &rest) cursor_ = static_cast<std::size_t>(j) + 1;
       m.news.push_back(std::move(news));
     }
-  siblings_.tell_all(m);
+  replicas_.tell_all(m);
 }
 
-void Insight::take_digest(const wire::PeerMessage &m) {
-  if (m.term < news_term_ || lead_.leading()) return;
+void StatusReporter::take_digest(const wire::PeerMessage &m) {
+  if (m.term < news_term_ || leadership_.leading()) return;
   if (m.term > news_term_) {
     news_.clear();
     news_order_.clear();
@@ -292,7 +295,7 @@
   news_term_ = m.term;
   for (const auto &n : m.news) {
     if (ended_.find(n.id)) continue;
-    if (!news_.insert_or_assign(n.id, News{n.done, n.running, n.late, n.reason, port_.now()}).second) continue;
+    if (!news_.insert_or_assign(n.id, News{n.done, n.running, n.late, n.reason, runtime_.now()}).second) continue;
     news_order_.push_back(n.id);
     while (news_order_.size() > kMaxNews) {
       news_.erase(news_order_.front());
@@ -301,34 +304,35 @@
   }
 }
 
-void Insight::on(const TermBegun &) {
+void StatusReporter::on(const TermStarted &) {
   news_.clear();
   news_order_.clear();
 }
 
-JobView Insight::view(const std::string &id, bool cancelled) const {
+JobView StatusReporter::view(const std::string &id, bool cancelled) const {
   JobView view{id, cancelled ? JobState::Cancelled : JobState::Queued, 0, 0, {}};
-  if (const int j = lead_.leading() ? jobs_.index(id) : -1; j >= 0) {
+  if (const int j = leadership_.leading() ? jobs_.index(id) : -1; j >= 0) {
     view.done = jobs_[j].done;
-    view.running = fleet_.running(j);
+    view.running = workers_.running(j);
     view.reason = why(j, supplies());
   } else if (cancelled) {
     view.reason = "stopped: cancelled by its user";
-  } else if (auto it = news_.find(id);
-             it != news_.end() && news_term_ >= lead_.leader_term() && port_.now() - it->second.at < kNewsLife) {
+  } else if (auto it = news_.find(id); it != news_.end() && news_term_ >= leadership_.leader_term() &&
+                                       runtime_.now() - it->second.at < kNewsLife) {
     view.done = it->second.done;
     view.running = it->second.running;
     view.reason = it->second.reason;
-  } else if (lead_.leader_name().empty()) {
-    view.reason = lead_.leaderless_since_wall() > 0 ? fmt::format("no leader since {}; the next one starts what waits",
-                                                                  wire::clock_time(lead_.leaderless_since_wall()))
-                                                    : "no leader is known yet";
+  } else if (leadership_.leader_name().empty()) {
+    view.reason = leadership_.leaderless_since_wall() > 0
+                      ? fmt::format("no leader since {}; the next one starts what waits",
+                                    wire::clock_time(leadership_.leaderless_since_wall()))
+                      : "no leader is known yet";
   } else {
     view.reason = fmt::format("how far it is cannot be told by this node: no word of it from the leader, {}",
-                              lead_.leader_name());
+                              leadership_.leader_name());
   }
   if (!cancelled && view.running) view.state = JobState::Running;
   return view;
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/jobs.cpp
+++ b/src/core/jobs.cpp
@@ -4,9 +4,9 @@
 #include <cassert>
 #include <utility>
 
-namespace loft::core {
+namespace loftrouter::core {
 
-JobTable::JobTable(Port &port, Events &events, const Settings &settings) : port_(port), events_(events) {
+JobTable::JobTable(Runtime &runtime, Events &events, const Settings &settings) : runtime_(runtime), events_(events) {
   for (const auto &t : settings.teams)
     team_names_.get(t.name);
 }
@@ -16,7 +16,7 @@
   return it == index_.end() ? -1 : it->second;
 }
 
-int JobTable::add(OpenRecord record, std::uint64_t stamp) {
+int JobTable::add(OpenRecord record, std::uint64_t mod_revision) {
   assert(!index_.contains(record.spec.id));
   int j;
   if (!free_.empty()) {
@@ -32,16 +32,16 @@
   n.spec = std::move(record.spec);
   n.submit_wall = record.submit_wall;
   n.cancelled = record.cancelled;
-  n.open_stamp = stamp;
+  n.open_mod_revision = mod_revision;
   n.serial = ++serial_;
   n.tasks.resize(n.spec.tasks);
-  if (record.lent) {
-    // Accounts and queues tell it apart from this cell's own work; the name is no team's (UserDesk refuses it).
-    n.spec.team = "@" + record.lent->home;
-    n.borrowed = std::move(record.lent);
+  if (record.delegated) {
+    // Accounts and queues tell it apart from this cell's own work; the name is no team's (JobApiHandler refuses it).
+    n.spec.team = "@" + record.delegated->origin;
+    n.delegated_here = std::move(record.delegated);
     n.paused = true;
     std::vector<char> mine(n.spec.tasks, 0);
-    for (auto [a, b] : n.borrowed->tasks)
+    for (auto [a, b] : n.delegated_here->tasks)
       for (auto i = a; i < b && i < n.spec.tasks; ++i)
         mine[i] = 1;
     for (std::uint32_t i = 0; i < n.spec.tasks; ++i)
@@ -63,50 +63,51 @@
   for (auto [a, b] : progress.finished)
     for (auto i = a; i < b && i < n.spec.tasks; ++i)
       set(j, i, TaskState::Done);
-  for (const auto &loan : progress.loans) {
-    n.loans.push_back(loan);
-    for (auto [a, b] : loan.lapsed ? Ranges{} : loan.tasks)
+  for (const auto &delegation : progress.delegations) {
+    n.delegations.push_back(delegation);
+    for (auto [a, b] : delegation.lapsed ? Ranges{} : delegation.tasks)
       for (auto i = a; i < b && i < n.spec.tasks; ++i)
-        if (n.tasks[i].state != TaskState::Done) set(j, i, TaskState::Lent);
+        if (n.tasks[i].state != TaskState::Done) set(j, i, TaskState::DelegationSource);
   }
   assert(consistent(j));
 }
 
 // ---- lent to another cell ----
 
-void JobTable::lend(int j, LoanRecord loan) {
-  for (auto [a, b] : loan.tasks)
+void JobTable::delegate(int j, DelegationRecord delegation) {
+  for (auto [a, b] : delegation.tasks)
     for (auto i = a; i < b; ++i) {
       assert(at(j).tasks[i].state == TaskState::Pending);
-      set(j, i, TaskState::Lent);
+      set(j, i, TaskState::DelegationSource);
     }
-  at(j).loans.push_back(std::move(loan));
+  at(j).delegations.push_back(std::move(delegation));
   changed(j, true);
 }
 
-void JobTable::charge_loan(int j, std::uint64_t generation, const accounts::Usage &charged) {
-  for (auto &l : at(j).loans)
+void JobTable::charge_delegation(int j, std::uint64_t generation, const accounts::Usage &charged) {
+  for (auto &l : at(j).delegations)
     if (l.generation == generation) l.charged = charged;
 }
 
-void JobTable::free_lent(int j, const Ranges &tasks) {
+void JobTable::free_delegated(int j, const Ranges &tasks) {
   for (auto [a, b] : tasks)
     for (auto i = a; i < b; ++i)
-      if (at(j).tasks[i].state == TaskState::Lent) set(j, i, TaskState::Pending);
+      if (at(j).tasks[i].state == TaskState::DelegationSource) set(j, i, TaskState::Pending);
 }
 
-void JobTable::lapse_loan(int j, std::uint64_t generation) {
-  for (auto &l : at(j).loans)
-    if (l.generation == generation && !std::exchange(l.lapsed, true)) free_lent(j, l.tasks);
+void JobTable::expire_delegation(int j, std::uint64_t generation) {
+  for (auto &l : at(j).delegations)
+    if (l.generation == generation && !std::exchange(l.lapsed, true)) free_delegated(j, l.tasks);
   changed(j, true);
 }
 
-void JobTable::drop_loan(int j, std::uint64_t generation) {
-  auto &loans = at(j).loans;
-  const auto it = std::find_if(loans.begin(), loans.end(), [&](const auto &l) { return l.generation == generation; });
-  if (it == loans.end()) return;
-  if (!it->lapsed) free_lent(j, it->tasks);
-  loans.erase(it);
+void JobTable::remove_delegation(int j, std::uint64_t generation) {
+  auto &delegations = at(j).delegations;
+  const auto it =
+      std::find_if(delegations.begin(), delegations.end(), [&](const auto &l) { return l.generation == generation; });
+  if (it == delegations.end()) return;
+  if (!it->lapsed) free_delegated(j, it->tasks);
+  delegations.erase(it);
   changed(j, true);
 }
 
@@ -125,7 +126,7 @@
 }
 
 void JobTable::remove(int j) {
-  events_.publish(JobOver{j, at(j).spec.id});
+  events_.publish(JobFinalized{j, at(j).spec.id});
   index_.erase(at(j).spec.id);
   jobs_[static_cast<std::size_t>(j)].reset();
 }
@@ -144,10 +145,10 @@
   if (n.finishable()) changed(j, true);
 }
 
-bool JobTable::restamp(int j, std::uint64_t stamp) {
+bool JobTable::update_mod_revision(int j, std::uint64_t mod_revision) {
   Job &n = at(j);
-  if (stamp <= n.open_stamp) return false;
-  n.open_stamp = stamp;
+  if (mod_revision <= n.open_mod_revision) return false;
+  n.open_mod_revision = mod_revision;
   return true;
 }
 
@@ -173,8 +174,8 @@
   case TaskState::Done:
     --n.done;
     break;
-  case TaskState::Lent:
-    --n.lent;
+  case TaskState::DelegationSource:
+    --n.delegated;
     break;
   case TaskState::Pending:
     break;
@@ -191,14 +192,14 @@
   case TaskState::Done:
     ++n.done;
     break;
-  case TaskState::Lent:
-    ++n.lent;
+  case TaskState::DelegationSource:
+    ++n.delegated;
     break;
   case TaskState::Pending:
     ++arrivals_;
     break;
   }
-  assert(n.done + n.placed + n.unaccounted + n.lent <= n.spec.tasks);
+  assert(n.done + n.placed + n.unaccounted + n.delegated <= n.spec.tasks);
 }
 
 void JobTable::place(int j, std::uint32_t i, int machine, int zone) {
@@ -238,11 +239,11 @@
 
 std::vector<int> JobTable::age() {
   std::vector<int> concerned;
-  if (unaccounted_until_ <= 0 || port_.now() < unaccounted_until_) return concerned;
+  if (unaccounted_until_ <= 0 || runtime_.now() < unaccounted_until_) return concerned;
   unaccounted_until_ = 0;
   for (int j = 0; j < static_cast<int>(jobs_.size()); ++j) {
     if (!find(j) || at(j).unaccounted == 0) continue;
-    events_.publish(TasksGivenUp{j, at(j).unaccounted});
+    events_.publish(TasksAbandoned{j, at(j).unaccounted});
     for (std::uint32_t i = 0; i < at(j).spec.tasks; ++i)
       if (at(j).tasks[i].state == TaskState::Unaccounted) set(j, i, TaskState::Pending);
     if (at(j).finishable()) changed(j, true);
@@ -253,15 +254,15 @@
 
 bool JobTable::consistent(int j) const {
   const Job &n = *find(j);
-  std::uint32_t done = 0, placed = 0, unaccounted = 0, lent = 0;
+  std::uint32_t done = 0, placed = 0, unaccounted = 0, delegated = 0;
   for (const auto &t : n.tasks) {
-    lent += t.state == TaskState::Lent;
+    delegated += t.state == TaskState::DelegationSource;
     done += t.state == TaskState::Done;
     placed += t.state == TaskState::Placed;
     unaccounted += t.state == TaskState::Unaccounted;
     if ((t.state == TaskState::Placed) != (t.machine >= 0)) return false;
   }
-  return done == n.done && placed == n.placed && unaccounted == n.unaccounted && lent == n.lent;
+  return done == n.done && placed == n.placed && unaccounted == n.unaccounted && delegated == n.delegated;
 }
 
 const EndRecord *EndedJobs::find(const std::string &id) const {
@@ -270,13 +271,13 @@
 }
 
 void EndedJobs::remember(const std::string &id, EndRecord end) {
-  events_.publish(EndLearnt{id});
+  events_.publish(JobEndLearned{id});
   if (!ends_.emplace(id, std::move(end)).second) return;
   order_.push_back(id);
-  if (order_.size() > kMost) {
+  if (order_.size() > kMax) {
     ends_.erase(order_.front());
     order_.pop_front();
   }
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/ledger.cpp
+++ b/src/core/ledger.cpp
@@ -4,7 +4,7 @@
 #include <cassert>
 #include <cmath>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kTick = 0.5; // s
@@ -12,11 +12,11 @@
 
 const std::string &Ledger::period() {
   const auto &clock = operators_.budgets().clock;
-  if (port_.wall() < period_begin_ || port_.wall() >= period_end_ || !(clock == period_clock_)) {
+  if (runtime_.wall() < period_begin_ || runtime_.wall() >= period_end_ || !(clock == period_clock_)) {
     period_clock_ = clock;
-    period_ = clock.name(port_.wall());
-    period_begin_ = clock.begin(port_.wall());
-    period_end_ = clock.end(port_.wall());
+    period_ = clock.name(runtime_.wall());
+    period_begin_ = clock.begin(runtime_.wall());
+    period_end_ = clock.end(runtime_.wall());
   }
   return period_;
 }
@@ -61,7 +61,7 @@
 }
 
 std::int64_t Ledger::since_record(const Account &a) const {
-  return a.at_ms ? std::max<std::int64_t>(0, ms(port_.wall()) - a.at_ms) : 0;
+  return a.at_ms ? std::max<std::int64_t>(0, ms(runtime_.wall()) - a.at_ms) : 0;
 }
 
 // Of a task that an earlier leader has recorded as started and that was not seen since that record: it may have held a
@@ -75,7 +75,7 @@
     u[accounts::Uncertain] = waited_for * since_record(a);
     charge(j, u);
   }
-  a.at_ms = ms(port_.wall());
+  a.at_ms = ms(runtime_.wall());
   out.usage = a.usage;
   out.running_ms = under_way(a);
   out.at_ms = a.at_ms;
@@ -119,11 +119,11 @@
   if (!rest.none()) sums_at(record)[{period(), team}] += accounts::sums_of(rest, need);
 }
 
-void Ledger::on(const TaskHeld &e) {
+void Ledger::on(const TaskAllocated &e) {
   if (!on()) return;
   Account &a = at(e.job);
   ++a.in_flight;
-  a.since_ms += ms(port_.now());
+  a.since_ms += ms(runtime_.now());
   accounts::Usage u;
   if (!e.found) u[accounts::Attempts] = 1;
   if (e.unaccounted) u[accounts::Uncertain] = since_record(a);
@@ -131,10 +131,10 @@
   if (e.found) jobs_.changed(e.job, false);
 }
 
-void Ledger::on(const TaskFreed &e) {
+void Ledger::on(const TaskReleased &e) {
   if (!on()) return;
   Account &a = at(e.job);
-  const std::int64_t from = ms(e.held_since), to = ms(port_.now());
+  const std::int64_t from = ms(e.held_since), to = ms(runtime_.now());
   const std::int64_t runs = e.running_since >= 0 ? ms(e.running_since) : to;
   const std::int64_t waits = e.waiting_since >= 0 ? ms(e.waiting_since) : runs;
   assert(from <= waits && waits <= runs && runs <= to && a.in_flight > 0);
@@ -151,7 +151,7 @@
   jobs_.changed(e.job, false);
 }
 
-void Ledger::on(const TasksGivenUp &e) {
+void Ledger::on(const TasksAbandoned &e) {
   if (!on()) return;
   accounts::Usage u;
   u[accounts::Uncertain] = e.tasks * since_record(at(e.job));
@@ -165,9 +165,9 @@
   used_.clear();
 }
 
-std::int64_t Ledger::cost(const TaskFreed &e, std::int64_t held_ms) const {
+std::int64_t Ledger::cost(const TaskReleased &e, std::int64_t held_ms) const {
   if (e.type < 0) return 0;
-  const auto &type = catalogue_.type(e.type);
+  const auto &type = catalog_.type(e.type);
   const auto &need = jobs_[e.job].spec.need;
   auto share = [](double part, double all) { return all > 0 ? part / all : 0.0; };
   const double largest = std::max(
@@ -188,8 +188,8 @@
 }
 
 void Ledger::tick() {
-  if (!on() || port_.now() < next_tick_) return;
-  next_tick_ = port_.now() + kTick;
+  if (!on() || runtime_.now() < next_tick_) return;
+  next_tick_ = runtime_.now() + kTick;
   used_.assign(settings_.teams.size(), 0);
   told_.resize(settings_.teams.size());
   for (const auto &record : sums_)
@@ -206,12 +206,12 @@
   for (std::size_t t = 0; t < told_.size(); ++t) {
     const bool spent = this->spent(static_cast<int>(t));
     if (spent != told_[t])
-      port_.log(LogLevel::Info, spent ? "budget_spent" : "budget_has_room",
-                {{"team", settings_.teams[t].name},
-                 {"period", period()},
-                 {"cpu_hours", static_cast<double>(used_[t]) / accounts::kSumsAnHour}});
+      runtime_.log(LogLevel::Info, spent ? "budget_spent" : "budget_has_room",
+                   {{"team", settings_.teams[t].name},
+                    {"period", period()},
+                    {"cpu_hours", static_cast<double>(used_[t]) / accounts::kSumsAnHour}});
     told_[t] = spent;
   }
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -5,7 +5,7 @@
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 LogField::LogField(std::string_view k, double v) : key(k), value(fmt::format("{:.1f}", v)), number(true) {}
 
@@ -49,4 +49,4 @@
   return object.substr(1, object.size() - 2);
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/operators.cpp
+++ b/src/core/operators.cpp
@@ -2,7 +2,7 @@
 
 #include "loftrouter/wire/configuration.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 // Whether a record, and not the document's entry of this name, says what is in force.
@@ -26,7 +26,7 @@
   wire::Tunables t;
   if (!document) return;
   if (auto problem = wire::apply_tunables(document->value, t))
-    port_.log(LogLevel::Error, "operators_settings_unreadable", {{"why", *problem}});
+    runtime_.log(LogLevel::Error, "operator_settings_rejected", {{"why", *problem}});
   else
     tunables_ = t;
 }
@@ -36,7 +36,7 @@
   wire::CellRules r;
   if (!document) return;
   if (auto problem = wire::apply_cell_rules(document->value, r))
-    port_.log(LogLevel::Error, "cell_rules_unreadable", {{"why", *problem}});
+    runtime_.log(LogLevel::Error, "cell_rules_rejected", {{"why", *problem}});
   else
     cell_rules_ = std::move(r);
 }
@@ -65,7 +65,7 @@
   for (auto it = teams.begin(); it != teams.end() && !problem; ++it)
     problem = wire::apply_budgets({{"teams", {{it->first, it->second}}}}, b);
   if (problem)
-    port_.log(LogLevel::Error, "budgets_unreadable", {{"why", *problem}});
+    runtime_.log(LogLevel::Error, "budgets_rejected", {{"why", *problem}});
   else
     budgets_ = std::move(b);
 }
@@ -75,29 +75,29 @@
   orders_.clear();
   for (const auto &[machine, order] :
        entries(wire::kConfigMachine, document ? document->value : wire::Json(), document ? document->revision : 0))
-    if (const auto read = wire::machine_order_from_json(order)) orders_[machine] = *read;
-  events_.publish(OrdersChanged{});
+    if (const auto read = wire::machine_admin_state_from_json(order)) orders_[machine] = *read;
+  events_.publish(MachineAdminStatesChanged{});
 }
 
 // One record alone: thousands come one by one when a node lists them first.
 void Operators::read_order(const std::string &machine) {
   const auto *document = configuration_.find(kOrdersKey);
   const auto *record = configuration_.find(std::string(wire::kConfigMachine) + machine);
-  std::optional<wire::MachineOrder> read;
+  std::optional<wire::MachineAdminState> read;
   if (record && counts(*record, document ? document->revision : 0))
-    read = wire::machine_order_from_json(record->value["value"]);
+    read = wire::machine_admin_state_from_json(record->value["value"]);
   else if (document && document->value.is_object() && document->value.contains(machine))
-    read = wire::machine_order_from_json(document->value[machine]);
+    read = wire::machine_admin_state_from_json(document->value[machine]);
   if (read)
     orders_[machine] = *read;
   else
     orders_.erase(machine);
-  events_.publish(OrdersChanged{machine});
+  events_.publish(MachineAdminStatesChanged{machine});
 }
 
-std::optional<wire::MachineOrder> Operators::order(const std::string &machine) const {
+std::optional<wire::MachineAdminState> Operators::order(const std::string &machine) const {
   auto it = orders_.find(machine);
   return it == orders_.end() ? std::nullopt : std::optional(it->second);
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/placement.cpp
+++ b/src/core/placement.cpp
@@ -6,7 +6,7 @@
 
 #include "loftrouter/core/util.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 bool allowed(const PlaceJob &job, const PlaceMachine &m) {
   if (m.type < 0 || static_cast<std::size_t>(m.type) >= job.types.size() ||
@@ -14,7 +14,7 @@
     return false;
   if (job.zone >= 0 && job.zone != m.zone) return false;
   if (m.spot && !job.spot) return false;
-  if (!m.spot && m.dear > job.most_dear) return false;
+  if (!m.spot && m.price_premium > job.max_price_premium) return false;
   if (m.held_for >= 0 && m.held_for != job.self) return false;
   return std::find(job.barred.begin(), job.barred.end(), m.id) == job.barred.end();
 }
@@ -40,7 +40,7 @@
   double score = fit_score(job, m);
   if (job.image >= 0 && std::find(m.images.begin(), m.images.end(), job.image) != m.images.end())
     score += o.image_weight;
-  return score - o.price_weight * m.dear;
+  return score - o.price_weight * m.price_premium;
 }
 
 namespace {
@@ -173,7 +173,7 @@
   auto waits_long = [&](const PlaceJob &j) { return !j.started && j.wait_s > o.reserve_after_s; };
   auto rank = [&](std::size_t i) {
     const auto &j = *jobs[i];
-    if (j.borrowed) return -1;
+    if (j.delegated_here) return -1;
     return (waits_long(j) ? 100 : 0) + static_cast<int>(j.urgency) * 2 + (j.guaranteed ? 1 : 0);
   };
   const auto none = Resources{-1, -1, -1};
@@ -199,7 +199,7 @@
     d.outdated = false;
     if (d.plan.machines.empty()) return;
     double age = o.age_weight * job.wait_s + (job.in_time ? o.in_time_bonus : 0);
-    d.value = d.plan.score / static_cast<double>(d.plan.machines.size()) + (d.plan.whole ? o.whole_bonus : 0) + age;
+    d.value = d.plan.score / static_cast<double>(d.plan.machines.size()) + (d.plan.whole ? o.full_plan_bonus : 0) + age;
     // A plan that loses tasks loses the bonus, but its mean may rise up to the first task's score.
     d.bound = std::max(d.value, d.plan.first + age);
   };
@@ -297,4 +297,4 @@
   return place_round(std::move(machines), all, std::move(team_room), o, reserved);
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/port.cpp
+++ b/src/core/port.cpp
@@ -2,36 +2,36 @@
 
 #include <algorithm>
 
-namespace loft::core {
+namespace loftrouter::core {
 
-void Port::begin(Now at) {
+void Runtime::begin(Now at) {
   now_ = at;
   if (started_at_ < 0) started_at_ = at.mono;
   effects_ = {};
 }
 
-double Port::random() { // xorshift64*: only spreads retries, so quality does not matter
+double Runtime::random() { // xorshift64*: only spreads retries, so quality does not matter
   rng_ ^= rng_ >> 12;
   rng_ ^= rng_ << 25;
   rng_ ^= rng_ >> 27;
   return static_cast<double>((rng_ * 0x2545F4914F6CDD1DULL) >> 11) / 9007199254740992.0;
 }
 
-OpId Port::store(decltype(StoreOp::what) what, double deadline_s, StoreFn fn) {
+OpId Runtime::store(decltype(StoreOp::what) what, double deadline_s, StoreFn fn) {
   const OpId op = next_op_++;
   store_ops_.emplace(op, std::move(fn));
   effects_.store.push_back({op, deadline_s, std::move(what)});
   return op;
 }
 
-OpId Port::cloud(decltype(CloudOp::what) what, double deadline_s, CloudFn fn) {
+OpId Runtime::cloud(decltype(CloudOp::what) what, double deadline_s, CloudFn fn) {
   const OpId op = next_op_++;
   cloud_ops_.emplace(op, std::move(fn));
   effects_.cloud.push_back({op, deadline_s, std::move(what)});
   return op;
 }
 
-void Port::answered(const CmdStoreReply &cmd) {
+void Runtime::answered(const CmdStoreReply &cmd) {
   auto it = store_ops_.find(cmd.op);
   if (it == store_ops_.end()) return;
   auto fn = std::move(it->second);
@@ -44,7 +44,7 @@
   fn(cmd.reply);
 }
 
-void Port::answered(const CmdCloudReply &cmd) {
+void Runtime::answered(const CmdCloudReply &cmd) {
   auto it = cloud_ops_.find(cmd.op);
   if (it == cloud_ops_.end()) return;
   auto fn = std::move(it->second);
@@ -59,11 +59,11 @@
   fn(cmd.reply);
 }
 
-void Port::later(double delay_s, std::function<void()> fn) {
+void Runtime::later(double delay_s, std::function<void()> fn) {
   later_.emplace_back(now() + delay_s, std::move(fn));
 }
 
-void Port::run_due() {
+void Runtime::run_due() {
   auto waiting = std::exchange(later_, {});
   for (auto &[at, fn] : waiting) {
     if (now() >= at)
@@ -73,27 +73,27 @@
   }
 }
 
-void Port::reply(RequestId req, int status, std::string body, std::optional<int> retry) {
+void Runtime::reply(RequestId req, int status, std::string body, std::optional<int> retry) {
   respond({req, status, std::move(body), retry});
 }
 
-void Port::reply_json(RequestId req, int status, std::string body, std::optional<int> retry) {
+void Runtime::reply_json(RequestId req, int status, std::string body, std::optional<int> retry) {
   respond({req, status, std::move(body), retry, true});
 }
 
-std::optional<RequestId> Port::stand_in(std::uint64_t link, std::uint64_t nonce) {
-  if (stand_ins_.size() >= kMostStandIns) return std::nullopt;
-  stand_ins_[++next_stand_in_] = {link, nonce};
-  return next_stand_in_;
+std::optional<RequestId> Runtime::proxy_request(std::uint64_t link, std::uint64_t nonce) {
+  if (proxied_requests_.size() >= kMaxProxiedRequests) return std::nullopt;
+  proxied_requests_[++next_proxied_request_] = {link, nonce};
+  return next_proxied_request_;
 }
 
-void Port::respond(Reply r) {
-  if (!is_stand_in(r.req)) {
+void Runtime::respond(Reply r) {
+  if (!is_proxied(r.req)) {
     effects_.replies.push_back(std::move(r));
     return;
   }
-  const auto it = stand_ins_.find(r.req);
-  if (it == stand_ins_.end()) return;
+  const auto it = proxied_requests_.find(r.req);
+  if (it == proxied_requests_.end()) return;
   wire::PeerMessage m;
   m.kind = wire::PeerMessage::Kind::Told;
   m.nonce = it->second.second;
@@ -101,16 +101,16 @@
   m.retry_s = static_cast<std::uint16_t>(std::max(0, r.retry_after.value_or(0)));
   m.body = std::move(r.body);
   send({-1, it->second.first, std::move(m)});
-  stand_ins_.erase(it);
+  proxied_requests_.erase(it);
 }
 
-void Port::refuse(RequestId req, std::string_view why, int retry) {
-  if (shows(LogLevel::Debug)) log(LogLevel::Debug, "refused", {{"why", why}});
+void Runtime::refuse(RequestId req, std::string_view why, int retry) {
+  if (shows(LogLevel::Debug)) log(LogLevel::Debug, "request_refused", {{"why", why}});
   reply(req, 503, wire::encode_error(why), retry);
 }
 
-void Port::log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
+void Runtime::log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
   if (shows(level)) effects_.logs.push_back({level, std::string(event), fields});
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/quota_changes.cpp
+++ b/src/core/quota_changes.cpp
@@ -8,7 +8,7 @@
 
 #include "loftrouter/cells/shares.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kCommitWithin = 1.0;  // s
@@ -40,7 +40,7 @@
 void QuotaChanges::request(const wire::QuotaChange &change, Done done) {
   if (!settings_.configuration) return done({409, "quotas are not configured here: switch it on in the features file"});
   if (quotas_.find_team(change.team) < 0 || change.team.starts_with('@')) return done({422, "there is no such team"});
-  if (owns(change.team)) return carry_out(change, port_.nonce(), std::move(done));
+  if (owns(change.team)) return carry_out(change, runtime_.nonce(), std::move(done));
   // Checked here too, so that what cannot be is refused at once, whoever owns it.
   auto record = quotas_.record(change.team).value_or(wire::QuotaRecord{});
   if (const auto problem = apply(change, 0, record); problem && problem->status == 422) return done(*problem);
@@ -58,8 +58,8 @@
   auto &limits = record.limits;
   if (change.guaranteed_cpus) limits.guaranteed.cpus = *change.guaranteed_cpus;
   if (change.guaranteed_gpus) limits.guaranteed.gpus = *change.guaranteed_gpus;
-  if (change.most_cpus) limits.most.cpus = std::isfinite(*change.most_cpus) ? *change.most_cpus : file.most.cpus;
-  if (change.most_gpus) limits.most.gpus = std::isfinite(*change.most_gpus) ? *change.most_gpus : file.most.gpus;
+  if (change.max_cpus) limits.most.cpus = std::isfinite(*change.max_cpus) ? *change.max_cpus : file.most.cpus;
+  if (change.max_gpus) limits.most.gpus = std::isfinite(*change.max_gpus) ? *change.max_gpus : file.most.gpus;
   if (change.shares) record.shares = *change.shares;
   if (larger(limits.most, file.most)) return Outcome{422, "that is more than the settings file allows the team"};
   if (larger(limits.guaranteed, limits.most)) return Outcome{422, "its guarantee is more than its limit"};
@@ -70,8 +70,8 @@
     cells::raise_caps(record, quotas_.cells());
   }
   ++record.version;
-  record.history.push_back({number, port_.wall(), limits});
-  if (record.history.size() > wire::kMostQuotaHistory) record.history.erase(record.history.begin());
+  record.history.push_back({number, runtime_.wall(), limits});
+  if (record.history.size() > wire::kMaxQuotaHistory) record.history.erase(record.history.begin());
   return std::nullopt;
 }
 
@@ -81,11 +81,11 @@
   const bool repeated =
       std::any_of(record.history.begin(), record.history.end(), [number](const auto &c) { return c.number == number; });
   if (repeated) return done({200, ""});
-  if (!known && configuration_.count(wire::kConfigQuota) >= wire::kMostConfigRecords)
+  if (!known && configuration_.count(wire::kConfigQuota) >= wire::kMaxConfigRecords)
     return done({409, "too many teams have a quota of their own"});
   if (const auto problem = apply(change, number, record)) return done(*problem);
-  if (!budget_.fits(wire::to_json(record))) return done({409, "that is more than a record holds"});
-  if (!budget_.take_write(port_.now())) return done({503, std::string(kTooMany)});
+  if (!state_limits_.fits(wire::to_json(record))) return done({409, "that is more than a record holds"});
+  if (!state_limits_.take_write(runtime_.now())) return done({503, std::string(kTooMany)});
   commit(change.team, record, known ? known->revision : 0, [done = std::move(done)](bool committed) {
     done(committed ? Outcome{200, ""} : Outcome{503, "the change is not confirmed; ask again"});
   });
@@ -95,25 +95,26 @@
                           std::function<void(bool)> done) {
   const auto key = quota_key(team);
   auto value = wire::to_json(record);
-  port_.store(StoreCommit{{{key, revision}}, {{key, value, 0}}}, kCommitWithin,
-              [this, key, value, done = std::move(done)](const wire::StoreReply &r) {
-                if (r.status == 200) configuration_.learn(key, value, r.revision);
-                done(r.status == 200);
-              });
+  runtime_.store(StoreCommit{{{key, revision}}, {{key, value, 0}}}, kCommitWithin,
+                 [this, key, value, done = std::move(done)](const wire::StoreReply &r) {
+                   if (r.status == 200) configuration_.learn(key, value, r.revision);
+                   done(r.status == 200);
+                 });
 }
 
 // ---- by way of another cell ----
 
 void QuotaChanges::forward(const wire::QuotaChange &change, Done done) {
-  if (configuration_.count(wire::kConfigChange) >= wire::kMostConfigChanges || !budget_.take_write(port_.now()))
+  if (configuration_.count(wire::kConfigChange) >= wire::kMaxConfigChanges || !state_limits_.take_write(runtime_.now()))
     return done({503, std::string(kTooMany)});
-  const std::uint64_t number = port_.nonce();
+  const std::uint64_t number = runtime_.nonce();
   const auto key = change_key(number);
-  waiting_[number] = {std::move(done), port_.now() + kForwardWithin};
+  waiting_[number] = {std::move(done), runtime_.now() + kForwardWithin};
   auto value = wire::to_json(wire::ForwardedChange{change, settings_.node, 0, ""});
-  port_.store(StoreCommit{{{key, 0}}, {{key, value, 0}}}, kCommitWithin, [this, key, value](const wire::StoreReply &r) {
-    if (r.status == 200) configuration_.learn(key, value, r.revision);
-  });
+  runtime_.store(StoreCommit{{{key, 0}}, {{key, value, 0}}}, kCommitWithin,
+                 [this, key, value](const wire::StoreReply &r) {
+                   if (r.status == 200) configuration_.learn(key, value, r.revision);
+                 });
 }
 
 void QuotaChanges::on(const ConfigurationChanged &e) {
@@ -135,15 +136,15 @@
 void QuotaChanges::forget(const std::string &key) {
   const auto *found = configuration_.find(key);
   if (!found) return;
-  port_.store(StoreCommit{{{key, found->revision}}, {{key, std::nullopt, 0}}}, kCommitWithin,
-              [this, key](const wire::StoreReply &r) {
-                if (r.status == 200) configuration_.learn(key, std::nullopt, r.revision);
-              });
+  runtime_.store(StoreCommit{{{key, found->revision}}, {{key, std::nullopt, 0}}}, kCommitWithin,
+                 [this, key](const wire::StoreReply &r) {
+                   if (r.status == 200) configuration_.learn(key, std::nullopt, r.revision);
+                 });
 }
 
 void QuotaChanges::tick() {
   for (auto it = waiting_.begin(); it != waiting_.end();) {
-    if (port_.now() < it->second.until) {
+    if (runtime_.now() < it->second.until) {
       ++it;
       continue;
     }
@@ -153,4 +154,4 @@
   }
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/quota_exchange.cpp
+++ b/src/core/quota_exchange.cpp
@@ -4,14 +4,14 @@
 
 #include "loftrouter/cells/shares.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 using Kind = wire::CellMessage::Kind;
 constexpr double kTick = 0.25, kSendAgain = 1.0; // s
 constexpr double kForgetChangeAfter = 10.0;      // s, longer than its node waits
 constexpr double kCommitWithin = 1.0;            // s
-constexpr int kMostSent = 32;                    // records to a cell at a time
+constexpr int kMaxSent = 32;                     // records to a cell at a time
 constexpr double kSlack = 1e-6;                  // CPUs, GPUs
 
 std::uint64_t number_in(std::string_view key) {
@@ -21,14 +21,15 @@
 }
 } // namespace
 
-QuotaExchange::QuotaExchange(Port &port, const Settings &settings, Configuration &configuration, const Leadership &lead,
-                             const Quotas &quotas, QuotaChanges &changes, StoreBudget &budget, Cells &cells)
-    : port_(port), settings_(settings), configuration_(configuration), lead_(lead), quotas_(quotas), changes_(changes),
-      budget_(budget), cells_(cells) {
-  cells_.take_quotas([this](int cell, wire::CellMessage &&m) { take(cell, std::move(m)); });
+QuotaExchange::QuotaExchange(Runtime &runtime, const Settings &settings, Configuration &configuration,
+                             const Leadership &leadership, const Quotas &quotas, QuotaChanges &changes,
+                             StateServiceLimits &state_limits, CellFederation &cells)
+    : runtime_(runtime), settings_(settings), configuration_(configuration), leadership_(leadership), quotas_(quotas),
+      changes_(changes), state_limits_(state_limits), federation_(cells) {
+  federation_.take_quotas([this](int cell, wire::CellMessage &&m) { take(cell, std::move(m)); });
 }
 
-void QuotaExchange::on(const TermBegun &) {
+void QuotaExchange::on(const TermStarted &) {
   acknowledged_.clear();
   sent_.clear();
   asked_.clear();
@@ -44,9 +45,10 @@
 }
 
 void QuotaExchange::tick() {
-  if (!settings_.configuration || !cells_.on() || !lead_.active() || !quotas_.ready() || port_.now() < next_tick_)
+  if (!settings_.configuration || !federation_.on() || !leadership_.active() || !quotas_.ready() ||
+      runtime_.now() < next_tick_)
     return;
-  next_tick_ = port_.now() + kTick;
+  next_tick_ = runtime_.now() + kTick;
   used_ = quotas_.used();
   std::map<std::string, int> sent;
   configuration_.each(wire::kConfigQuota, [&](std::string_view name, const Configuration::Record &r) {
@@ -54,8 +56,8 @@
     const auto record = wire::quota_from_json(r.value);
     if (!record || quotas_.find_team(team) < 0 || !changes_.owns(team)) return;
     step(team, *record, r.revision);
-    for (int cell = 0; cell < cells_.count(); ++cell)
-      if (int &n = sent[cells_.name(cell)]; n < kMostSent) n += offer(cell, team, *record);
+    for (int cell = 0; cell < federation_.count(); ++cell)
+      if (int &n = sent[federation_.name(cell)]; n < kMaxSent) n += offer(cell, team, *record);
   });
   pass_changes_on();
 }
@@ -81,34 +83,34 @@
   }
   if (!changed) return;
   ++record.version;
-  budget_.take_leader_writes(port_.now(), 1);
+  state_limits_.take_leader_writes(runtime_.now(), 1);
   committing_.insert(team);
-  changes_.commit(team, record, revision, [this, team, epoch = lead_.epoch()](bool) {
-    if (epoch == lead_.epoch()) committing_.erase(team);
+  changes_.commit(team, record, revision, [this, team, epoch = leadership_.epoch()](bool) {
+    if (epoch == leadership_.epoch()) committing_.erase(team);
   });
 }
 
 bool QuotaExchange::offer(int cell, const std::string &team, const wire::QuotaRecord &record) {
-  const auto &name = cells_.name(cell);
+  const auto &name = federation_.name(cell);
   const auto said = acknowledged(team).find(name);
   const bool known = said != acknowledged(team).end() && said->second.version == record.version;
   const auto cap = record.caps.find(name), held = record.held.find(name);
   const bool settled = cap == record.caps.end() || (held != record.held.end() && held->second == cap->second);
   if (known && (said->second.within || settled)) return false;
   Sent &last = sent_[{team, name}];
-  if (last.version == record.version && port_.now() < last.next) return false;
-  last = {record.version, port_.now() + kSendAgain};
-  auto m = cells_.message(Kind::Quota, cell);
+  if (last.version == record.version && runtime_.now() < last.next) return false;
+  last = {record.version, runtime_.now() + kSendAgain};
+  auto m = federation_.message(Kind::Quota, cell);
   m.generation = record.version;
   m.body = wire::encode({{"team", team}, {"record", wire::to_json(record)}});
-  return cells_.tell_quota(cell, std::move(m));
+  return federation_.tell_quota(cell, std::move(m));
 }
 
 void QuotaExchange::take_acknowledgement(int cell, const wire::CellMessage &m) {
   if (!changes_.owns(m.body)) return;
-  auto &said = acknowledged_[m.body][cells_.name(cell)];
+  auto &said = acknowledged_[m.body][federation_.name(cell)];
   if (m.generation < said.version) return;
-  if (m.generation > said.version) said = {m.generation, port_.wall(), false};
+  if (m.generation > said.version) said = {m.generation, runtime_.wall(), false};
   said.within |= m.yes;
   next_tick_ = 0;
 }
@@ -116,13 +118,13 @@
 void QuotaExchange::take_change(int cell, const wire::CellMessage &m) {
   const auto j = wire::decode(m.body);
   const auto forwarded = j ? wire::forwarded_from_json(*j) : std::nullopt;
-  if (!forwarded || !lead_.active() || !quotas_.ready() || !changes_.owns(forwarded->change.team)) return;
+  if (!forwarded || !leadership_.active() || !quotas_.ready() || !changes_.owns(forwarded->change.team)) return;
   changes_.carry_out(forwarded->change, m.number, [this, cell, number = m.number](const QuotaChanges::Outcome &o) {
-    auto answer = cells_.message(Kind::QuotaOutcome, cell);
+    auto answer = federation_.message(Kind::QuotaOutcome, cell);
     answer.number = number;
     answer.running = static_cast<std::uint32_t>(o.status);
     answer.body = o.text;
-    cells_.tell_quota(cell, std::move(answer));
+    federation_.tell_quota(cell, std::move(answer));
   });
 }
 
@@ -137,28 +139,29 @@
 }
 
 void QuotaExchange::take_record(int cell, const wire::CellMessage &m) {
-  if (!lead_.active() || !quotas_.ready()) return;
+  if (!leadership_.active() || !quotas_.ready()) return;
   const auto j = wire::decode(m.body);
   if (!j || !j->is_object() || !j->contains("record")) return;
   const auto team = j->value("team", std::string());
   const auto record = wire::quota_from_json((*j)["record"]);
-  if (!record || quotas_.find_team(team) < 0 || changes_.owner(team) != cells_.name(cell)) return;
+  if (!record || quotas_.find_team(team) < 0 || changes_.owner(team) != federation_.name(cell)) return;
   const auto own = quotas_.record(team);
   const auto *found = configuration_.find(std::string(wire::kConfigQuota) + team);
   if (own && own->version == record->version) {
     used_ = quotas_.used();
-    auto answer = cells_.message(Kind::QuotaApplied, cell);
+    auto answer = federation_.message(Kind::QuotaApplied, cell);
     answer.generation = record->version;
     answer.yes = within_cap(team, *own);
     answer.body = team;
-    cells_.tell_quota(cell, std::move(answer));
+    federation_.tell_quota(cell, std::move(answer));
     return;
   }
   if ((own && own->version > record->version) || committing_.contains(team)) return;
-  budget_.take_leader_writes(port_.now(), 1);
+  state_limits_.take_leader_writes(runtime_.now(), 1);
   committing_.insert(team);
-  changes_.commit(team, *record, found ? found->revision : 0, [this, team, epoch = lead_.epoch()](bool) {
-    if (epoch == lead_.epoch()) committing_.erase(team); // acknowledged when it is sent again, as it is applied by then
+  changes_.commit(team, *record, found ? found->revision : 0, [this, team, epoch = leadership_.epoch()](bool) {
+    if (epoch == leadership_.epoch())
+      committing_.erase(team); // acknowledged when it is sent again, as it is applied by then
   });
 }
 
@@ -166,18 +169,18 @@
   std::vector<std::string> over;
   configuration_.each(wire::kConfigChange, [&](std::string_view number, const Configuration::Record &r) {
     const std::string key = std::string(wire::kConfigChange) + std::string(number);
-    const auto first_seen = seen_.try_emplace(key, port_.now()).first->second;
+    const auto first_seen = seen_.try_emplace(key, runtime_.now()).first->second;
     const auto forwarded = wire::forwarded_from_json(r.value);
-    if (!forwarded || port_.now() > first_seen + kForgetChangeAfter) return over.push_back(key);
+    if (!forwarded || runtime_.now() > first_seen + kForgetChangeAfter) return over.push_back(key);
     double &next = asked_[key];
-    if (forwarded->status != 0 || port_.now() < next) return;
-    next = port_.now() + kSendAgain;
-    const int cell = cells_.by_name(changes_.owner(forwarded->change.team));
+    if (forwarded->status != 0 || runtime_.now() < next) return;
+    next = runtime_.now() + kSendAgain;
+    const int cell = federation_.by_name(changes_.owner(forwarded->change.team));
     if (cell < 0) return;
-    auto m = cells_.message(Kind::QuotaChange, cell);
+    auto m = federation_.message(Kind::QuotaChange, cell);
     m.number = number_in(number);
     m.body = wire::encode(wire::to_json(*forwarded));
-    cells_.tell_quota(cell, std::move(m));
+    federation_.tell_quota(cell, std::move(m));
   });
   for (const auto &key : over) {
     const auto *found = configuration_.find(key);
@@ -192,19 +195,19 @@
   const auto *found = configuration_.find(key);
   auto forwarded = found ? wire::forwarded_from_json(found->value) : std::nullopt;
   // "Cannot tell now" is asked again while its node waits.
-  if (!forwarded || forwarded->status != 0 || m.running == 503 || m.running == 0 || !lead_.active()) return;
+  if (!forwarded || forwarded->status != 0 || m.running == 503 || m.running == 0 || !leadership_.active()) return;
   forwarded->status = static_cast<int>(m.running);
   forwarded->text = m.body.substr(0, 300);
   if (committing_.insert(key).second) write_change(key, wire::to_json(*forwarded), found->revision);
 }
 
 void QuotaExchange::write_change(const std::string &key, std::optional<wire::Json> value, std::uint64_t revision) {
-  budget_.take_leader_writes(port_.now(), 1);
-  port_.store(StoreCommit{{{key, revision}}, {{key, value, 0}}}, kCommitWithin,
-              [this, key, value, epoch = lead_.epoch()](const wire::StoreReply &r) {
-                if (r.status == 200) configuration_.learn(key, value, r.revision);
-                if (epoch == lead_.epoch()) committing_.erase(key);
-              });
+  state_limits_.take_leader_writes(runtime_.now(), 1);
+  runtime_.store(StoreCommit{{{key, revision}}, {{key, value, 0}}}, kCommitWithin,
+                 [this, key, value, epoch = leadership_.epoch()](const wire::StoreReply &r) {
+                   if (r.status == 200) configuration_.learn(key, value, r.revision);
+                   if (epoch == leadership_.epoch()) committing_.erase(key);
+                 });
 }
 
 void QuotaExchange::take(int cell, wire::CellMessage &&m) {
@@ -223,4 +226,4 @@
   }
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/quotas.cpp
+++ b/src/core/quotas.cpp
@@ -6,7 +6,7 @@
 
 #include "loftrouter/cells/shares.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kTick = 0.5;   // s
@@ -41,10 +41,10 @@
 }
 } // namespace
 
-Quotas::Quotas(Port &port, Events &events, const Settings &settings, const Configuration &configuration,
-               const Leadership &lead, const JobTable &jobs, Fleet &fleet)
-    : port_(port), events_(events), settings_(settings), configuration_(configuration), lead_(lead), jobs_(jobs),
-      fleet_(fleet), cells_{settings.cells.name}, here_(settings.teams), whole_(settings.teams),
+Quotas::Quotas(Runtime &runtime, Events &events, const Settings &settings, const Configuration &configuration,
+               const Leadership &leadership, const JobTable &jobs, WorkerRegistry &workers)
+    : runtime_(runtime), events_(events), settings_(settings), configuration_(configuration), leadership_(leadership),
+      jobs_(jobs), workers_(workers), cells_{settings.cells.name}, here_(settings.teams), whole_(settings.teams),
       largest_share_(settings.teams.size()), over_since_(settings.teams.size(), -1) {
   for (const auto &c : settings.cells.others)
     cells_.push_back(c.name);
@@ -98,12 +98,12 @@
   const int team = find_team(e.key.substr(wire::kConfigQuota.size()));
   if (team < 0) return;
   if (const auto *found = configuration_.find(e.key); found && !wire::quota_from_json(found->value))
-    port_.log(LogLevel::Error, "quota_unreadable", {{"record", e.key}, {"then", "the settings file's limit"}});
+    runtime_.log(LogLevel::Error, "quota_record_rejected", {{"record", e.key}, {"then", "the settings file's limit"}});
   read(team);
-  if (lead_.leading()) withdraw_beyond(team);
+  if (leadership_.leading()) withdraw_beyond(team);
 }
 
-void Quotas::on(const TermBegun &) {
+void Quotas::on(const TermStarted &) {
   std::fill(over_since_.begin(), over_since_.end(), -1);
   next_tick_ = 0;
 }
@@ -112,7 +112,7 @@
   std::vector<Resources> out(here_.size());
   jobs_.each([&out](int, const Job &n) {
     if (n.team < 0) return;
-    const double on = n.placed + n.unaccounted + n.lent; // the limit holds over all cells together
+    const double on = n.placed + n.unaccounted + n.delegated; // the limit holds over all cells together
     out[static_cast<std::size_t>(n.team)].add(n.spec.need, on);
   });
   return out;
@@ -145,13 +145,13 @@
   });
   for (int j : jobs) {
     if (!beyond(used()[static_cast<std::size_t>(team)], here(team))) return;
-    fleet_.withdraw(j);
+    workers_.withdraw(j);
   }
 }
 
 void Quotas::tick() {
-  if (!settings_.configuration || !lead_.active() || port_.now() < next_tick_) return;
-  next_tick_ = port_.now() + kTick;
+  if (!settings_.configuration || !leadership_.active() || runtime_.now() < next_tick_) return;
+  next_tick_ = runtime_.now() + kTick;
   const auto all = used();
   for (std::size_t t = 0; t < here_.size(); ++t) {
     if (!beyond(all[t], here_[t])) {
@@ -159,11 +159,11 @@
       continue;
     }
     if (over_since_[t] < 0) {
-      over_since_[t] = port_.now();
-      port_.log(LogLevel::Info, "team_beyond_its_limit",
-                {{"team", here_[t].name}, {"cpus", all[t].cpus}, {"limit", here_[t].cpus_max}});
+      over_since_[t] = runtime_.now();
+      runtime_.log(LogLevel::Info, "team_quota_exceeded",
+                   {{"team", here_[t].name}, {"cpus", all[t].cpus}, {"limit", here_[t].cpus_max}});
     }
-    if (port_.now() - over_since_[t] > kOverLimitFor) stop_beyond(static_cast<int>(t));
+    if (runtime_.now() - over_since_[t] > kOverLimitFor) stop_beyond(static_cast<int>(t));
   }
 }
 
@@ -174,21 +174,22 @@
   struct Place {
     double submitted, placed_at;
     int job, machine;
-    std::size_t slot;
-    auto order() const { return std::tuple(submitted, job, placed_at, machine, slot); }
+    std::size_t allocation;
+    auto order() const { return std::tuple(submitted, job, placed_at, machine, allocation); }
   };
   const bool cpus = limit.cpus_max > 0 && left.cpus > limit.cpus_max,
              gpus = limit.gpus_max > 0 && left.gpus > limit.gpus_max;
   std::vector<Place> places;
-  fleet_.each([&](int m, const Machine &n) {
-    for (std::size_t s = 0; s < n.slots.size(); ++s) {
-      const Slot &slot = n.slots[s];
-      if (slot.job < 0 || slot.finished || jobs_[slot.job].team != team) continue;
-      if (!(cpus && slot.need.cpus > 0) && !(gpus && slot.need.gpus > 0)) continue; // its end would help nobody
-      if (slot.stop)
-        left.add(slot.need, -1);
+  workers_.each([&](int m, const Machine &n) {
+    for (std::size_t s = 0; s < n.allocations.size(); ++s) {
+      const Allocation &allocation = n.allocations[s];
+      if (allocation.job < 0 || allocation.finished || jobs_[allocation.job].team != team) continue;
+      if (!(cpus && allocation.need.cpus > 0) && !(gpus && allocation.need.gpus > 0))
+        continue; // its end would help nobody
+      if (allocation.stop)
+        left.add(allocation.need, -1);
       else
-        places.push_back({jobs_[slot.job].submit_wall, slot.placed_at, slot.job, m, s});
+        places.push_back({jobs_[allocation.job].submit_wall, allocation.placed_at, allocation.job, m, s});
     }
   });
   std::sort(places.begin(), places.end(), [](const Place &a, const Place &b) { return a.order() > b.order(); });
@@ -202,18 +203,18 @@
     gang = whole ? p.job : -1;
     left.add(n.spec.need, -1);
     if (!whole)
-      stops.emplace_back(p.machine, p.slot);
+      stops.emplace_back(p.machine, p.allocation);
     else if (std::find(jobs.begin(), jobs.end(), p.job) == jobs.end())
       jobs.push_back(p.job);
   }
   std::sort(stops.rbegin(), stops.rend()); // a slot that goes at once moves those after it
   for (auto [m, s] : stops)
-    fleet_.stop(m, s, jobs_[fleet_[m].slots[s].job].spec.save_s + 1);
+    workers_.stop(m, s, jobs_[workers_[m].allocations[s].job].spec.save_s + 1);
   for (int j : jobs)
-    fleet_.stop_all(j, jobs_[j].spec.save_s + 1);
+    workers_.stop_all(j, jobs_[j].spec.save_s + 1);
   if (!stops.empty() || !jobs.empty())
-    port_.log(LogLevel::Info, "stopped_beyond_limit",
-              {{"team", limit.name}, {"tasks", stops.size()}, {"gangs", jobs.size()}});
+    runtime_.log(LogLevel::Info, "over_quota_tasks_stopped",
+                 {{"team", limit.name}, {"tasks", stops.size()}, {"gangs", jobs.size()}});
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
