--- a/src/core/recorder.cpp
+++ b/src/core/recorder.cpp
@@ -4,24 +4,24 @@
 
 #include <fmt/format.h>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kLazyWrite = 0.8;     // s, progress that nothing waits for
 constexpr double kLazyWriteBusy = 2.5; // s, while many jobs end
-constexpr std::size_t kManyEnds = 4, kMostMoves = 1000;
-constexpr std::size_t kEntryChars = 85;    // of a job in a progress record, beside its two sets of tasks
-constexpr std::size_t kAccountChars = 130; // the same with its account, beside its id and one set
-constexpr std::size_t kSumsChars = 130;    // of a record, a team's sums, while a period ends and the next begins
-constexpr double kSettleEvery = 0.1;       // s
-constexpr std::size_t kLoanChars = 230;    // of a loan: names, account, a few ranges
+constexpr std::size_t kManyEnds = 4, kMaxMoves = 1000;
+constexpr std::size_t kEntryChars = 85;       // of a job in a progress record, beside its two sets of tasks
+constexpr std::size_t kAccountChars = 130;    // the same with its account, beside its id and one set
+constexpr std::size_t kSumsChars = 130;       // of a record, a team's sums, while a period ends and the next begins
+constexpr double kSettleEvery = 0.1;          // s
+constexpr std::size_t kDelegationChars = 230; // of a loan: names, account, a few ranges
 const std::string kAccounts = "accounts/";
 } // namespace
 
 // One transaction at a time. Each is guarded by the leader key's revision and by every record's own.
-struct Recorder::Transaction {
-  std::vector<wire::Guard> guards;
-  std::vector<wire::Write> writes;
+struct StateWriter::Transaction {
+  std::vector<wire::Precondition> preconditions;
+  std::vector<wire::Mutation> writes;
   std::vector<std::string> jobs, ends; // ids: of jobs whose progress is in it, and of those that end
   std::vector<Move> moves;
   std::vector<std::size_t> shards, emptied;
@@ -31,24 +31,24 @@
 
 // ---- what is read ----
 
-bool Recorder::load_progress(const wire::Entry &e) {
+bool StateWriter::load_progress(const wire::KeyValue &e) {
   auto shard = wire::progress_from_json(e.key, e.value);
   if (!shard) return false;
   Shard s;
   s.key = e.key;
-  s.stamp = e.stamp;
-  s.oversize = e.value.dump().size() > most_chars();
+  s.mod_revision = e.mod_revision;
+  s.oversize = e.value.dump().size() > max_chars();
   ledger_.load_sums(shards_.size(), std::move(shard->sums));
   for (auto &[id, p] : shard->jobs) {
     // Guards against what an earlier loan of the same job has done here being taken for this one's: its entry goes
     // lazily.
-    const std::pair key(id, p.borrowed);
+    const std::pair key(id, p.delegated_here);
     auto &known = loaded_[key];
     if (p.at_ms >= known.at_ms) loaded_shard_[key] = shards_.size(); // the newer, of a job that was being moved
     known.started.insert(known.started.end(), p.started.begin(), p.started.end());
     known.finished.insert(known.finished.end(), p.finished.begin(), p.finished.end());
     known.failed_on = std::max(known.failed_on, p.failed_on);
-    known.loans.insert(known.loans.end(), p.loans.begin(), p.loans.end());
+    known.delegations.insert(known.delegations.end(), p.delegations.begin(), p.delegations.end());
     if (p.at_ms > known.at_ms) {
       known.usage = p.usage;
       known.running_ms = p.running_ms;
@@ -59,43 +59,45 @@
   return true;
 }
 
-void Recorder::load_end(const wire::Entry &e) {
+void StateWriter::load_end(const wire::KeyValue &e) {
   auto end = wire::final_from_json(e.value);
   if (!end) return;
-  moves_.push_back({e.key.substr(5), e.stamp, wire::to_json(*end)});
+  moves_.push_back({e.key.substr(5), e.mod_revision, wire::to_json(*end)});
   ended_.remember(moves_.back().id, std::move(*end));
 }
 
-void Recorder::take_open(const std::string &key, const wire::Json &value, std::uint64_t stamp) {
+void StateWriter::take_open(const std::string &key, const wire::Json &value, std::uint64_t mod_revision) {
   if (wire::final_from_json(value)) return; // this leader's own doing
   auto record = wire::open_from_json(value);
   if (!record || key != "open/" + record->spec.id) {
-    port_.log(LogLevel::Error, "record_unreadable", {{"key", key.substr(0, 60)}, {"then", "left alone"}});
+    runtime_.log(LogLevel::Error, "record_rejected", {{"key", key.substr(0, 60)}, {"then", "left alone"}});
     return;
   }
   // Guards against news that is older than what this leader itself has ended since.
   if (ended_.find(record->spec.id)) return;
   const int j = jobs_.index(record->spec.id);
-  if (j < 0) return accept(std::move(*record), stamp);
-  if (jobs_.restamp(j, stamp) && record->cancelled) jobs_.cancel(j);
+  if (j < 0) return accept(std::move(*record), mod_revision);
+  if (jobs_.update_mod_revision(j, mod_revision) && record->cancelled) jobs_.cancel(j);
 }
 
-std::string Recorder::compare(const wire::Entry &e) {
+std::string StateWriter::compare(const wire::KeyValue &e) {
   if (wire::final_from_json(e.value)) return {};
   const auto record = wire::open_from_json(e.value);
   if (!record || e.key != "open/" + record->spec.id || ended_.find(record->spec.id)) return {};
   const int j = jobs_.index(record->spec.id);
-  const bool missed = j < 0, late = j >= 0 && record->cancelled && !jobs_[j].cancelled && e.stamp > jobs_[j].open_stamp;
-  if (missed || late) take_open(e.key, e.value, e.stamp);
+  const bool missed = j < 0,
+             late = j >= 0 && record->cancelled && !jobs_[j].cancelled && e.mod_revision > jobs_[j].open_mod_revision;
+  if (missed || late) take_open(e.key, e.value, e.mod_revision);
   return missed ? "a job that was not known here" : late ? "a cancellation that was not known here" : "";
 }
 
-std::vector<std::string> Recorder::not_there(const std::string &from, const std::string &to,
-                                             const std::set<std::string> &there, std::uint64_t revision) {
+std::vector<std::string> StateWriter::not_there(const std::string &from, const std::string &to,
+                                                const std::set<std::string> &there, std::uint64_t revision) {
   std::vector<std::string> out;
   jobs_.each([&](int, const Job &n) {
     const std::string key = "open/" + n.spec.id;
-    if (key <= from || (!to.empty() && key > to) || there.contains(key) || n.ending || n.open_stamp > revision) return;
+    if (key <= from || (!to.empty() && key > to) || there.contains(key) || n.ending || n.open_mod_revision > revision)
+      return;
     out.push_back(key);
   });
   for (const auto &key : out)
@@ -104,11 +106,11 @@
 }
 
 static std::pair<std::string, std::uint64_t> loaded_key(const Job &n) {
-  return {n.spec.id, n.borrowed ? n.borrowed->generation : 0};
+  return {n.spec.id, n.delegated_here ? n.delegated_here->generation : 0};
 }
 
-void Recorder::accept(OpenRecord record, std::uint64_t stamp) {
-  const int j = jobs_.add(std::move(record), stamp);
+void StateWriter::accept(OpenRecord record, std::uint64_t mod_revision) {
+  const int j = jobs_.add(std::move(record), mod_revision);
   const Job &n = jobs_[j];
   grown(entries_, j) = {};
   marks(j).assign(n.spec.tasks, 0);
@@ -119,21 +121,21 @@
       for (auto i = a; i < b && i < n.spec.tasks; ++i)
         marks(j)[i] = kStarted | kRecorded;
     jobs_.restore(j, it->second);
-    for (const auto &l : it->second.loans)
-      entry(j).loans_recorded.push_back(l.generation);
-    judge_.restore(j, it->second.failed_on);
+    for (const auto &l : it->second.delegations)
+      entry(j).delegations_recorded.push_back(l.generation);
+    failure_attribution_.restore(j, it->second.failed_on);
     ledger_.restore(j, it->second);
   }
   events_.publish(JobAccepted{j});
   jobs_.changed(j, n.spec.urgency != Urgency::Low && n.spec.waits_for.empty());
 }
 
-void Recorder::on(const TermElected &) {
+void StateWriter::on(const LeaderElected &) {
   loaded_.clear();
   loaded_shard_.clear();
 }
 
-void Recorder::on(const TermBegun &) {
+void StateWriter::on(const TermStarted &) {
   if (ledger_.on())
     for (const auto &[key, p] : loaded_)
       if (p.at_ms && key.second == 0 && jobs_.index(key.first) < 0)
@@ -144,7 +146,7 @@
     if (shards_[s].jobs.empty() && shards_[s].ghosts.empty() && ledger_.sums(s).empty()) mark_shard(s, false);
 }
 
-void Recorder::on(const TermEnded &) {
+void StateWriter::on(const TermEnded &) {
   entries_.clear();
   shards_.clear();
   ending_.clear();
@@ -154,7 +156,7 @@
 
 // ---- what is to be written ----
 
-void Recorder::mark(int j, bool ends, bool urgent) {
+void StateWriter::mark(int j, bool ends, bool urgent) {
   Entry &e = entry(j);
   e.dirty = true;
   if (ends) {
@@ -165,31 +167,31 @@
   }
 }
 
-void Recorder::mark_again(int j) {
+void StateWriter::mark_again(int j) {
   mark(j, jobs_[j].finishable(), true);
 }
 
-void Recorder::mark_shard(std::size_t s, bool urgent) {
+void StateWriter::mark_shard(std::size_t s, bool urgent) {
   Shard &shard = shards_[s];
-  if (!shard.dirty) shard.dirty_since = port_.now();
+  if (!shard.dirty) shard.dirty_since = runtime_.now();
   shard.dirty = true;
   shard.urgent |= urgent;
 }
 
 // What one set of a job's tasks may take of a value, in characters.
-std::size_t Recorder::set_chars() const {
+std::size_t StateWriter::set_chars() const {
   return static_cast<std::size_t>(settings_.state_value_kb * 1024 / 5);
 }
 
 // What a record may come to hold, and of that what the sums of its teams leave to entries.
-std::size_t Recorder::most_chars() const {
+std::size_t StateWriter::max_chars() const {
   return static_cast<std::size_t>(settings_.state_value_kb * 1024 * 0.95);
 }
 
 // Room that is reserved besides is that of the sums of its teams, half of the record at most: which teams they are
 // matters in between alone. (After a takeover every job is tried on every record.)
-bool Recorder::has_room(std::size_t s, int j) const {
-  const std::size_t chars = shards_[s].reserved + entry_chars(jobs_[j]), most = most_chars();
+bool StateWriter::has_room(std::size_t s, int j) const {
+  const std::size_t chars = shards_[s].reserved + entry_chars(jobs_[j]), most = max_chars();
   if (!ledger_.on() || chars > most) return chars <= most;
   if (chars <= most - most / 2) return true;
   std::set<std::string> teams{jobs_[j].spec.team};
@@ -202,15 +204,15 @@
 
 // With accounts, room for one full set and a short one: tasks are started in their order, so those that were are one
 // range.
-std::size_t Recorder::entry_chars(const Job &n) const {
+std::size_t StateWriter::entry_chars(const Job &n) const {
   const std::size_t set = std::min<std::size_t>(n.spec.tasks / 4 + 3, set_chars());
-  const std::size_t loans = settings_.cells.name.empty() ? 0 : kMostLoans * kLoanChars;
-  return (ledger_.on() ? kAccountChars + n.spec.id.size() + set : kEntryChars + 2 * set) + loans;
+  const std::size_t delegations = settings_.cells.name.empty() ? 0 : kMaxDelegations * kDelegationChars;
+  return (ledger_.on() ? kAccountChars + n.spec.id.size() + set : kEntryChars + 2 * set) + delegations;
 }
 
 // A job stays in its shard for as long as this node leads; room for its largest form is reserved. One that an earlier
 // leader kept where values may be larger than now may have to move.
-void Recorder::assign_shard(int j) {
+void StateWriter::assign_shard(int j) {
   if (auto it = loaded_shard_.find(loaded_key(jobs_[j])); it != loaded_shard_.end()) {
     if (has_room(it->second, j) || shards_[it->second].jobs.empty()) return put_in(j, it->second);
     return move(j, it->second);
@@ -220,13 +222,13 @@
   put_in(j, fresh_shard('s'));
 }
 
-void Recorder::put_in(int j, std::size_t s) {
+void StateWriter::put_in(int j, std::size_t s) {
   entry(j).shard = static_cast<int>(s);
   shards_[s].jobs.push_back(j);
   shards_[s].reserved += entry_chars(jobs_[j]);
 }
 
-std::size_t Recorder::fresh_shard(char series) {
+std::size_t StateWriter::fresh_shard(char series) {
   Shard fresh;
   for (std::size_t name = 0; fresh.key.empty(); ++name) {
     auto key = fmt::format("progress/{}{}", series, name);
@@ -239,7 +241,7 @@
 // In steps, each of them safe by itself: a job that stands in two records has been started as far as either says, and
 // what it has used is what the newer says (load_progress). Its sums stay where they were charged. The new record comes
 // after the old one in the list, since earlier versions take the last for the newer.
-void Recorder::move(int j, std::size_t from) {
+void StateWriter::move(int j, std::size_t from) {
   std::size_t to = shards_.size();
   for (std::size_t s = 0; s < shards_.size() && to == shards_.size(); ++s)
     if (s != from && shards_[s].key > shards_[from].key && shards_[s].leaving.empty() && has_room(s, j)) to = s;
@@ -251,7 +253,7 @@
 }
 
 // After a write that the state service has confirmed.
-void Recorder::move_on(const Transaction &t) {
+void StateWriter::move_on(const Transaction &t) {
   for (const auto &id : t.jobs) {
     const int j = jobs_.index(id);
     if (j < 0 || entry(j).from < 0 || entry(j).copied) continue;
@@ -267,7 +269,7 @@
 }
 
 // Jobs leave it that are not known to be elsewhere; or it has too much in it that is about to be settled.
-bool Recorder::blocked(const Shard &s) const {
+bool StateWriter::blocked(const Shard &s) const {
   return (s.oversize && !s.ghosts.empty()) || std::any_of(s.leaving.begin(), s.leaving.end(), [this](int j) {
            return !entries_[static_cast<std::size_t>(j)].copied;
          });
@@ -275,15 +277,15 @@
 
 // Guards against a record that is refused for its size for ever, and others with it: which one it is shows when they
 // are written one by one; that one is made smaller.
-void Recorder::refused(const Transaction &t) {
-  flush_after_ = port_.now() + 0.3;
+void StateWriter::refused(const Transaction &t) {
+  flush_after_ = runtime_.now() + 0.3;
   const std::size_t writes = t.shards.size() + t.emptied.size() + t.ends.size() + t.moves.size();
   const std::string what = t.shards.size() == 1 ? shards_[t.shards[0]].key
                            : t.ends.size() == 1 ? "the end of " + t.ends[0]
                                                 : fmt::format("{} records", writes);
-  port_.log(LogLevel::Error, "record_refused",
-            {{"record", what}, {"then", writes > 1 ? "one by one" : "made smaller"}});
-  alone_until_ = port_.now() + 5;
+  runtime_.log(LogLevel::Error, "record_write_refused",
+               {{"record", what}, {"then", writes > 1 ? "one by one" : "made smaller"}});
+  alone_until_ = runtime_.now() + 5;
   if (writes != 1) return;
   if (!t.folded.empty()) left_alone_.insert(t.folded);
   for (const auto &id : t.ends)
@@ -303,7 +305,7 @@
   }
 }
 
-void Recorder::remove(int j) {
+void StateWriter::remove(int j) {
   const auto s = static_cast<std::size_t>(entry(j).shard);
   if (entry(j).from >= 0) std::erase(shards_[static_cast<std::size_t>(entry(j).from)].leaving, j);
   std::erase(shards_[s].jobs, j);
@@ -314,7 +316,7 @@
   jobs_.remove(j);
 }
 
-void Recorder::set_ahead(int j, std::uint32_t tasks) {
+void StateWriter::set_ahead(int j, std::uint32_t tasks) {
   entry(j).ahead = tasks;
   const Job &n = jobs_[j];
   std::uint32_t there = 0;
@@ -325,7 +327,7 @@
 
 // The next tasks in line count as started before they are placed. Too many "started" are safe: after a takeover they
 // wait until leases have run out.
-void Recorder::record_ahead(int j) {
+void StateWriter::record_ahead(int j) {
   const Job &n = jobs_[j];
   if (n.cancelled || !dependencies_.ready(j)) return;
   std::uint32_t ahead = n.spec.shape == Shape::Gang ? (n.spec.tasks <= 64 ? n.spec.tasks : 0) : entry(j).ahead;
@@ -338,24 +340,25 @@
 
 // ---- writing ----
 
-void Recorder::flush() {
-  if (flushing_ || !lead_.active() || port_.now() < flush_after_) return;
+void StateWriter::flush() {
+  if (flushing_ || !leadership_.active() || runtime_.now() < flush_after_) return;
   std::vector<std::size_t> due;
   const double lazy = ending_.size() > kManyEnds ? kLazyWriteBusy : kLazyWrite;
   for (std::size_t s = 0; s < shards_.size(); ++s)
-    if (shards_[s].dirty && !blocked(shards_[s]) && (shards_[s].urgent || port_.now() - shards_[s].dirty_since >= lazy))
+    if (shards_[s].dirty && !blocked(shards_[s]) &&
+        (shards_[s].urgent || runtime_.now() - shards_[s].dirty_since >= lazy))
       due.push_back(s);
   settle_ghosts();
-  if (due.empty() && ending_.empty() && moves_.empty()) return port_.now() < alone_until_ ? void() : fold();
+  if (due.empty() && ending_.empty() && moves_.empty()) return runtime_.now() < alone_until_ ? void() : fold();
   std::sort(due.begin(), due.end(), [this](std::size_t a, std::size_t b) {
     return std::pair(!shards_[a].urgent, shards_[a].dirty_since) <
            std::pair(!shards_[b].urgent, shards_[b].dirty_since);
   });
-  const double level = budget_.leader_writes(port_.now());
-  const bool alone = port_.now() < alone_until_;
+  const double level = state_limits_.leader_writes(runtime_.now());
+  const bool alone = runtime_.now() < alone_until_;
   const std::size_t max_ops = alone ? 1 : static_cast<std::size_t>(settings_.state_txn_ops);
   Transaction t;
-  t.guards = {{"leader", lead_.term()}};
+  t.preconditions = {{"leader", leadership_.term()}};
   bool full = false;
   auto room = [&](std::size_t ops) {
     full |= t.writes.size() + ops > max_ops || static_cast<double>(t.writes.size() + ops) > level || t.bytes > 48'000;
@@ -363,7 +366,7 @@
   };
   // Where many jobs end at once, one write says so for each and the record is moved later: three writes
   // instead of two, but people wait for the first alone.
-  const bool in_place = alone || (ending_.size() > kManyEnds && moves_.size() < kMostMoves);
+  const bool in_place = alone || (ending_.size() > kManyEnds && moves_.size() < kMaxMoves);
   auto put_ends = [&] {
     for (std::size_t k = ending_.size(); k-- > 0 && !full;) {
       const int j = ending_.front();
@@ -403,56 +406,57 @@
   commit(std::move(t));
 }
 
-void Recorder::commit(Transaction &&t) {
-  budget_.take_leader_writes(port_.now(), static_cast<double>(t.writes.size()));
+void StateWriter::commit(Transaction &&t) {
+  state_limits_.take_leader_writes(runtime_.now(), static_cast<double>(t.writes.size()));
   flushing_ = true;
-  StoreCommit commit{t.guards, std::move(t.writes)};
-  port_.store(std::move(commit), 1.5, [this, t = std::move(t), epoch = lead_.epoch()](const wire::StoreReply &r) {
-    if (epoch == lead_.epoch()) flushed(t, r);
-  });
+  StoreCommit commit{t.preconditions, std::move(t.writes)};
+  runtime_.store(std::move(commit), 1.5,
+                 [this, t = std::move(t), epoch = leadership_.epoch()](const wire::StoreReply &r) {
+                   if (epoch == leadership_.epoch()) flushed(t, r);
+                 });
 }
 
 // Only with most of the budget at hand, so that nothing else waits for it.
-void Recorder::add_moves(Transaction &t, double budget, std::size_t most) {
+void StateWriter::add_moves(Transaction &t, double budget, std::size_t most) {
   if (budget < 0.4 * settings_.state_write_rps) return;
   while (!moves_.empty() && t.writes.size() + 2 <= std::min<std::size_t>(most, static_cast<std::size_t>(budget))) {
     Move m = std::move(moves_.front());
     moves_.pop_front();
-    t.guards.push_back({"open/" + m.id, m.stamp});
-    t.guards.push_back({"end/" + m.id, 0});
+    t.preconditions.push_back({"open/" + m.id, m.mod_revision});
+    t.preconditions.push_back({"end/" + m.id, 0});
     t.writes.push_back({"open/" + m.id, std::nullopt, 0});
     t.writes.push_back({"end/" + m.id, m.value, 0});
     t.moves.push_back(std::move(m));
   }
 }
 
-void Recorder::add_end(int j, Transaction &t, bool in_place) {
+void StateWriter::add_end(int j, Transaction &t, bool in_place) {
   const Job &n = jobs_[j];
   Entry &e = entry(j);
-  if (n.borrowed) { // its home keeps how it ended
-    t.guards.push_back({"open/" + n.spec.id, n.open_stamp});
+  if (n.delegated_here) { // its home keeps how it ended
+    t.preconditions.push_back({"open/" + n.spec.id, n.open_mod_revision});
     t.writes.push_back({"open/" + n.spec.id, std::nullopt, 0});
     t.ends.push_back(n.spec.id);
     return jobs_.set_ending(j, true);
   }
-  e.end = reasons_.end_record(j);
+  e.end = pending_reasons_.end_record(j);
   if (ledger_.on()) {
     e.end.usage = ledger_.usage(j);
     e.end.need = n.spec.need;
   }
   if (e.coarser) e.end.reason.clear();
   const double took = e.end.end_wall - e.end.submit_wall;
-  port_.log(e.end.late && !n.cancelled ? LogLevel::Info : LogLevel::Debug, "job_ends",
-            {{"job", n.spec.id},
-             {"class", n.spec.job_class},
-             {"team", n.spec.team},
-             {"outcome", n.cancelled ? "cancelled" : "done"},
-             {"tasks", n.spec.tasks},
-             {"estimate_s", n.spec.estimate_s},
-             {"took_s", took},
-             {"wanted_after_s", wishes_.due_after(n.spec, n.spec.deadline_s, took)}});
-  t.guards.push_back({"open/" + n.spec.id, n.open_stamp});
-  t.guards.push_back({"end/" + n.spec.id, 0});
+  runtime_.log(e.end.late && !n.cancelled ? LogLevel::Info : LogLevel::Debug, "job_ended",
+               {{"job", n.spec.id},
+                {"class", n.spec.job_class},
+                {"team", n.spec.team},
+                {"outcome", n.cancelled ? "cancelled" : "done"},
+                {"tasks", n.spec.tasks},
+                {"estimate_s", n.spec.estimate_s},
+                {"took_s", took},
+                {"wanted_after_s", objectives_.due_after(n.spec, n.spec.deadline_s, took)}});
+  t.preconditions.push_back({"open/" + n.spec.id, n.open_mod_revision});
+  t.preconditions.push_back({"end/" + n.spec.id, 0});
   if (in_place) {
     t.writes.push_back({"open/" + n.spec.id, wire::final_json(e.end), 0});
   } else {
@@ -465,7 +469,7 @@
   jobs_.set_ending(j, true);
 }
 
-void Recorder::write_entry(int j, Transaction &t) {
+void StateWriter::write_entry(int j, Transaction &t) {
   const Job &n = jobs_[j];
   Entry &e = entry(j);
   record_ahead(j);
@@ -477,12 +481,12 @@
     p.started = widen(std::move(p.started), std::max<std::size_t>(1, chars / 14));
     p.finished = narrow(std::move(p.finished), chars / 14);
   }
-  p.failed_on = judge_.suspect(j) ? judge_.failed_on(j) : 0;
-  p.loans = n.loans;
-  p.borrowed = n.borrowed ? n.borrowed->generation : 0;
-  e.loans_covered.clear();
-  for (const auto &l : n.loans)
-    e.loans_covered.push_back(l.generation);
+  p.failed_on = failure_attribution_.suspect(j) ? failure_attribution_.failed_on(j) : 0;
+  p.delegations = n.delegations;
+  p.delegated_here = n.delegated_here ? n.delegated_here->generation : 0;
+  e.delegations_covered.clear();
+  for (const auto &l : n.delegations)
+    e.delegations_covered.push_back(l.generation);
   ledger_.write(j, p);
   e.progress = wire::to_json(p);
   // What the transaction covers: tasks placed, or done, from here on wait for the next one.
@@ -496,20 +500,20 @@
   t.jobs.push_back(n.spec.id);
 }
 
-void Recorder::add_shard(std::size_t s, Transaction &t, const std::string &without_period) {
+void StateWriter::add_shard(std::size_t s, Transaction &t, const std::string &without_period) {
   Shard &shard = shards_[s];
   for (int j : shard.jobs) {
     if (entry(j).dirty || ledger_.changed(j)) write_entry(j, t);
     t.bytes += jobs_[j].spec.tasks / 2 + kEntryChars;
   }
-  t.guards.push_back({shard.key, shard.stamp});
+  t.preconditions.push_back({shard.key, shard.mod_revision});
   const bool empty = shard.jobs.empty() && shard.ghosts.empty() && ledger_.sums(s).empty(); // of kept sums, too
   t.writes.push_back({shard.key, empty ? std::nullopt : std::optional(shard_value(s, without_period)), 0});
   shard.dirty = shard.urgent = false;
   (empty ? t.emptied : t.shards).push_back(s);
 }
 
-wire::Json Recorder::shard_value(std::size_t s, const std::string &without_period) const {
+wire::Json StateWriter::shard_value(std::size_t s, const std::string &without_period) const {
   std::vector<std::pair<std::string, wire::Json>> entries;
   for (int j : shards_[s].jobs)
     entries.emplace_back(jobs_[j].spec.id, entries_[static_cast<std::size_t>(j)].progress);
@@ -520,7 +524,7 @@
   return wire::progress_shard(std::move(entries), sums);
 }
 
-void Recorder::flushed(const Transaction &t, const wire::StoreReply &r) {
+void StateWriter::flushed(const Transaction &t, const wire::StoreReply &r) {
   flushing_ = false;
   auto each = [&](const std::vector<std::string> &names, auto fn) {
     for (const auto &name : names)
@@ -529,23 +533,23 @@
   if (r.status == 200) {
     move_on(t);
     for (std::size_t s : t.shards) {
-      shards_[s].stamp = r.revision;
+      shards_[s].mod_revision = r.revision;
       shards_[s].folding.clear(); // whatever was under way before can no longer be applied
       if (!t.folded.empty()) ledger_.forget(s, t.folded);
     }
     for (std::size_t s : t.emptied)
-      shards_[s].stamp = 0;
+      shards_[s].mod_revision = 0;
     each(t.jobs, [&](int j) {
       for (auto &mark : marks(j)) {
         if (mark & kCovered) mark |= kRecorded;
         if (mark & kDoneCovered) mark |= kDoneRecorded;
       }
-      loans_recorded(j);
+      delegations_recorded(j);
     });
     each(t.ends, [&](int j) {
       const Entry &e = entry(j);
       const std::string id = jobs_[j].spec.id;
-      if (jobs_[j].borrowed) return remove(j);
+      if (jobs_[j].delegated_here) return remove(j);
       if (e.ended_in_place) moves_.push_back({id, r.revision, wire::to_json(e.end)});
       ended_.remember(id, e.end);
       remove(j);
@@ -554,7 +558,7 @@
   }
   if (r.status == 409)
     for (const auto &k : r.failed)
-      if (k == "leader") return lead_.step_down("the leader key has changed");
+      if (k == "leader") return leadership_.step_down("the leader key has changed");
   for (const auto &m : t.moves) // a record that is not there as it was has been moved already, without an answer
     if (std::none_of(r.failed.begin(), r.failed.end(),
                      [&](const auto &k) { return k == "open/" + m.id || k == "end/" + m.id; }))
@@ -574,11 +578,11 @@
         shards_[s].needs_resync = true;
         if (!t.folded.empty()) shards_[s].folding = t.folded;
       }
-    flush_after_ = port_.now() + 0.2;
+    flush_after_ = runtime_.now() + 0.2;
   } else if (r.status == 400) {
     refused(t);
   } else {
-    flush_after_ = port_.now() + 0.3;
+    flush_after_ = runtime_.now() + 0.3;
   }
   each(t.ends, [&](int j) { jobs_.set_ending(j, false); });
   each(t.ends, [&](int j) { mark_again(j); });
@@ -589,24 +593,24 @@
 }
 
 // What a confirmed write has said of a job's loans.
-void Recorder::loans_recorded(int j) {
+void StateWriter::delegations_recorded(int j) {
   Entry &e = entry(j);
   auto lacks = [](const auto &all, std::uint64_t g) { return std::find(all.begin(), all.end(), g) == all.end(); };
-  for (auto g : e.loans_covered)
-    if (lacks(e.loans_recorded, g)) events_.publish(LoanRecorded{j, g});
-  for (auto g : e.loans_recorded)
-    if (lacks(e.loans_covered, g)) events_.publish(LoanDropped{j, g});
-  e.loans_recorded = e.loans_covered;
+  for (auto g : e.delegations_covered)
+    if (lacks(e.delegations_recorded, g)) events_.publish(DelegationRecorded{j, g});
+  for (auto g : e.delegations_recorded)
+    if (lacks(e.delegations_covered, g)) events_.publish(DelegationRemoved{j, g});
+  e.delegations_recorded = e.delegations_covered;
 }
 
-void Recorder::resync_shard(std::size_t s) {
+void StateWriter::resync_shard(std::size_t s) {
   if (shards_[s].resyncing) return;
   shards_[s].resyncing = true;
-  port_.store(StoreGet{shards_[s].key}, 1.0, [this, s, epoch = lead_.epoch()](const wire::StoreReply &r) {
-    if (epoch != lead_.epoch()) return;
+  runtime_.store(StoreGet{shards_[s].key}, 1.0, [this, s, epoch = leadership_.epoch()](const wire::StoreReply &r) {
+    if (epoch != leadership_.epoch()) return;
     shards_[s].resyncing = false;
     if (r.status == 200 && r.entries.size() == 1) {
-      shards_[s].stamp = r.entries[0].stamp;
+      shards_[s].mod_revision = r.entries[0].mod_revision;
       // Whether the write that moved sums away was applied, it says itself. If not, it may be yet, until another
       // write has come before it.
       if (auto &period = shards_[s].folding; !period.empty()) {
@@ -616,9 +620,9 @@
           ledger_.forget(s, std::exchange(period, {}));
       }
     } else if (r.status == 404) {
-      shards_[s].stamp = 0;
+      shards_[s].mod_revision = 0;
     } else {
-      flush_after_ = port_.now() + 0.2;
+      flush_after_ = runtime_.now() + 0.2;
       return;
     }
     shards_[s].needs_resync = false;
@@ -629,19 +633,19 @@
 
 // Jobs that ended under an earlier leader after it had last written their progress record: the rest of what they used
 // stands in their ends. One at a time; there are as many as end within a second or two.
-void Recorder::settle_ghosts() {
-  if (settling_ || port_.now() < next_settle_) return;
+void StateWriter::settle_ghosts() {
+  if (settling_ || runtime_.now() < next_settle_) return;
   std::size_t s = 0;
   while (s < shards_.size() && shards_[s].ghosts.empty())
     ++s;
   if (s == shards_.size()) return;
-  next_settle_ = port_.now() + kSettleEvery;
+  next_settle_ = runtime_.now() + kSettleEvery;
   const std::string id = shards_[s].ghosts.back().first;
   for (const auto &m : moves_)
     if (m.id == id) return settled(s, id, wire::end_from_json(m.value));
   settling_ = true;
-  port_.store(StoreGet{"end/" + id}, 1.0, [this, s, id, epoch = lead_.epoch()](const wire::StoreReply &r) {
-    if (epoch != lead_.epoch()) return;
+  runtime_.store(StoreGet{"end/" + id}, 1.0, [this, s, id, epoch = leadership_.epoch()](const wire::StoreReply &r) {
+    if (epoch != leadership_.epoch()) return;
     settling_ = false;
     if (r.status == 200 && r.entries.size() == 1)
       settled(s, id, wire::end_from_json(r.entries[0].value));
@@ -650,86 +654,87 @@
   });
 }
 
-void Recorder::settled(std::size_t s, const std::string &id, const std::optional<EndRecord> &end) {
+void StateWriter::settled(std::size_t s, const std::string &id, const std::optional<EndRecord> &end) {
   auto &ghosts = shards_[s].ghosts;
   const auto it = std::find_if(ghosts.begin(), ghosts.end(), [&](const auto &g) { return g.first == id; });
   if (it == ghosts.end()) return;
   if (end && end->usage)
     ledger_.settle(s, end->team, *end->usage - it->second.usage, end->need);
   else
-    port_.log(LogLevel::Error, "account_incomplete", {{"job", id}, {"then", "counted as far as recorded before"}});
+    runtime_.log(LogLevel::Error, "account_gap_found", {{"job", id}, {"then", "counted as far as recorded before"}});
   ghosts.erase(it);
   mark_shard(s, false);
 }
 
 // Sums of a period that is over go into one record for all, so that progress records stay small and a takeover reads
 // no history. One transaction takes them from here and adds them there.
-void Recorder::fold() {
+void StateWriter::fold() {
   for (std::size_t s = 0; s < shards_.size(); ++s) {
     const std::string period = ledger_.over(s);
     if (period.empty() || left_alone_.contains(period) || shards_[s].needs_resync || !shards_[s].folding.empty() ||
-        budget_.leader_writes(port_.now()) < 2)
+        state_limits_.leader_writes(runtime_.now()) < 2)
       continue;
     flushing_ = true;
-    port_.store(StoreGet{kAccounts + period}, 1.0, [this, s, period, epoch = lead_.epoch()](const wire::StoreReply &r) {
-      if (epoch != lead_.epoch()) return;
-      flushing_ = false;
-      flush_after_ = port_.now() + 0.2;
-      if (!lead_.active() || shards_[s].needs_resync) return;
-      if (r.status == 404) return fold_into(s, period, {}, 0);
-      if (r.status != 200 || r.entries.size() != 1) return;
-      auto kept = wire::sums_from_json(r.entries[0].value);
-      if (kept) return fold_into(s, period, std::move(*kept), r.entries[0].stamp);
-      left_alone_.insert(period);
-      port_.log(LogLevel::Error, "record_unreadable", {{"key", kAccounts + period}, {"then", "left alone"}});
-    });
+    runtime_.store(
+        StoreGet{kAccounts + period}, 1.0, [this, s, period, epoch = leadership_.epoch()](const wire::StoreReply &r) {
+          if (epoch != leadership_.epoch()) return;
+          flushing_ = false;
+          flush_after_ = runtime_.now() + 0.2;
+          if (!leadership_.active() || shards_[s].needs_resync) return;
+          if (r.status == 404) return fold_into(s, period, {}, 0);
+          if (r.status != 200 || r.entries.size() != 1) return;
+          auto kept = wire::sums_from_json(r.entries[0].value);
+          if (kept) return fold_into(s, period, std::move(*kept), r.entries[0].mod_revision);
+          left_alone_.insert(period);
+          runtime_.log(LogLevel::Error, "record_rejected", {{"key", kAccounts + period}, {"then", "left alone"}});
+        });
     return;
   }
 }
 
-void Recorder::fold_into(std::size_t s, const std::string &period, SumsByTeam kept, std::uint64_t stamp) {
+void StateWriter::fold_into(std::size_t s, const std::string &period, SumsByTeam kept, std::uint64_t mod_revision) {
   Transaction t;
-  t.guards = {{"leader", lead_.term()}};
+  t.preconditions = {{"leader", leadership_.term()}};
   t.folded = period;
   add_shard(s, t, period);
   for (const auto &[key, row] : ledger_.sums(s))
     if (key.first == period) kept[key] += row;
-  t.guards.push_back({kAccounts + period, stamp});
+  t.preconditions.push_back({kAccounts + period, mod_revision});
   t.writes.push_back({kAccounts + period, wire::to_json(kept), 0});
   commit(std::move(t));
 }
 
 // Our own write, applied without an answer.
-void Recorder::ended(int j, EndRecord end) {
+void StateWriter::ended(int j, EndRecord end) {
   if (end.usage) ledger_.correct(j, *end.usage);
   ended_.remember(jobs_[j].spec.id, std::move(end));
   remove(j);
 }
 
-void Recorder::resync(int j) {
+void StateWriter::resync(int j) {
   if (entry(j).resyncing) return;
   entry(j).resyncing = true;
   const std::string id = jobs_[j].spec.id;
-  auto find = [this, id, epoch = lead_.epoch()] { return epoch == lead_.epoch() ? jobs_.index(id) : -1; };
-  port_.store(StoreGet{"open/" + id}, 1.0, [this, id, find](const wire::StoreReply &r) {
+  auto find = [this, id, epoch = leadership_.epoch()] { return epoch == leadership_.epoch() ? jobs_.index(id) : -1; };
+  runtime_.store(StoreGet{"open/" + id}, 1.0, [this, id, find](const wire::StoreReply &r) {
     const int k = find();
     if (k < 0) return;
     if (r.status != 404) {
       entry(k).resyncing = false;
       if (auto end =
               r.status == 200 && r.entries.size() == 1 ? wire::final_from_json(r.entries[0].value) : std::nullopt) {
-        moves_.push_back({id, r.entries[0].stamp, wire::to_json(*end)});
+        moves_.push_back({id, r.entries[0].mod_revision, wire::to_json(*end)});
         ended(k, std::move(*end));
       } else if (r.status == 200 && r.entries.size() == 1) {
         entry(k).needs_resync = false;
-        take_open("open/" + id, r.entries[0].value, r.entries[0].stamp);
+        take_open("open/" + id, r.entries[0].value, r.entries[0].mod_revision);
       } else {
-        flush_after_ = port_.now() + 0.2;
+        flush_after_ = runtime_.now() + 0.2;
       }
       return;
     }
-    if (jobs_[k].borrowed) return remove(k);
-    port_.store(StoreGet{"end/" + id}, 1.0, [this, id, find](const wire::StoreReply &e) {
+    if (jobs_[k].delegated_here) return remove(k);
+    runtime_.store(StoreGet{"end/" + id}, 1.0, [this, id, find](const wire::StoreReply &e) {
       const int jj = find();
       if (jj < 0) return;
       entry(jj).resyncing = false;
@@ -740,4 +745,4 @@
   });
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/relay.cpp
+++ b/src/core/relay.cpp
@@ -1,6 +1,6 @@
 #include "loftrouter/core/relay.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kBrokenFor = 2.0;    // s; long enough for the workers concerned to reach the leader
@@ -9,7 +9,7 @@
 constexpr double kLeaveASecond = 0.2; // of the limit of reports, in workers
 } // namespace
 
-std::optional<std::uint64_t> ReportRelay::take(RequestId req, const std::string &machine, double now) {
+std::optional<std::uint64_t> HeartbeatForwarder::take(RequestId req, const std::string &machine, double now) {
   if (now - pruned_at_ > 1) {
     pruned_at_ = now;
     std::erase_if(known_, [&](const auto &k) { return now - k.second > forget_s_; });
@@ -19,14 +19,14 @@
   return passed_.take(req, now + kPatience, machine);
 }
 
-std::optional<RequestId> ReportRelay::answered(std::uint64_t nonce, bool stays) {
+std::optional<RequestId> HeartbeatForwarder::answered(std::uint64_t nonce, bool stays) {
   const auto item = passed_.answered(nonce);
   if (!item) return std::nullopt;
   if (!stays) left(item->kept);
   return item->req;
 }
 
-std::vector<RequestId> ReportRelay::give_up(double now) {
+std::vector<RequestId> HeartbeatForwarder::give_up(double now) {
   std::vector<RequestId> out;
   for (const auto &item : passed_.give_up(now)) {
     out.push_back(item.req);
@@ -36,7 +36,7 @@
   return out;
 }
 
-std::vector<RequestId> ReportRelay::give_up_all() {
+std::vector<RequestId> HeartbeatForwarder::give_up_all() {
   const double broken = broken_until_;
   auto out = give_up(std::numeric_limits<double>::infinity());
   broken_until_ = broken;
@@ -44,12 +44,12 @@
   return out;
 }
 
-void WorkerSpread::begin(bool wanted) {
-  *this = WorkerSpread(limits_);
+void HeartbeatLoadBalancer::begin(bool wanted) {
+  *this = HeartbeatLoadBalancer(limits_);
   wanted_ = wanted;
 }
 
-void WorkerSpread::tick(double now, double dt_s, std::size_t workers) {
+void HeartbeatLoadBalancer::tick(double now, double dt_s, std::size_t workers) {
   rate_ += kSmooth * (static_cast<double>(direct_) / dt_s - rate_);
   all_ += kSmooth * (static_cast<double>(direct_ + passed_) / dt_s - all_);
   direct_ = passed_ = 0;
@@ -64,4 +64,4 @@
   pace_.set_rate(now, std::max(1.0, kLeaveASecond * limits_.reports));
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/scaler.cpp
+++ b/src/core/scaler.cpp
@@ -6,7 +6,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kScaleEvery = 1.0, kFirstScale = 1.0; // the latter: after it could place nothing
@@ -14,76 +14,78 @@
 constexpr double kTypesEvery = 60.0;
 constexpr double kProbeEvery = 5.0;
 constexpr double kNoCapacityPause = 12.0;
-constexpr double kMinimumCharge = 60.0; // a returned machine costs at least this long
-constexpr double kHoldBootsKept = 1.5;  // boot times an idle machine is held that some job class needs whole
-constexpr double kBootGiveUp = 2.0;     // boot times after which a machine is taken for one that never comes up
-constexpr double kDeafPatience = 15.0;  // s beyond its lease, of a machine that hears nothing
-constexpr double kDrainBelow = 0.85;    // dear machines are drained until the rest is used that much
-constexpr double kSlackShare = 0.7;     // of the time left, what the queue may take
-constexpr double kVeryLate = 8.0;       // times the time a job was given
+constexpr double kMinimumCharge = 60.0;        // a returned machine costs at least this long
+constexpr double kHoldBootsKept = 1.5;         // boot times an idle machine is held that some job class needs whole
+constexpr double kBootGiveUp = 2.0;            // boot times after which a machine is taken for one that never comes up
+constexpr double kDownlinkLossPatience = 15.0; // s beyond its lease, of a machine that hears nothing
+constexpr double kDrainBelow = 0.85;           // dear machines are drained until the rest is used that much
+constexpr double kSlackShare = 0.7;            // of the time left, what the queue may take
+constexpr double kVeryLate = 8.0;              // times the time a job was given
 // How often a rented machine's place may be used for one backlog: as often as the time left allows.
 constexpr double kWavesShare = 0.5, kMinWaves = 2.0, kMaxWaves = 6.0;
-constexpr int kMostACall = 50;     // machines, by the cloud's protocol
+constexpr int kMaxACall = 50;      // machines, by the cloud's protocol
 constexpr double kCallsKept = 1.0; // of the cloud's, for the list and for returns
 const char *const kTypesKey = "conf/types";
 } // namespace
 
-Scaler::Scaler(Port &port, const Settings &settings, Catalogue &catalogue, const Operators &operators,
-               const Leadership &lead, const JobTable &jobs, const Dependencies &dependencies,
-               const FailureJudge &judge, Fleet &fleet, const Silence &silence, const Placer &placer,
-               const Wishes &wishes)
-    : port_(port), settings_(settings), catalogue_(catalogue), operators_(operators), lead_(lead), jobs_(jobs),
-      dependencies_(dependencies), judge_(judge), fleet_(fleet), silence_(silence), placer_(placer), wishes_(wishes),
+Autoscaler::Autoscaler(Runtime &runtime, const Settings &settings, InstanceTypeCatalog &catalog,
+                       const Operators &operators, const Leadership &leadership, const JobTable &jobs,
+                       const Dependencies &dependencies, const FailureAttribution &failure_attribution,
+                       WorkerRegistry &workers, const FailureDetector &failure_detector, const Scheduler &scheduler,
+                       const JobObjectives &objectives)
+    : runtime_(runtime), settings_(settings), catalog_(catalog), operators_(operators), leadership_(leadership),
+      jobs_(jobs), dependencies_(dependencies), failure_attribution_(failure_attribution), workers_(workers),
+      failure_detector_(failure_detector), scheduler_(scheduler), objectives_(objectives),
       calls_(0.7 * settings.cloud_rps, std::max(1.0, 0.7 * settings.cloud_rps)) {}
 
-void Scaler::on(const TermBegun &) {
-  next_list_ = port_.now();
-  next_scale_ = port_.now() + kFirstScale;
+void Autoscaler::on(const TermStarted &) {
+  next_list_ = runtime_.now();
+  next_scale_ = runtime_.now() + kFirstScale;
   listed_once_at_ = -1;
 }
 
-void Scaler::on(const TermEnded &) {
+void Autoscaler::on(const TermEnded &) {
   listing_ = returning_ = false;
   listed_once_at_ = -1;
   rents_open_.clear();
 }
 
-bool Scaler::refused(const MachineKind &kind) const {
+bool Autoscaler::refused(const MachineKind &kind) const {
   auto it = no_capacity_until_.find(kind);
-  return it != no_capacity_until_.end() && port_.now() < it->second;
+  return it != no_capacity_until_.end() && runtime_.now() < it->second;
 }
 
-std::vector<MachineKind> Scaler::refused_kinds() const {
+std::vector<MachineKind> Autoscaler::refused_kinds() const {
   std::vector<MachineKind> out;
   for (const auto &[kind, until] : no_capacity_until_)
-    if (port_.now() < until) out.push_back(kind);
+    if (runtime_.now() < until) out.push_back(kind);
   return out;
 }
 
 // The types are kept in the state service, so that a node can judge jobs while the cloud is silent.
-void Scaler::load_types() {
+void Autoscaler::load_types() {
   types_loading_ = true;
-  next_types_ = port_.now() + (catalogue_.known() ? kTypesEvery : 1.0);
+  next_types_ = runtime_.now() + (catalog_.known() ? kTypesEvery : 1.0);
   auto from_cloud = [this] {
-    if (!calls_.take(port_.now())) {
+    if (!calls_.take(runtime_.now())) {
       types_loading_ = false;
       return;
     }
-    port_.cloud(CloudTypes{}, 3.0, [this](const wire::CloudReply &r) {
+    runtime_.cloud(CloudTypes{}, 3.0, [this](const wire::CloudReply &r) {
       types_loading_ = false;
       if (r.status != 200 || r.types.empty()) return;
-      const bool first = !catalogue_.known();
-      catalogue_.take(r.types);
-      if (first && lead_.role() == Role::Follower)
-        port_.store(StoreCommit{{{kTypesKey, 0}}, {{kTypesKey, wire::to_json(catalogue_.types()), 0}}}, 2.0,
-                    [](const wire::StoreReply &) {});
+      const bool first = !catalog_.known();
+      catalog_.take(r.types);
+      if (first && leadership_.role() == Role::Follower)
+        runtime_.store(StoreCommit{{{kTypesKey, 0}}, {{kTypesKey, wire::to_json(catalog_.types()), 0}}}, 2.0,
+                       [](const wire::StoreReply &) {});
     });
   };
-  if (catalogue_.known()) return from_cloud();
-  port_.store(StoreGet{kTypesKey}, 1.0, [this, from_cloud](const wire::StoreReply &r) {
+  if (catalog_.known()) return from_cloud();
+  runtime_.store(StoreGet{kTypesKey}, 1.0, [this, from_cloud](const wire::StoreReply &r) {
     if (r.status == 200 && r.entries.size() == 1)
       if (auto types = wire::types_from_json(r.entries[0].value)) {
-        catalogue_.take(std::move(*types));
+        catalog_.take(std::move(*types));
         types_loading_ = false;
         return;
       }
@@ -91,36 +93,36 @@
   });
 }
 
-void Scaler::probe() {
-  if (types_loading_ || !catalogue_.known() || port_.now() < next_probe_) return;
-  next_probe_ = port_.now() + kProbeEvery * (0.8 + 0.4 * port_.random());
+void Autoscaler::probe() {
+  if (types_loading_ || !catalog_.known() || runtime_.now() < next_probe_) return;
+  next_probe_ = runtime_.now() + kProbeEvery * (0.8 + 0.4 * runtime_.random());
   load_types();
 }
 
-void Scaler::tick() {
-  if (!types_loading_ && port_.now() >= next_types_ && (!catalogue_.known() || lead_.leading())) load_types();
-  if (!lead_.active()) {
-    nothing_placed_until_ = port_.now();
-    next_scale_ = port_.now() + kFirstScale; // once what waits has been placed on what is up
+void Autoscaler::tick() {
+  if (!types_loading_ && runtime_.now() >= next_types_ && (!catalog_.known() || leadership_.leading())) load_types();
+  if (!leadership_.active()) {
+    nothing_placed_until_ = runtime_.now();
+    next_scale_ = runtime_.now() + kFirstScale; // once what waits has been placed on what is up
     return;
   }
-  if (!listing_ && port_.now() >= next_list_ && calls_.take(port_.now())) {
+  if (!listing_ && runtime_.now() >= next_list_ && calls_.take(runtime_.now())) {
     listing_ = true;
-    next_list_ = port_.now() + kListEvery;
+    next_list_ = runtime_.now() + kListEvery;
     list("");
   }
   return_machines();
-  if (port_.now() >= next_scale_) {
-    next_scale_ = port_.now() + kScaleEvery;
+  if (runtime_.now() >= next_scale_) {
+    next_scale_ = runtime_.now() + kScaleEvery;
     scale();
   }
 }
 
 // ---- the cloud's list ----
 
-void Scaler::list(std::string from) {
-  port_.cloud(CloudList{from}, 3.0, [this, epoch = lead_.epoch()](const wire::CloudReply &r) {
-    if (epoch != lead_.epoch()) return;
+void Autoscaler::list(std::string from) {
+  runtime_.cloud(CloudList{from}, 3.0, [this, epoch = leadership_.epoch()](const wire::CloudReply &r) {
+    if (epoch != leadership_.epoch()) return;
     if (r.status != 200) {
       listing_ = false;
       return;
@@ -128,83 +130,84 @@
     merge(r);
     if (r.more && !r.machines.empty()) return list(r.machines.back().name);
     listing_ = false;
-    if (listed_once_at_ < 0) listed_once_at_ = port_.now();
+    if (listed_once_at_ < 0) listed_once_at_ = runtime_.now();
   });
 }
 
-void Scaler::merge(const wire::CloudReply &r) {
+void Autoscaler::merge(const wire::CloudReply &r) {
   for (const auto &l : r.machines) {
-    if (const auto gone = fleet_.gone(l.name)) {
-      if (port_.now() - *gone < 4 * settings_.cloud_list_lag_s + 5) continue; // the list lags
-      fleet_.listed_again(l.name);                                            // still there: give it back again
-      fleet_.give_back(fleet_.add(l.name, l.type, l.zone, l.spot));
+    if (const auto gone = workers_.gone(l.name)) {
+      if (runtime_.now() - *gone < 4 * settings_.cloud_list_lag_s + 5) continue; // the list lags
+      workers_.listed_again(l.name);                                             // still there: give it back again
+      workers_.give_back(workers_.add(l.name, l.type, l.zone, l.spot));
       continue;
     }
-    const bool fresh = fleet_.index(l.name) < 0;
-    const int m = fleet_.add(l.name, l.type, l.zone, l.spot);
-    if (fresh) fleet_.set_rented_at(m, port_.now() - l.age_s);
-    if (l.status == MachineStatus::Running) fleet_.listed_running(m);
-    if (l.status == MachineStatus::Failed) fleet_.listed_failed(m);
+    const bool fresh = workers_.index(l.name) < 0;
+    const int m = workers_.add(l.name, l.type, l.zone, l.spot);
+    if (fresh) workers_.set_rented_at(m, runtime_.now() - l.age_s);
+    if (l.status == MachineStatus::Running) workers_.listed_running(m);
+    if (l.status == MachineStatus::Failed) workers_.listed_failed(m);
   }
 }
 
 // ---- giving back ----
 
-std::vector<std::string> Scaler::names_to_return() {
+std::vector<std::string> Autoscaler::names_to_return() {
   std::vector<std::string> names;
-  int live = 0, lost = 0, deaf = 0;
-  fleet_.each([&](int, const Machine &m) {
+  int live = 0, lost = 0, downlink_lost = 0;
+  workers_.each([&](int, const Machine &m) {
     if (!m.heard) return;
     ++(m.lost ? lost : live);
-    deaf += m.deaf();
+    downlink_lost += m.downlink_lost();
   });
-  const double now = port_.now(), cheapest = catalogue_.cheapest_cpu();
-  fleet_.each([&](int m, const Machine &n) {
-    const double age = now - n.rented_at, boot = n.type >= 0 ? catalogue_.type(n.type).boot_s : 60;
-    const bool awaited = silence_.awaited(m);
+  const double now = runtime_.now(), cheapest = catalog_.cheapest_cpu();
+  workers_.each([&](int m, const Machine &n) {
+    const double age = now - n.rented_at, boot = n.type >= 0 ? catalog_.type(n.type).boot_s : 60;
+    const bool awaited = failure_detector_.awaited(m);
     bool go = !n.heard && !awaited && now - n.known_since > 10 && age > kBootGiveUp * boot + 10;
     // Many machines silent at once points at the network rather than at them.
     go |= n.heard && n.lost && !awaited && (lost <= live || now - n.last_answer > settings_.lease_s + 30);
-    go |= n.taken_at && now > *n.taken_at + 1 && now - n.last_answer > settings_.report_s * 1.5 + 1;
-    if (n.heard && !n.lost && !awaited && n.slots.empty() && n.idle_since >= 0 &&
+    go |= n.taken_at && now > *n.taken_at + 1 && now - n.last_answer > settings_.heartbeat_interval_s * 1.5 + 1;
+    if (n.heard && !n.lost && !awaited && n.allocations.empty() && n.idle_since >= 0 &&
         (age >= kMinimumCharge - 2 || n.order)) {
-      const bool keep = !n.spot && placer_.kept(n.type, 300);
+      const bool keep = !n.spot && scheduler_.kept(n.type, 300);
       double hold = boot * (keep ? kHoldBootsKept : operators_.tunables().idle_boots);
       if (!keep && n.type >= 0 && n.size.cpus > 0)
-        hold *= std::min(1.0, cheapest / Catalogue::cpu_price(catalogue_.type(n.type), n.spot));
+        hold *= std::min(1.0, cheapest / InstanceTypeCatalog::cpu_price(catalog_.type(n.type), n.spot));
       if (n.draining) hold = std::min(hold, 3.0);
-      if (n.order) hold = *n.order == wire::MachineOrder::Drain ? 0 : 1e9;
+      if (n.order) hold = *n.order == wire::MachineAdminState::Drain ? 0 : 1e9;
       // Guards against what has come up, or has become free, in an outage being given back the moment that it is over.
       go |= now - std::max(n.idle_since, nothing_placed_until_) > hold;
     }
     // One that hears nothing is replaced once its tasks are over by its lease; where many hear nothing it is the
     // network, and they are waited for as silent ones are.
-    if (n.deaf())
-      go |= now - n.deaf_since >
-            settings_.lease_s + (deaf < 3 || 3 * deaf <= live ? kDeafPatience : kMinimumCharge + boot);
-    if (go) fleet_.give_back(m);
+    if (n.downlink_lost())
+      go |= now - n.downlink_lost_since >
+            settings_.lease_s +
+                (downlink_lost < 3 || 3 * downlink_lost <= live ? kDownlinkLossPatience : kMinimumCharge + boot);
+    if (go) workers_.give_back(m);
     if (n.returning && names.size() < 100) names.push_back(n.name);
   });
   return names;
 }
 
-void Scaler::return_machines() {
-  fleet_.forget_gone(600);
+void Autoscaler::return_machines() {
+  workers_.forget_gone(600);
   if (returning_) return;
   auto names = names_to_return();
-  if (names.empty() || !calls_.take(port_.now())) return;
+  if (names.empty() || !calls_.take(runtime_.now())) return;
   returning_ = true;
-  port_.cloud(CloudReturn{names}, 5.0, [this, names, epoch = lead_.epoch()](const wire::CloudReply &r) {
-    if (epoch != lead_.epoch()) return;
+  runtime_.cloud(CloudScaleIn{names}, 5.0, [this, names, epoch = leadership_.epoch()](const wire::CloudReply &r) {
+    if (epoch != leadership_.epoch()) return;
     returning_ = false;
     if (r.status != 200) return; // asked again: a machine is gone only when the cloud has said so
     for (const auto &name : names)
-      if (const int m = fleet_.index(name); m >= 0) fleet_.remove(m);
+      if (const int m = workers_.index(name); m >= 0) workers_.remove(m);
   });
 }
 
-void Scaler::drain_surplus(double waiting_cpus) {
-  const double cheapest = catalogue_.cheapest_cpu();
+void Autoscaler::drain_surplus(double waiting_cpus) {
+  const double cheapest = catalog_.cheapest_cpu();
   struct Candidate {
     double price, used_share;
     int m;
@@ -212,19 +215,19 @@
   };
   std::vector<Candidate> candidates;
   double used = waiting_cpus, size = 0;
-  fleet_.each([&](int m, const Machine &n) {
+  workers_.each([&](int m, const Machine &n) {
     if (n.returning || n.lost || !n.heard || n.type < 0) return;
-    if (!n.spot && placer_.kept(n.type, 600)) return;
+    if (!n.spot && scheduler_.kept(n.type, 600)) return;
     used += n.used.cpus;
     size += n.size.cpus;
-    for (const auto &s : n.slots) // it keeps no dear machine
-      if (s.job >= 0 && !s.finished && placer_.patient(s.job)) {
+    for (const auto &s : n.allocations) // it keeps no dear machine
+      if (s.job >= 0 && !s.finished && scheduler_.deferrable(s.job)) {
         used -= s.need.cpus;
         size -= s.need.cpus;
       }
-    const double price = Catalogue::cpu_price(catalogue_.type(n.type), n.spot);
-    if (port_.now() - n.rented_at < kMinimumCharge || price < kDear * cheapest)
-      fleet_.set_draining(m, false);
+    const double price = InstanceTypeCatalog::cpu_price(catalog_.type(n.type), n.spot);
+    if (runtime_.now() - n.rented_at < kMinimumCharge || price < kExpensiveRatio * cheapest)
+      workers_.set_draining(m, false);
     else
       candidates.push_back({price, n.used.cpus / std::max(0.01, n.size.cpus), m, &n});
   });
@@ -236,14 +239,14 @@
   double surplus = size - used / kDrainBelow;
   for (const auto &c : candidates) {
     surplus -= c.machine->size.cpus;
-    fleet_.set_draining(c.m, surplus >= 0);
+    workers_.set_draining(c.m, surplus >= 0);
   }
 }
 
 // Seconds until each job can probably start; 0: it can. By its owners' estimates, so never beyond what is being run.
-std::vector<double> Scaler::ready_soon() const {
+std::vector<double> Autoscaler::ready_soon() const {
   auto out = dependencies_.along([this](int j) {
-    const double age = dependencies_.ready(j) ? std::max(0.0, placer_.age(j)) : 0;
+    const double age = dependencies_.ready(j) ? std::max(0.0, scheduler_.age(j)) : 0;
     return std::max(1.0, jobs_[j].spec.estimate_s - age);
   });
   jobs_.each([&](int j, const Job &) { // one whose names are all being looked up still waits
@@ -253,23 +256,23 @@
   return std::move(out.begins_in);
 }
 
-void Scaler::scale() {
-  if (listed_once_at_ < 0 || port_.now() - listed_once_at_ < 1.0 || silence_.nobody_heard()) return;
-  const auto &types = catalogue_.types();
+void Autoscaler::scale() {
+  if (listed_once_at_ < 0 || runtime_.now() - listed_once_at_ < 1.0 || failure_detector_.nobody_heard()) return;
+  const auto &types = catalog_.types();
   struct Place {
     Resources free;
     int type, zone;
     bool spot;
   };
   std::vector<Place> booting;
-  fleet_.each([&](int, const Machine &m) {
+  workers_.each([&](int, const Machine &m) {
     if (!m.heard && !m.listed_running && !m.returning && m.type >= 0)
       booting.push_back({m.size, m.type, m.zone, m.spot});
   });
   for (const auto &[key, count] : rents_open_)
     for (int i = 0; i < count; ++i) {
       auto [t, z, spot] = key;
-      booting.push_back({catalogue_.type(t).size, t, z, spot});
+      booting.push_back({catalog_.type(t).size, t, z, spot});
     }
   std::vector<int> order;
   jobs_.each([&](int j, const Job &) { order.push_back(j); });
@@ -278,9 +281,9 @@
            std::pair(-static_cast<int>(dependencies_.urgency(b)), jobs_[b].submit_wall);
   });
   std::vector<int> index;
-  auto up = placer_.snapshot(index, -1, [this](int m) {
-    const Machine &n = fleet_[m]; // one that is heard and not proven yet is so within a report or two
-    return silence_.expected(m) || (n.heard && !n.lost && !n.proven && !n.deaf());
+  auto up = scheduler_.snapshot(index, -1, [this](int m) {
+    const Machine &n = workers_[m]; // one that is heard and not proven yet is so within a report or two
+    return failure_detector_.expected(m) || (n.heard && !n.lost && !n.verified && !n.downlink_lost());
   });
   // Machines already up, those alike together, and the CPU seconds that they are expected to still spend.
   struct Alike {
@@ -294,36 +297,37 @@
     group.one = up[i];
     group.one.id = -1;
     ++group.count;
-    for (const auto &s : fleet_[index[i]].slots) {
+    for (const auto &s : workers_[index[i]].allocations) {
       if (s.job < 0 || s.finished) continue;
-      const double ran = s.running_since >= 0 ? port_.now() - s.running_since : 0;
+      const double ran = s.running_since >= 0 ? runtime_.now() - s.running_since : 0;
       busy[i] += std::max(5.0, jobs_[s.job].spec.estimate_s - ran) * s.need.cpus;
     }
     group.busy += busy[i];
   }
   // What will be able to start within a boot: machines for it are on their way by then.
   const auto ready_in = ready_soon();
-  double most_boot = 0;
+  double max_boot = 0;
   for (const auto &t : types)
-    most_boot = std::max(most_boot, t.boot_s);
+    max_boot = std::max(max_boot, t.boot_s);
   double pending = 0;
   std::vector<Wanted> wanted; // in the order of the jobs that want them first
   for (int j : order) {
     const Job &n = jobs_[j];
-    PlaceJob p = placer_.place_job(j);
+    PlaceJob p = scheduler_.place_job(j);
     const double soon = ready_in[static_cast<std::size_t>(j)];
-    if (p.limit == 0 && soon > 0 && soon <= most_boot && !n.cancelled && !n.ending && n.team >= 0) p.limit = p.ready;
+    if (p.limit == 0 && soon > 0 && soon <= max_boot && !n.cancelled && !n.ending && n.team >= 0) p.limit = p.ready;
     if (p.limit == 0) continue;
     // For work that fails everywhere nothing is rented, unless it could never be tried again.
-    if (judge_.suspect(j)) {
+    if (failure_attribution_.suspect(j)) {
       p.barred.clear();
       if (std::any_of(up.begin(), up.end(), [&](const auto &m) { return allowed(p, m) && p.need.fits(m.size); }))
         continue;
     }
-    if (!placer_.patient(j) || placer_.passed_over(j)) pending += p.ready * p.need.cpus;
+    if (!scheduler_.deferrable(j) || scheduler_.passed_over(j)) pending += p.ready * p.need.cpus;
     const bool low = p.urgency == Urgency::Low;
     const double est = std::max(8.0, n.spec.estimate_s);
-    const double due = wishes_.due_after(n.spec, dependencies_.deadline(j), placer_.age(j)), left = due - p.wait_s;
+    const double due = objectives_.due_after(n.spec, dependencies_.deadline(j), scheduler_.age(j)),
+                 left = due - p.wait_s;
     // A gang needs all its places at the same time, perhaps in one zone: none serves two of its tasks, one after the
     // other. Counting so from the start rents more than others leave time for (measured: worse); a gang that has waited
     // long is what the easier count does not serve.
@@ -360,16 +364,16 @@
     };
     double cheapest = std::numeric_limits<double>::infinity();
     for (int t = 0; t < static_cast<int>(types.size()); ++t) {
-      const auto &type = catalogue_.type(t);
+      const auto &type = catalog_.type(t);
       if (!p.types[static_cast<std::size_t>(t)] || !p.need.fits(type.size)) continue;
       cheapest = std::min(cheapest, (p.spot ? std::min(type.spot_price, type.price) : type.price) / places_on(type));
     }
     for (int t = 0; t < static_cast<int>(types.size()); ++t) {
-      const auto &type = catalogue_.type(t);
+      const auto &type = catalog_.type(t);
       if (!p.types[static_cast<std::size_t>(t)] || !p.need.fits(type.size) || soon > type.boot_s) continue;
       const double per = places_on(type);
       for (const auto &zone : type.zones) {
-        const int z = catalogue_.zone(zone);
+        const int z = catalog_.zone(zone);
         if (p.zone >= 0 && p.zone != z) continue;
         for (bool spot : {true, false}) {
           if (spot && !p.spot) continue;
@@ -379,7 +383,7 @@
           // come early enough to save a deadline that the queue endangers, or against waiting without end.
           double price = spot ? type.spot_price : type.price;
           double horizon = type.boot_s + (low ? est : 0.0);
-          if (low && price / per > kDear * cheapest)
+          if (low && price / per > kExpensiveRatio * cheapest)
             horizon =
                 std::max(horizon, kSlackShare * (kSlackShare * left > horizon ? left : kVeryLate * due - p.wait_s));
           double booked = 0; // places on their way in this zone
@@ -431,7 +435,7 @@
       for (auto &b : booting)
         if (b.zone == best.zone && suits(b)) fill(b);
     for (int i = 0; i < best.count; ++i) {
-      Place place{catalogue_.type(best.type).size, best.type, best.zone, best.spot};
+      Place place{catalog_.type(best.type).size, best.type, best.zone, best.spot};
       fill(place);
       booting.push_back(place);
     }
@@ -444,42 +448,42 @@
 // ---- renting ----
 
 // All that is wanted of one kind at once: a backlog of thousands of tasks is not to be met by a few machines a second.
-void Scaler::rent(const Wanted &w) {
+void Autoscaler::rent(const Wanted &w) {
   const auto [type, zone, spot] = w.kind;
   const Job &why = jobs_[w.job];
-  for (int left = w.count; left > 0 && calls_.level(port_.now()) >= 1 + kCallsKept;) {
-    const int count = std::min(left, kMostACall);
+  for (int left = w.count; left > 0 && calls_.level(runtime_.now()) >= 1 + kCallsKept;) {
+    const int count = std::min(left, kMaxACall);
     left -= count;
     rents_open_[w.kind] += count;
-    CloudRent call{fmt::format("r-{}-{}", lead_.term(), ++rents_), catalogue_.type_name(type),
-                   catalogue_.zone_name(zone), spot, count};
-    port_.log(LogLevel::Info, "renting",
-              {{"request", call.request},
-               {"machines", count},
-               {"type", call.type},
-               {"zone", call.zone},
-               {"spot", spot},
-               {"jobs", w.jobs},
-               {"first_job", why.spec.id},
-               {"class", why.spec.job_class},
-               {"its_waiting_tasks", why.pending()}});
+    CloudScaleOut call{fmt::format("r-{}-{}", leadership_.term(), ++rents_), catalog_.type_name(type),
+                       catalog_.zone_name(zone), spot, count};
+    runtime_.log(LogLevel::Info, "scale_out_requested",
+                 {{"request", call.request},
+                  {"machines", count},
+                  {"type", call.type},
+                  {"zone", call.zone},
+                  {"spot", spot},
+                  {"jobs", w.jobs},
+                  {"first_job", why.spec.id},
+                  {"class", why.spec.job_class},
+                  {"its_waiting_tasks", why.pending()}});
     send_rent(std::move(call), w.kind, 3);
   }
 }
 
-void Scaler::send_rent(CloudRent call, MachineKind kind, int tries) {
-  if (!calls_.take(port_.now())) {
+void Autoscaler::send_rent(CloudScaleOut call, MachineKind kind, int tries) {
+  if (!calls_.take(runtime_.now())) {
     rents_open_[kind] -= call.count;
     return;
   }
-  port_.cloud(call, 3.0, [this, call, kind, tries, epoch = lead_.epoch()](const wire::CloudReply &r) {
-    if (epoch != lead_.epoch()) return;
+  runtime_.cloud(call, 3.0, [this, call, kind, tries, epoch = leadership_.epoch()](const wire::CloudReply &r) {
+    if (epoch != leadership_.epoch()) return;
     if (r.status == 0 && tries > 1) return send_rent(call, kind, tries - 1); // same name: rents nothing twice
     rents_open_[kind] -= call.count;
-    const auto pause = port_.now() + kNoCapacityPause;
+    const auto pause = runtime_.now() + kNoCapacityPause;
     if (r.status == 200) {
       for (const auto &name : r.names)
-        if (!fleet_.gone(name)) fleet_.set_proven(fleet_.add(name, call.type, call.zone, call.spot));
+        if (!workers_.gone(name)) workers_.set_verified(workers_.add(name, call.type, call.zone, call.spot));
       if (static_cast<int>(r.names.size()) < call.count) no_capacity_until_[kind] = pause;
     } else if (r.status == 503 && r.no_capacity) {
       no_capacity_until_[kind] = pause;
@@ -487,4 +491,4 @@
   });
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/siblings.cpp
+++ b/src/core/siblings.cpp
@@ -2,22 +2,22 @@
 
 #include <algorithm>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kCutOffAfter = 1.5; // s, without any answer from the state service
 constexpr double kLately = 3.0;      // s
 } // namespace
 
-Siblings::Siblings(Port &port, const Settings &settings, Leadership &lead, StoreBudget &budget,
+Replicas::Replicas(Runtime &runtime, const Settings &settings, Leadership &leadership, StateServiceLimits &state_limits,
                    Cancellations &cancellations)
-    : port_(port), settings_(settings), lead_(lead), budget_(budget), cancellations_(cancellations),
-      states_(settings.siblings.size()),
+    : runtime_(runtime), settings_(settings), leadership_(leadership), state_limits_(state_limits),
+      cancellations_(cancellations), states_(settings.replicas.size()),
       // A restarted node must not take an answer to its former self's question for its own.
-      ping_nonce_(port.nonce()) {
+      ping_nonce_(runtime.nonce()) {
   std::vector<std::pair<std::string, int>> names{{settings_.node, -1}};
-  for (std::size_t i = 0; i < settings_.siblings.size(); ++i)
-    names.emplace_back(settings_.siblings[i].node, static_cast<int>(i));
+  for (std::size_t i = 0; i < settings_.replicas.size(); ++i)
+    names.emplace_back(settings_.replicas[i].node, static_cast<int>(i));
   std::sort(names.begin(), names.end());
   for (const auto &[name, i] : names) {
     if (i < 0) self_ = static_cast<std::uint8_t>(by_name_.size());
@@ -25,95 +25,96 @@
   }
 }
 
-int Siblings::by_sender(std::uint8_t sender) const {
+int Replicas::by_sender(std::uint8_t sender) const {
   return sender < by_name_.size() ? by_name_[sender] : -1;
 }
 
-bool Siblings::cut_off() const {
-  return port_.now() - port_.state_ok_at() > kCutOffAfter;
+bool Replicas::cut_off() const {
+  return runtime_.now() - runtime_.state_ok_at() > kCutOffAfter;
 }
 
-void Siblings::ping() {
-  next_ping_ = port_.now() + kPingEvery;
-  std::vector<std::optional<StoreBudget::Use>> uses;
+void Replicas::ping() {
+  next_ping_ = runtime_.now() + kPingEvery;
+  std::vector<std::optional<StateServiceLimits::Use>> uses;
   for (const auto &s : states_)
-    uses.push_back(port_.now() - s.stated_at < kLately ? std::optional(s.use) : std::nullopt);
-  budget_.share(port_.now(), kPingEvery, uses);
+    uses.push_back(runtime_.now() - s.stated_at < kLately ? std::optional(s.use) : std::nullopt);
+  state_limits_.share(runtime_.now(), kPingEvery, uses);
   for (std::size_t i = 0; i < states_.size(); ++i) {
     wire::PeerMessage m;
     m.kind = wire::PeerMessage::Kind::Ping;
-    m.nonce = ++ping_nonce_ | wire::kKnowsWaiting;
-    m.term = lead_.highest_term();
+    m.nonce = ++ping_nonce_ | wire::kKnowsDependencies;
+    m.term = leadership_.highest_term();
     m.sender = self_;
-    m.reach = own_;
+    m.connectivity = own_;
     states_[i].nonce = m.nonce;
-    states_[i].sent_at = port_.now();
-    port_.send({static_cast<int>(i), 0, std::move(m)});
+    states_[i].sent_at = runtime_.now();
+    runtime_.send({static_cast<int>(i), 0, std::move(m)});
   }
 }
 
-void Siblings::answer_ping(const CmdPeer &cmd, const Standing &standing) {
+void Replicas::answer_ping(const CmdPeer &cmd, const Standing &standing) {
   if (const int i = by_sender(cmd.message.sender); i >= 0) {
-    states_[static_cast<std::size_t>(i)].asked_at = port_.now();
-    states_[static_cast<std::size_t>(i)].knows_waiting = cmd.message.nonce & wire::kKnowsWaiting;
-    states_[static_cast<std::size_t>(i)].asks_with = cmd.message.reach;
+    states_[static_cast<std::size_t>(i)].asked_at = runtime_.now();
+    states_[static_cast<std::size_t>(i)].knows_dependencies = cmd.message.nonce & wire::kKnowsDependencies;
+    states_[static_cast<std::size_t>(i)].asks_with = cmd.message.connectivity;
   }
   wire::PeerMessage r;
   r.kind = wire::PeerMessage::Kind::Pong;
   r.nonce = cmd.message.nonce;
-  r.term = standing.leads ? lead_.term() : lead_.highest_term();
+  r.term = standing.leads ? leadership_.term() : leadership_.highest_term();
   r.cancelled = cancellations_.repeated();
   // More than can be repeated: a leader of the production version goes by this.
   r.cut_off = cut_off() && cancellations_.all_repeated();
-  r.reach = own_;
+  r.connectivity = own_;
   r.sender = self_;
   r.leads = standing.leads;
   r.spreads = standing.spreads;
   r.passes = standing.passes;
   auto tenths = [](double rate) { return static_cast<std::uint16_t>(std::min(6e4, rate * 10)); };
-  r.reads = tenths(budget_.use().reads);
-  r.writes = tenths(budget_.use().writes);
-  r.uptime_ms = static_cast<std::uint32_t>(std::min(4e9, port_.up_s() * 1000));
-  port_.send({-1, cmd.link, std::move(r)});
+  r.reads = tenths(state_limits_.use().reads);
+  r.writes = tenths(state_limits_.use().writes);
+  r.uptime_ms = static_cast<std::uint32_t>(std::min(4e9, runtime_.up_s() * 1000));
+  runtime_.send({-1, cmd.link, std::move(r)});
 }
 
-bool Siblings::take_pong(const CmdPeer &cmd) {
-  if (cmd.sibling < 0 || static_cast<std::size_t>(cmd.sibling) >= states_.size()) return false;
+bool Replicas::take_pong(const CmdPeer &cmd) {
+  if (cmd.replica < 0 || static_cast<std::size_t>(cmd.replica) >= states_.size()) return false;
   const auto &m = cmd.message;
-  auto &s = states_[static_cast<std::size_t>(cmd.sibling)];
+  auto &s = states_[static_cast<std::size_t>(cmd.replica)];
   if (m.nonce != s.nonce) return false; // an old answer, perhaps held up on the way
   s.stated_at = s.sent_at;              // it cannot be older than the question
   s.cut_off = m.cut_off;
-  s.reach = m.reach;
+  s.connectivity = m.connectivity;
   s.leads = m.leads;
   s.spreads = m.spreads;
   s.passes = m.passes;
   s.term = m.term;
   s.uptime_s = m.uptime_ms / 1000.0;
   s.use = {m.reads / 10.0, m.writes / 10.0};
-  cancellations_.hear(static_cast<std::size_t>(cmd.sibling), s.stated_at, s.uptime_s, m.cancelled);
+  cancellations_.hear(static_cast<std::size_t>(cmd.replica), s.stated_at, s.uptime_s, m.cancelled);
   return true;
 }
 
-void Siblings::tell_all(const wire::PeerMessage &m) {
+void Replicas::tell_all(const wire::PeerMessage &m) {
   for (std::size_t i = 0; i < states_.size(); ++i)
-    port_.send({static_cast<int>(i), 0, m});
+    runtime_.send({static_cast<int>(i), 0, m});
 }
 
-bool Siblings::earlier_version() const {
-  return lead_.leader_knows_waiting() == std::optional(false) ||
+bool Replicas::earlier_version() const {
+  return leadership_.leader_knows_dependencies() == std::optional(false) ||
          std::any_of(states_.begin(), states_.end(),
-                     [this](const State &s) { return port_.now() - s.asked_at < kLately && !s.knows_waiting; });
+                     [this](const State &s) { return runtime_.now() - s.asked_at < kLately && !s.knows_dependencies; });
 }
 
-bool Siblings::common_outage() const {
+bool Replicas::common_outage() const {
   if (!cut_off() || states_.empty()) return false;
   return std::all_of(states_.begin(), states_.end(),
-                     [this](const State &s) { return s.cut_off && port_.now() - s.stated_at <= kStatementLife; });
+                     [this](const State &s) { return s.cut_off && runtime_.now() - s.stated_at <= kStatementLife; });
 }
 
-bool Siblings::extended() const {
-  return lead_.leading() && !lead_.lease_valid() && lead_.highest_term() <= lead_.term() && common_outage();
+bool Replicas::extended() const {
+  return leadership_.leading() && !leadership_.lease_valid() && leadership_.highest_term() <= leadership_.term() &&
+         common_outage();
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/silence.cpp
+++ b/src/core/silence.cpp
@@ -4,7 +4,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kEvery = 0.25;         // s
@@ -13,26 +13,26 @@
 constexpr double kUnheardLeast = 10.0;  // s, that a machine which is up by the list may take to report to a new leader
 } // namespace
 
-std::size_t Silence::way(const Machine &m) const {
-  return m.heard ? static_cast<std::size_t>(m.via + 1) : settings_.siblings.size() + 1;
+std::size_t FailureDetector::way(const Machine &m) const {
+  return m.heard ? static_cast<std::size_t>(m.forwarding_replica + 1) : settings_.replicas.size() + 1;
 }
 
-std::optional<double> Silence::late_from(const Machine &m) const {
+std::optional<double> FailureDetector::late_from(const Machine &m) const {
   if (m.returning || m.listed_failed || m.type < 0) return std::nullopt;
   if (!m.heard && !m.listed_running) return std::nullopt; // it boots
   const double since = m.heard ? m.last_answer : m.known_since;
-  return port_.now() - since > late_after(settings_) ? std::optional(since) : std::nullopt;
+  return runtime_.now() - since > late_after(settings_) ? std::optional(since) : std::nullopt;
 }
 
-double Silence::hold_s(const Machine &m) const {
-  return kMinimumCharge + (m.type >= 0 ? catalogue_.type(m.type).boot_s : 0);
+double FailureDetector::hold_s(const Machine &m) const {
+  return kMinimumCharge + (m.type >= 0 ? catalog_.type(m.type).boot_s : 0);
 }
 
-void Silence::tick() {
-  if (!lead_.leading() || port_.now() < next_) return;
-  next_ = port_.now() + kEvery;
-  table_.assign(settings_.siblings.size() + 2, {});
-  fleet_.each([this](int, const Machine &m) {
+void FailureDetector::tick() {
+  if (!leadership_.leading() || runtime_.now() < next_) return;
+  next_ = runtime_.now() + kEvery;
+  table_.assign(settings_.replicas.size() + 2, {});
+  workers_.each([this](int, const Machine &m) {
     if (m.type < 0 || m.returning || m.listed_failed) return;
     const bool late = late_from(m).has_value();
     if (!m.heard && !late) return;
@@ -53,40 +53,41 @@
     }
   for (auto *groups : {&ways_, &zones_})
     for (auto &g : *groups)
-      if (g.count.silent()) g.silent_at = port_.now();
+      if (g.count.silent()) g.silent_at = runtime_.now();
   std::string what;
   nobody_heard_ = false;
   if (all_.silent()) {
     what = "all";
-    all_silent_at_ = port_.now();
-    fleet_.each([this](int m, const Machine &) { nobody_heard_ |= expected(m); });
+    all_silent_at_ = runtime_.now();
+    workers_.each([this](int m, const Machine &) { nobody_heard_ |= expected(m); });
   } else {
     for (std::size_t w = 0; w + 1 < ways_.size(); ++w)
       if (ways_[w].count.silent())
         what += fmt::format("{}those that report {}", what.empty() ? "" : ", ",
-                            w == 0 ? "here" : "by way of " + settings_.siblings[w - 1].node);
+                            w == 0 ? "here" : "by way of " + settings_.replicas[w - 1].node);
     for (std::size_t z = 0; z < zones_.size(); ++z)
       if (zones_[z].count.silent())
-        what += fmt::format("{}those in {}", what.empty() ? "" : ", ", catalogue_.zone_name(static_cast<int>(z)));
+        what += fmt::format("{}those in {}", what.empty() ? "" : ", ", catalog_.zone_name(static_cast<int>(z)));
   }
   tell(!what.empty(), what);
 }
 
-void Silence::tell(bool now_in_part, const std::string &what) {
+void FailureDetector::tell(bool now_in_part, const std::string &what) {
   in_part_ = now_in_part;
   if (what == told_) return;
   told_ = what;
   if (what.empty())
-    port_.log(LogLevel::Info, "machines_heard_again", {{"machines", all_.known}, {"late", all_.late}});
+    runtime_.log(LogLevel::Info, "heartbeats_resumed", {{"machines", all_.known}, {"late", all_.late}});
   else
-    port_.log(LogLevel::Info, "machines_silent",
-              {{"which", what}, {"machines", all_.known}, {"late", all_.late}, {"then", "waited for, not given back"}});
+    runtime_.log(
+        LogLevel::Info, "heartbeats_lost",
+        {{"which", what}, {"machines", all_.known}, {"late", all_.late}, {"then", "waited for, not given back"}});
 }
 
-Silence::Cause Silence::cause(int m) const {
-  const Machine &n = fleet_[m];
+FailureDetector::Cause FailureDetector::cause(int m) const {
+  const Machine &n = workers_[m];
   if (!late_from(n)) return Cause::None;
-  if (port_.now() - all_silent_at_ < late_after(settings_)) return Cause::All;
+  if (runtime_.now() - all_silent_at_ < late_after(settings_)) return Cause::All;
   const auto w = way(n), z = static_cast<std::size_t>(n.zone);
   const bool by_way = w + 1 < ways_.size() && silent(ways_[w]), by_zone = z < zones_.size() && silent(zones_[z]);
   if (by_way && by_zone) // the larger explains both
@@ -94,31 +95,32 @@
   return by_way ? Cause::Way : by_zone ? Cause::Zone : Cause::Machine;
 }
 
-bool Silence::awaited(int m) const {
-  const Machine &n = fleet_[m];
+bool FailureDetector::awaited(int m) const {
+  const Machine &n = workers_[m];
   const auto from = late_from(n);
   if (!from) return false;
-  const double silent = port_.now() - *from;
+  const double silent = runtime_.now() - *from;
   if (cause(m) != Cause::Machine) return silent < hold_s(n);
-  return !n.heard && silent < std::max(kUnheardLeast, settings_.lease_s + 2 * settings_.report_s);
+  return !n.heard && silent < std::max(kUnheardLeast, settings_.lease_s + 2 * settings_.heartbeat_interval_s);
 }
 
-bool Silence::expected(int m) const {
-  const Machine &n = fleet_[m];
+bool FailureDetector::expected(int m) const {
+  const Machine &n = workers_[m];
   const auto from = late_from(n);
   if (!from) return !n.heard && n.listed_running; // it was up, and has still time to report
-  const double silent = port_.now() - *from;
+  const double silent = runtime_.now() - *from;
   switch (cause(m)) {
   case Cause::All:
     return silent < hold_s(n);
   case Cause::Way: // by then they have tried every node
-    return silent < std::min(hold_s(n), kTryNode * static_cast<double>(ways_.size() - 1) + 2 * settings_.report_s);
+    return silent <
+           std::min(hold_s(n), kTryNode * static_cast<double>(ways_.size() - 1) + 2 * settings_.heartbeat_interval_s);
   default:
     return !n.heard && silent < 2 * late_after(settings_);
   }
 }
 
-void Silence::on(const TermEnded &) {
+void FailureDetector::on(const TermEnded &) {
   table_.clear();
   ways_.clear();
   zones_.clear();
@@ -128,4 +130,4 @@
   told_.clear();
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/users.cpp
+++ b/src/core/users.cpp
@@ -6,18 +6,18 @@
 
 #include <fmt/format.h>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kUserDeadline = 1.4; // a poll waits 2 s, a submission 5 s
 constexpr int kMaxUserOps = 256;
 // Open records: jobs that wait or run, about one to each of 11,000 machines. 2.3 MB at 0.2 KB each. One that is pushed
 // out costs a read when somebody asks for it.
-constexpr std::size_t kMostKnown = 12'000;
+constexpr std::size_t kMaxKnown = 12'000;
 constexpr double kConfirmEvery = 0.03; // least time between comparisons
 constexpr double kSweepEvery = 0.05;   // the same, between looks for questions that have waited too long
 // Within what a user waits for an answer (2 s, and 5 s for what changes something), a sibling's has to be there.
-constexpr double kLookWithin = 1.8, kChangeWithin = 4.5, kLeastForSibling = 0.15;
+constexpr double kLookWithin = 1.8, kChangeWithin = 4.5, kMinForReplica = 0.15;
 constexpr std::size_t kKeptBody = 4096; // of a description that may be passed on a second time
 // At once: nothing that this node could ask would answer in time.
 constexpr std::string_view kCutOff = "this node reaches neither the state service nor a sibling that does";
@@ -25,7 +25,7 @@
 constexpr double kWordLife = 1.2;   // s, of a sibling's word that the state service answers it
 } // namespace
 
-UserDesk::Verdict UserDesk::judge(const JobSpec &spec, std::string &why) const {
+JobApiHandler::Verdict JobApiHandler::judge(const JobSpec &spec, std::string &why) const {
   const int team = spec.team.starts_with('@') ? -1 : jobs_.find_team(spec.team); // such names stand for other cells
   if (team < 0) {
     why = fmt::format("unknown team {}", spec.team);
@@ -39,9 +39,9 @@
     why = fmt::format("needs more than the limit of team {}", spec.team);
     return Verdict::Never;
   }
-  if (!catalogue_.known()) return Verdict::Unknown;
+  if (!catalog_.known()) return Verdict::Unknown;
   std::set<std::string_view> zones; // in which a task of it may ever be
-  for (const auto &type : catalogue_.types()) {
+  for (const auto &type : catalog_.types()) {
     if (spec.types && std::find(spec.types->begin(), spec.types->end(), type.name) == spec.types->end()) continue;
     if (!spec.need.fits(type.size)) continue;
     for (const auto &zone : type.zones)
@@ -62,27 +62,27 @@
 // ---- by way of siblings ----
 
 // One that the state service answers, the leader if it can be.
-int UserDesk::helper(std::uint64_t tried, bool knows_waiting) const {
+int JobApiHandler::helper(std::uint64_t tried, bool knows_dependencies) const {
   int best = -1;
-  for (std::size_t i = 0; i < siblings_.count() && i < 64; ++i) {
-    const auto &s = siblings_[i];
-    if (s.cut_off || port_.now() - s.stated_at > kWordLife || (tried >> i & 1)) continue;
-    if (knows_waiting && !s.knows_waiting) continue;
+  for (std::size_t i = 0; i < replicas_.count() && i < 64; ++i) {
+    const auto &s = replicas_[i];
+    if (s.cut_off || runtime_.now() - s.stated_at > kWordLife || (tried >> i & 1)) continue;
+    if (knows_dependencies && !s.knows_dependencies) continue;
     if (best < 0 || s.leads) best = static_cast<int>(i);
   }
   return best;
 }
 
-bool UserDesk::can_answer() const {
-  return !siblings_.cut_off() || helper() >= 0;
+bool JobApiHandler::can_answer() const {
+  return !replicas_.cut_off() || helper() >= 0;
 }
 
 // Never what a sibling has passed on to this node: two that each think well of the other would send it to and fro.
-bool UserDesk::pass_on(RequestId req, Verb verb, const std::string &id, double asked, std::string body,
-                       std::uint64_t tried, bool waits) {
+bool JobApiHandler::pass_on(RequestId req, Verb verb, const std::string &id, double asked, std::string body,
+                            std::uint64_t tried, bool waits) {
   const double until = asked + (verb == Verb::Look ? kLookWithin : kChangeWithin);
   const int to = helper(tried, waits);
-  if (to < 0 || Port::is_stand_in(req) || passed_.full() || port_.now() + kLeastForSibling > until ||
+  if (to < 0 || Runtime::is_proxied(req) || passed_.full() || runtime_.now() + kMinForReplica > until ||
       body.size() + 256 > wire::kPeerMaxRelayed)
     return false;
   wire::PeerMessage m;
@@ -90,38 +90,38 @@
   m.nonce = passed_.take(req, until,
                          {verb, id, body.size() <= kKeptBody ? body : std::string(), asked,
                           tried | std::uint64_t(1) << to | (body.size() <= kKeptBody ? 0 : ~std::uint64_t(0)), waits});
-  m.term = lead_.highest_term();
-  m.sender = siblings_.self();
+  m.term = leadership_.highest_term();
+  m.sender = replicas_.self();
   m.verb = verb;
   m.id = id;
   m.body = std::move(body);
-  port_.send({to, 0, std::move(m)});
+  runtime_.send({to, 0, std::move(m)});
   return true;
 }
 
-void UserDesk::no_answer(const Question &q, Verb verb, std::string_view why, std::string body, bool waits) {
-  if (!pass_on(q.req, verb, q.id, q.asked, std::move(body), 0, waits)) port_.refuse(q.req, why);
+void JobApiHandler::no_answer(const Question &q, Verb verb, std::string_view why, std::string body, bool waits) {
+  if (!pass_on(q.req, verb, q.id, q.asked, std::move(body), 0, waits)) runtime_.refuse(q.req, why);
 }
 
-void UserDesk::no_answer(const Question &q, const JobSpec &spec, std::string_view why) {
+void JobApiHandler::no_answer(const Question &q, const JobSpec &spec, std::string_view why) {
   no_answer(q, Verb::Submit, why, wire::encode(wire::to_json(spec)), !spec.waits_for.empty());
 }
 
-void UserDesk::take_asked(const CmdPeer &cmd) {
+void JobApiHandler::take_asked(const CmdPeer &cmd) {
   const auto &m = cmd.message;
-  if (siblings_.by_sender(m.sender) < 0) return; // not from a node of these settings
-  const auto req = port_.stand_in(cmd.link, m.nonce);
+  if (replicas_.by_sender(m.sender) < 0) return; // not from a node of these settings
+  const auto req = runtime_.proxy_request(cmd.link, m.nonce);
   if (!req) return; // it gives up by itself
   if (m.verb == Verb::Look) return take(CmdLookup{*req, m.id});
-  if (m.verb == Verb::Abort) return take(CmdAbort{*req, m.id});
+  if (m.verb == Verb::Abort) return take(CmdCancel{*req, m.id});
   auto spec = wire::decode_job(m.body);
   auto *job = std::get_if<JobSpec>(&spec);
-  if (!job || job->id != m.id) return port_.refuse(*req, "a sibling passed on what is no job");
+  if (!job || job->id != m.id) return runtime_.refuse(*req, "a sibling passed on what is no job");
   take(CmdSubmit{*req, std::move(*job)});
 }
 
 // What a sibling read after the user had asked. What this node has learnt since is newer, and is told instead.
-void UserDesk::take_told(const wire::PeerMessage &m) {
+void JobApiHandler::take_told(const wire::PeerMessage &m) {
   const auto item = passed_.answered(m.nonce);
   if (!item) return; // given up
   const auto &[verb, id, body, asked, tried, waits] = item->kept;
@@ -132,17 +132,17 @@
     if (const auto *end = ended_.find(id)) return answer_end(item->req, id, *end, brief);
     if (const auto it = known_open_.find(id);
         it != known_open_.end() && (it->second.cancelled || !cancelled_name(id).empty()))
-      return tell_open({item->req, id, brief, port_.now()}, true);
+      return tell_open({item->req, id, brief, runtime_.now()}, true);
   }
-  port_.reply(item->req, m.status, m.body, m.retry_s ? std::optional<int>(m.retry_s) : std::nullopt);
+  runtime_.reply(item->req, m.status, m.body, m.retry_s ? std::optional<int>(m.retry_s) : std::nullopt);
 }
 
-void UserDesk::tick() {
-  for (const auto &item : passed_.give_up(port_.now()))
-    port_.refuse(item.req, "neither the state service nor a sibling has answered");
+void JobApiHandler::tick() {
+  for (const auto &item : passed_.give_up(runtime_.now()))
+    runtime_.refuse(item.req, "neither the state service nor a sibling has answered");
 }
 
-struct UserDesk::Submission {
+struct JobApiHandler::Submission {
   Question q;
   OpenRecord record;
   std::size_t left = 1; // names being looked up, and one for the loop that begins it
@@ -172,8 +172,8 @@
 
 // ---- submissions ----
 
-void UserDesk::take(CmdSubmit &&cmd) {
-  const Question q{cmd.req, cmd.spec.id, true, port_.now()};
+void JobApiHandler::take(CmdSubmit &&cmd) {
+  const Question q{cmd.req, cmd.spec.id, true, runtime_.now()};
   // Known, so accepted before: whatever would be said of it now, it stays so, and its state costs no write.
   if (ended_.find(q.id) || known_open(q.id)) return answer_state(q);
   const bool waits = !cmd.spec.waits_for.empty();
@@ -186,53 +186,53 @@
   case Verdict::Ok:
     break;
   }
-  OpenRecord record{std::move(cmd.spec), port_.wall(), false, {}};
-  if (!budget_.fits(wire::to_json(record), StoreBudget::kRoomForMark))
+  OpenRecord record{std::move(cmd.spec), runtime_.wall(), false, {}};
+  if (!state_limits_.fits(wire::to_json(record), StateServiceLimits::kRoomForMark))
     return refuse_for_ever(q, record.spec, "the job's description is too long to be kept");
   // An earlier version would start it at once, whether it leads or has it passed on.
-  if (waits && siblings_.earlier_version())
-    return port_.refuse(q.req, "jobs that wait for others are accepted once all nodes have this version", 2);
-  if (siblings_.cut_off()) return no_answer(q, record.spec, kCutOff);
+  if (waits && replicas_.earlier_version())
+    return runtime_.refuse(q.req, "jobs that wait for others are accepted once all nodes have this version", 2);
+  if (replicas_.cut_off()) return no_answer(q, record.spec, kCutOff);
   if (!waits) return accept(q, std::move(record));
   check_names(std::make_shared<Submission>(Submission{q, std::move(record)}));
 }
 
 // Guards against an accepted job being called impossible when its submission is repeated: limits, types and sizes may
 // have been others when it was accepted. That nobody has accepted it, only reads made since can tell.
-void UserDesk::refuse_for_ever(const Question &q, const JobSpec &spec, const std::string &why) {
-  if (siblings_.cut_off()) return no_answer(q, spec, kCutOff);
+void JobApiHandler::refuse_for_ever(const Question &q, const JobSpec &spec, const std::string &why) {
+  if (replicas_.cut_off()) return no_answer(q, spec, kCutOff);
   learn(q.id, [this, q, spec, why](Named found) {
-    if (found == Named::Never) return port_.reply(q.req, 422, wire::encode_error(why));
+    if (found == Named::Never) return runtime_.reply(q.req, 422, wire::encode_error(why));
     if (found != Named::Unknown) return answer_state(q);
     no_answer(q, spec, "whether this job was accepted before cannot be told at present");
   });
 }
 
-void UserDesk::accept(const Question &q, OpenRecord record) {
-  if (under_way_ >= kMaxUserOps || !budget_.take_write(port_.now()))
-    return port_.refuse(q.req, "too many submissions at once");
+void JobApiHandler::accept(const Question &q, OpenRecord record) {
+  if (under_way_ >= kMaxUserOps || !state_limits_.take_write(runtime_.now()))
+    return runtime_.refuse(q.req, "too many submissions at once");
   ++under_way_;
   auto value = wire::to_json(record);
-  port_.store(StoreCommit{{{"open/" + q.id, 0}, {"end/" + q.id, 0}}, {{"open/" + q.id, std::move(value), 0}}},
-              kUserDeadline, [this, q, record = std::move(record)](const wire::StoreReply &r) {
-                --under_way_;
-                if (r.status == 200) {
-                  note_open(record, r.revision, record.cancelled);
-                  return port_.reply(
-                      q.req, 201,
-                      wire::encode_accepted(q.id, record.cancelled ? JobState::Cancelled : JobState::Queued));
-                }
-                if (r.status == 409) return answer_state(q);
-                // It may have been carried out, or may be yet: the same again is the same job.
-                no_answer(q, record.spec, "the state service did not confirm the submission");
-              });
+  runtime_.store(StoreCommit{{{"open/" + q.id, 0}, {"end/" + q.id, 0}}, {{"open/" + q.id, std::move(value), 0}}},
+                 kUserDeadline, [this, q, record = std::move(record)](const wire::StoreReply &r) {
+                   --under_way_;
+                   if (r.status == 200) {
+                     note_open(record, r.revision, record.cancelled);
+                     return runtime_.reply(
+                         q.req, 201,
+                         wire::encode_accepted(q.id, record.cancelled ? JobState::Cancelled : JobState::Queued));
+                   }
+                   if (r.status == 409) return answer_state(q);
+                   // It may have been carried out, or may be yet: the same again is the same job.
+                   no_answer(q, record.spec, "the state service did not confirm the submission");
+                 });
 }
 
 // ---- the jobs that a submission names ----
 
 // That a job was accepted is for ever, so what this node knows of it will do; that it was not, only reads made since
 // can tell.
-void UserDesk::check_names(std::shared_ptr<Submission> s) {
+void JobApiHandler::check_names(std::shared_ptr<Submission> s) {
   for (const auto &name : s->record.spec.waits_for) {
     if (const Named found = known(name); found != Named::Unknown) {
       s->take(name, found);
@@ -247,7 +247,7 @@
   if (--s->left == 0) names_checked(s);
 }
 
-void UserDesk::names_checked(const std::shared_ptr<Submission> &s) {
+void JobApiHandler::names_checked(const std::shared_ptr<Submission> &s) {
   if (s->unknown)
     return no_answer(s->q, s->record.spec, "whether the jobs that it waits for exist cannot be told at present");
   if (!s->never.empty())
@@ -258,16 +258,16 @@
   accept(s->q, std::move(s->record));
 }
 
-const UserDesk::KnownOpen *UserDesk::known_open(const std::string &id) {
+const JobApiHandler::KnownOpen *JobApiHandler::known_open(const std::string &id) {
   if (const auto it = known_open_.find(id); it != known_open_.end()) return &it->second;
   // What this leader has cancelled along the graph is not recorded so yet.
-  const int j = lead_.leading() ? jobs_.index(id) : -1;
-  if (j < 0 || jobs_[j].cancelled || jobs_[j].ending || jobs_[j].borrowed) return nullptr;
-  note_open({jobs_[j].spec, jobs_[j].submit_wall, false, {}}, jobs_[j].open_stamp, false);
+  const int j = leadership_.leading() ? jobs_.index(id) : -1;
+  if (j < 0 || jobs_[j].cancelled || jobs_[j].ending || jobs_[j].delegated_here) return nullptr;
+  note_open({jobs_[j].spec, jobs_[j].submit_wall, false, {}}, jobs_[j].open_mod_revision, false);
   return &known_open_.find(id)->second;
 }
 
-UserDesk::Named UserDesk::known(const std::string &id) {
+JobApiHandler::Named JobApiHandler::known(const std::string &id) {
   if (const auto *end = ended_.find(id)) return end->cancelled ? Named::Cancelled : Named::Done;
   const auto *open = known_open(id);
   if (!open) return Named::Unknown;
@@ -275,24 +275,24 @@
 }
 
 // Reads a job's records, in the order in which it moves through them.
-void UserDesk::learn(const std::string &id, std::function<void(Named)> then) {
-  if (under_way_ >= kMaxUserOps || !budget_.take_read(port_.now(), 1.3)) return then(Named::Unknown);
+void JobApiHandler::learn(const std::string &id, std::function<void(Named)> then) {
+  if (under_way_ >= kMaxUserOps || !state_limits_.take_read(runtime_.now(), 1.3)) return then(Named::Unknown);
   ++under_way_;
-  port_.store(StoreGet{"open/" + id}, kUserDeadline / 2, [this, id, then](const wire::StoreReply &r) {
+  runtime_.store(StoreGet{"open/" + id}, kUserDeadline / 2, [this, id, then](const wire::StoreReply &r) {
     --under_way_;
     const bool one = r.status == 200 && r.entries.size() == 1;
     if (auto end = one ? wire::final_from_json(r.entries[0].value) : std::nullopt) {
       ended_.remember(id, std::move(*end));
       return then(known(id));
     }
-    if (auto open = one ? wire::open_from_json(r.entries[0].value) : std::nullopt; open && !open->lent) {
-      note_open(*open, r.entries[0].stamp, open->cancelled);
+    if (auto open = one ? wire::open_from_json(r.entries[0].value) : std::nullopt; open && !open->delegated) {
+      note_open(*open, r.entries[0].mod_revision, open->cancelled);
       return then(known(id));
     } else if (r.status != 404 && !open) {
       return then(Named::Unknown);
     }
     ++under_way_;
-    port_.store(StoreGet{"end/" + id}, kUserDeadline / 2, [this, id, then](const wire::StoreReply &e) {
+    runtime_.store(StoreGet{"end/" + id}, kUserDeadline / 2, [this, id, then](const wire::StoreReply &e) {
       --under_way_;
       if (e.status == 404) return then(Named::Never);
       auto end = e.status == 200 && e.entries.size() == 1 ? wire::end_from_json(e.entries[0].value) : std::nullopt;
@@ -305,27 +305,27 @@
 
 // ---- questions ----
 
-void UserDesk::take(CmdLookup &&cmd) {
-  if (!wire::valid_job_id(cmd.id)) return port_.reply(cmd.req, 404, wire::encode_error("no such job"));
-  answer_state({cmd.req, cmd.id, false, port_.now()});
+void JobApiHandler::take(CmdLookup &&cmd) {
+  if (!wire::valid_job_id(cmd.id)) return runtime_.reply(cmd.req, 404, wire::encode_error("no such job"));
+  answer_state({cmd.req, cmd.id, false, runtime_.now()});
 }
 
-void UserDesk::answer_state(const Question &q) {
+void JobApiHandler::answer_state(const Question &q) {
   if (const auto *end = ended_.find(q.id)) return answer_end(q.req, q.id, *end, q.as_submit);
   auto known = known_open_.find(q.id);
   // Cancelled is for ever; that it is still open has to be confirmed.
   if (known != known_open_.end() && known->second.cancelled) return tell_open(q, true);
-  if (siblings_.cut_off()) return no_answer(q, Verb::Look, kCutOff);
+  if (replicas_.cut_off()) return no_answer(q, Verb::Look, kCutOff);
   if (known == known_open_.end()) return read_open(q);
-  if (questions_.size() >= kMaxUserOps) return port_.refuse(q.req, "too many questions at once");
+  if (questions_.size() >= kMaxUserOps) return runtime_.refuse(q.req, "too many questions at once");
   questions_.push_back(q);
 }
 
-void UserDesk::read_open(const Question &q) {
-  if (under_way_ >= kMaxUserOps || !budget_.take_read(port_.now(), 1.3))
-    return port_.refuse(q.req, "too many questions at once");
+void JobApiHandler::read_open(const Question &q) {
+  if (under_way_ >= kMaxUserOps || !state_limits_.take_read(runtime_.now(), 1.3))
+    return runtime_.refuse(q.req, "too many questions at once");
   ++under_way_;
-  port_.store(StoreGet{"open/" + q.id}, kUserDeadline / 2, [this, q](const wire::StoreReply &r) {
+  runtime_.store(StoreGet{"open/" + q.id}, kUserDeadline / 2, [this, q](const wire::StoreReply &r) {
     --under_way_;
     if (r.status == 404) return read_end(q, false);
     if (auto end = r.entries.size() == 1 ? wire::final_from_json(r.entries[0].value) : std::nullopt) {
@@ -334,8 +334,9 @@
     }
     auto open = r.status == 200 && r.entries.size() == 1 ? wire::open_from_json(r.entries[0].value) : std::nullopt;
     if (!open) return no_answer(q, Verb::Look, "the state service did not answer");
-    if (open->lent) return q.as_submit ? want_id(q, r.entries[0].stamp, std::move(*open)) : read_end(q, false);
-    note_open(*open, r.entries[0].stamp, open->cancelled);
+    if (open->delegated)
+      return q.as_submit ? want_id(q, r.entries[0].mod_revision, std::move(*open)) : read_end(q, false);
+    note_open(*open, r.entries[0].mod_revision, open->cancelled);
     if (open->cancelled || open->spec.waits_for.empty()) return tell_open(q, open->cancelled);
     Question names = q; // how those are that it waits for
     names.patience = kNamesPatience;
@@ -345,7 +346,7 @@
 }
 
 // A job that it names and that was cancelled, as far as this node knows; empty: none.
-std::string UserDesk::cancelled_name(const std::string &id) {
+std::string JobApiHandler::cancelled_name(const std::string &id) {
   const auto it = known_open_.find(id);
   if (it == known_open_.end()) return {};
   const auto names = it->second.waits_for;
@@ -354,30 +355,30 @@
   return {};
 }
 
-void UserDesk::tell_open(const Question &q, bool cancelled) {
+void JobApiHandler::tell_open(const Question &q, bool cancelled) {
   // What this node has learnt while the question was under way is newer than what was found.
   if (const auto *end = ended_.find(q.id)) return answer_end(q.req, q.id, *end, q.as_submit);
   if (auto it = known_open_.find(q.id); it != known_open_.end()) cancelled |= it->second.cancelled;
   const auto with = cancelled_name(q.id);
-  auto view = insight_.view(q.id, cancelled || !with.empty());
+  auto view = status_reporter_.view(q.id, cancelled || !with.empty());
   if (!with.empty()) view.reason = stopped_with(with);
-  port_.reply(q.req, 200, q.as_submit ? wire::encode_accepted(q.id, view.state) : wire::encode_job_view(view));
+  runtime_.reply(q.req, 200, q.as_submit ? wire::encode_accepted(q.id, view.state) : wire::encode_job_view(view));
 }
 
-void UserDesk::note_open(const OpenRecord &record, std::uint64_t stamp, bool cancelled) {
+void JobApiHandler::note_open(const OpenRecord &record, std::uint64_t mod_revision, bool cancelled) {
   const std::string &id = record.spec.id;
   // Whoever tells a user so has to tell the leader too, also if another node wrote it, or this one without an answer.
   const auto before = known_open_.find(id);
   if (cancelled && (before == known_open_.end() || !before->second.cancelled)) cancellations_.note(id);
   auto [it, fresh] = known_open_.try_emplace(
-      id, KnownOpen{stamp, cancelled, record.spec.shape == Shape::Service, record.spec.waits_for});
-  if (!fresh && stamp > it->second.stamp) {
-    it->second.stamp = stamp;
+      id, KnownOpen{mod_revision, cancelled, record.spec.shape == Shape::Service, record.spec.waits_for});
+  if (!fresh && mod_revision > it->second.mod_revision) {
+    it->second.mod_revision = mod_revision;
     it->second.cancelled = cancelled;
   }
   if (!fresh) return;
   known_order_.push_back(id);
-  if (known_order_.size() <= kMostKnown) return;
+  if (known_order_.size() <= kMaxKnown) return;
   known_open_.erase(known_order_.front());
   known_order_.pop_front();
 }
@@ -385,7 +386,7 @@
 // What a question has to find unchanged: its job's record, and those of the jobs that it names and that are not known
 // to be done. A job that names a cancelled one is cancelled with it, for ever, and every node says so by the same
 // records: the leader writes it down, but nobody has to wait for that. Nothing: it has been seen to otherwise.
-std::optional<UserDesk::Compared> UserDesk::compare(Question q, StoreCommit &commit) {
+std::optional<JobApiHandler::Compared> JobApiHandler::compare(Question q, StoreCommit &commit) {
   std::vector<std::pair<std::string, std::uint64_t>> all;
   const auto own = known_open_.find(q.id);
   if (own == known_open_.end() || own->second.cancelled) { // ended, cancelled or pushed out meanwhile
@@ -393,7 +394,7 @@
     return std::nullopt;
   }
   Compared out;
-  all.emplace_back("open/" + q.id, own->second.stamp);
+  all.emplace_back("open/" + q.id, own->second.mod_revision);
   const auto names = own->second.waits_for; // what is learnt below may move the entry
   std::vector<std::string> done;
   for (const auto &name : names) {
@@ -414,19 +415,20 @@
     if (found == Named::Done)
       done.push_back(name);
     else
-      all.emplace_back("open/" + name, known_open_.find(name)->second.stamp);
+      all.emplace_back("open/" + name, known_open_.find(name)->second.mod_revision);
   }
   if (auto it = known_open_.find(q.id); it != known_open_.end() && !done.empty())
     std::erase_if(it->second.waits_for,
                   [&](const auto &n) { return std::find(done.begin(), done.end(), n) != done.end(); });
-  for (auto &[key, stamp] : all) {
+  for (auto &[key, mod_revision] : all) {
     if (std::find(q.unchanged.begin(), q.unchanged.end(), key) != q.unchanged.end()) continue;
-    if (std::none_of(commit.guards.begin(), commit.guards.end(), [&k = key](const auto &g) { return g.key == k; })) {
-      if (commit.guards.size() >= most_guards()) {
+    if (std::none_of(commit.preconditions.begin(), commit.preconditions.end(),
+                     [&k = key](const auto &g) { return g.key == k; })) {
+      if (commit.preconditions.size() >= max_guards()) {
         out.whole = false; // the rest with the next
         break;
       }
-      commit.guards.push_back({key, stamp});
+      commit.preconditions.push_back({key, mod_revision});
     }
     out.keys.push_back(key);
   }
@@ -436,26 +438,26 @@
 
 // One comparison of revisions answers many questions: a record whose revision is still the one read before
 // is still what it was then. It is sent after the questions have come, so the answer is not older than they are.
-void UserDesk::confirm() {
-  const double now = port_.now();
+void JobApiHandler::confirm() {
+  const double now = runtime_.now();
   if (!questions_.empty() && now >= next_sweep_) {
     next_sweep_ = now + kSweepEvery;
     for (std::size_t k = questions_.size(); k-- > 0;) {
       Question q = std::move(questions_.front());
       questions_.pop_front();
       if (now - q.asked > q.patience)
-        port_.refuse(q.req, "too many questions at once");
+        runtime_.refuse(q.req, "too many questions at once");
       else
         questions_.push_back(std::move(q));
     }
   }
-  if (confirming_ || questions_.empty() || now < next_confirm_ || !budget_.take_read(now)) return;
+  if (confirming_ || questions_.empty() || now < next_confirm_ || !state_limits_.take_read(now)) return;
   next_confirm_ = now + kConfirmEvery;
   confirming_ = true;
   StoreCommit commit;
   std::vector<Compared> asked;
-  const std::size_t most = most_guards();
-  for (std::size_t k = questions_.size(); k-- > 0 && asked.size() < most && commit.guards.size() < most;) {
+  const std::size_t most = max_guards();
+  for (std::size_t k = questions_.size(); k-- > 0 && asked.size() < most && commit.preconditions.size() < most;) {
     Question q = std::move(questions_.front());
     questions_.pop_front();
     auto c = compare(std::move(q), commit);
@@ -465,11 +467,11 @@
     else
       asked.push_back(std::move(*c));
   }
-  if (commit.guards.empty()) {
+  if (commit.preconditions.empty()) {
     confirming_ = false;
     return;
   }
-  port_.store(std::move(commit), kUserDeadline / 2, [this, asked = std::move(asked)](const wire::StoreReply &r) {
+  runtime_.store(std::move(commit), kUserDeadline / 2, [this, asked = std::move(asked)](const wire::StoreReply &r) {
     confirming_ = false;
     auto failed = [&](const std::string &key) {
       return std::find(r.failed.begin(), r.failed.end(), key) != r.failed.end();
@@ -503,19 +505,19 @@
 }
 
 // A submission whose id another cell's work bears here, which is then given back: own users come first.
-void UserDesk::want_id(const Question &q, std::uint64_t stamp, OpenRecord record) {
-  const std::string why = "work of cell " + record.lent->home + " bears this id here; it is being given back";
-  if (!std::exchange(record.cancelled, true) && budget_.take_write(port_.now()))
-    port_.store(StoreCommit{{{"open/" + q.id, stamp}}, {{"open/" + q.id, wire::to_json(record), 0}}}, kUserDeadline,
-                [](const wire::StoreReply &) {});
-  port_.refuse(q.req, why, 2);
+void JobApiHandler::want_id(const Question &q, std::uint64_t mod_revision, OpenRecord record) {
+  const std::string why = "work of cell " + record.delegated->origin + " bears this id here; it is being given back";
+  if (!std::exchange(record.cancelled, true) && state_limits_.take_write(runtime_.now()))
+    runtime_.store(StoreCommit{{{"open/" + q.id, mod_revision}}, {{"open/" + q.id, wire::to_json(record), 0}}},
+                   kUserDeadline, [](const wire::StoreReply &) {});
+  runtime_.refuse(q.req, why, 2);
 }
 
-void UserDesk::read_end(const Question &q, bool as_abort) {
+void JobApiHandler::read_end(const Question &q, bool as_abort) {
   ++under_way_;
-  port_.store(StoreGet{"end/" + q.id}, kUserDeadline / 2, [this, q, as_abort](const wire::StoreReply &r) {
+  runtime_.store(StoreGet{"end/" + q.id}, kUserDeadline / 2, [this, q, as_abort](const wire::StoreReply &r) {
     --under_way_;
-    if (r.status == 404 && !q.as_submit) return port_.reply(q.req, 404, wire::encode_error("no such job"));
+    if (r.status == 404 && !q.as_submit) return runtime_.reply(q.req, 404, wire::encode_error("no such job"));
     auto end = r.status == 200 && r.entries.size() == 1 ? wire::end_from_json(r.entries[0].value) : std::nullopt;
     if (!end) return no_answer(q, as_abort ? Verb::Abort : Verb::Look, "the state service did not answer");
     ended_.remember(q.id, *end);
@@ -523,27 +525,27 @@
   });
 }
 
-void UserDesk::answer_end(RequestId req, const std::string &id, const EndRecord &end, bool brief) {
+void JobApiHandler::answer_end(RequestId req, const std::string &id, const EndRecord &end, bool brief) {
   JobState state = end.cancelled ? JobState::Cancelled : JobState::Done;
-  if (brief) return port_.reply(req, 200, wire::encode_accepted(id, state));
+  if (brief) return runtime_.reply(req, 200, wire::encode_accepted(id, state));
   JobView view{id, state, end.cancelled ? 0 : end.tasks, 0, end.reason};
-  port_.reply(req, 200, wire::encode_job_view(view));
+  runtime_.reply(req, 200, wire::encode_job_view(view));
 }
 
-void UserDesk::take(CmdAbort &&cmd) {
+void JobApiHandler::take(CmdCancel &&cmd) {
   const auto &id = cmd.id;
-  if (!wire::valid_job_id(id)) return port_.reply(cmd.req, 404, wire::encode_error("no such job"));
+  if (!wire::valid_job_id(id)) return runtime_.reply(cmd.req, 404, wire::encode_error("no such job"));
   if (const auto *end = ended_.find(id)) return answer_end(cmd.req, id, *end, true);
-  const Question q{cmd.req, id, false, port_.now()};
+  const Question q{cmd.req, id, false, runtime_.now()};
   abort(q);
 }
 
-void UserDesk::abort(const Question &q) {
-  if (siblings_.cut_off()) return no_answer(q, Verb::Abort, kCutOff);
-  if (under_way_ >= kMaxUserOps || !budget_.take_write(port_.now()))
-    return port_.refuse(q.req, "too many requests at once");
+void JobApiHandler::abort(const Question &q) {
+  if (replicas_.cut_off()) return no_answer(q, Verb::Abort, kCutOff);
+  if (under_way_ >= kMaxUserOps || !state_limits_.take_write(runtime_.now()))
+    return runtime_.refuse(q.req, "too many requests at once");
   ++under_way_;
-  port_.store(StoreGet{"open/" + q.id}, kUserDeadline / 2, [this, q](const wire::StoreReply &r) {
+  runtime_.store(StoreGet{"open/" + q.id}, kUserDeadline / 2, [this, q](const wire::StoreReply &r) {
     --under_way_;
     if (r.status == 404) return read_end(q, true);
     if (auto end = r.entries.size() == 1 ? wire::final_from_json(r.entries[0].value) : std::nullopt) {
@@ -552,33 +554,33 @@
     }
     auto open = r.status == 200 && r.entries.size() == 1 ? wire::open_from_json(r.entries[0].value) : std::nullopt;
     if (!open) return no_answer(q, Verb::Abort, "the state service did not answer");
-    if (open->lent) return read_end(q, true); // not a job of this cell's users
+    if (open->delegated) return read_end(q, true); // not a job of this cell's users
     if (open->cancelled) {
-      note_open(*open, r.entries[0].stamp, true);
-      return port_.reply(q.req, 200, wire::encode_accepted(q.id, JobState::Cancelled));
+      note_open(*open, r.entries[0].mod_revision, true);
+      return runtime_.reply(q.req, 200, wire::encode_accepted(q.id, JobState::Cancelled));
     }
     open->cancelled = true;
     ++under_way_;
     auto value = wire::to_json(*open);
-    if (!budget_.fits(value)) { // from when values were larger
+    if (!state_limits_.fits(value)) { // from when values were larger
       auto shorter = *open;
       shorter.spec.types.reset(); // nothing of it starts any more
       shorter.spec.waits_for.clear();
       value = wire::to_json(shorter);
     }
-    port_.store(StoreCommit{{{"open/" + q.id, r.entries[0].stamp}}, {{"open/" + q.id, std::move(value), 0}}},
-                kUserDeadline, [this, q, record = *open](const wire::StoreReply &c) {
-                  --under_way_;
-                  if (c.status == 200) {
-                    note_open(record, c.revision, true);
-                    return port_.reply(q.req, 200, wire::encode_accepted(q.id, JobState::Cancelled));
-                  }
-                  // Its end, or another cancellation, came first: that is what the user is told.
-                  if (c.status == 409 && port_.now() - q.asked < kAbortAgain) return abort(q);
-                  if (c.status == 409) return port_.refuse(q.req, "the job keeps changing; ask again");
-                  no_answer(q, Verb::Abort, "the state service did not confirm the cancellation");
-                });
+    runtime_.store(StoreCommit{{{"open/" + q.id, r.entries[0].mod_revision}}, {{"open/" + q.id, std::move(value), 0}}},
+                   kUserDeadline, [this, q, record = *open](const wire::StoreReply &c) {
+                     --under_way_;
+                     if (c.status == 200) {
+                       note_open(record, c.revision, true);
+                       return runtime_.reply(q.req, 200, wire::encode_accepted(q.id, JobState::Cancelled));
+                     }
+                     // Its end, or another cancellation, came first: that is what the user is told.
+                     if (c.status == 409 && runtime_.now() - q.asked < kAbortAgain) return abort(q);
+                     if (c.status == 409) return runtime_.refuse(q.req, "the job keeps changing; ask again");
+                     no_answer(q, Verb::Abort, "the state service did not confirm the cancellation");
+                   });
   });
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/util.cpp
+++ b/src/core/util.cpp
@@ -1,6 +1,6 @@
 #include "loftrouter/core/util.hpp"
 
-namespace loft::core {
+namespace loftrouter::core {
 
 Ranges widen(Ranges r, std::size_t max) {
   if (r.size() <= max || max == 0) return r;
@@ -30,4 +30,4 @@
   return by_size;
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/watch.cpp
+++ b/src/core/watch.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <utility>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kLoadRetry = 0.2;
@@ -12,73 +12,75 @@
 constexpr double kFollowHold = 3.0;                    // short, so that a watch that has died is noticed soon
 } // namespace
 
-void RecordWatch::tick() {
-  if (lead_.leading() && !following_) follow();
-  if (lead_.active() && !auditing_ && port_.now() >= next_audit_) audit();
+void StateWatch::tick() {
+  if (leadership_.leading() && !following_) follow();
+  if (leadership_.active() && !auditing_ && runtime_.now() >= next_audit_) audit();
 }
 
 // What is open in the state service against what this leader has, a page at a time and for one in a hundred of the
 // reads. Guards against a job that stands still for ever, whatever has been missed; that it finds anything is a defect
 // to be traced.
-void RecordWatch::audit() {
-  next_audit_ = port_.now() + std::max(kAuditEvery, kAuditReads / settings_.state_rps);
+void StateWatch::audit() {
+  next_audit_ = runtime_.now() + std::max(kAuditEvery, kAuditReads / settings_.state_rps);
   auditing_ = true;
-  port_.store(StoreList{"open/", audited_}, 2.0, [this, epoch = lead_.epoch()](const wire::StoreReply &r) {
-    if (epoch != lead_.epoch()) return;
+  runtime_.store(StoreList{"open/", audited_}, 2.0, [this, epoch = leadership_.epoch()](const wire::StoreReply &r) {
+    if (epoch != leadership_.epoch()) return;
     auditing_ = false;
     if (r.status != 200) return;
     const std::string from = std::exchange(audited_, r.more && !r.entries.empty() ? r.entries.back().key : "");
     std::set<std::string> there;
     for (const auto &e : r.entries) {
       there.insert(e.key);
-      if (e.stamp > follow_from_) continue; // the watch has yet to tell
-      const auto news = recorder_.compare(e);
-      if (!news.empty()) port_.log(LogLevel::Error, "audit_found", {{"key", e.key.substr(0, 60)}, {"what", news}});
+      if (e.mod_revision > follow_from_) continue; // the watch has yet to tell
+      const auto news = state_writer_.compare(e);
+      if (!news.empty())
+        runtime_.log(LogLevel::Error, "audit_mismatch_found", {{"key", e.key.substr(0, 60)}, {"what", news}});
     }
-    for (const auto &key : recorder_.not_there(from, audited_, there, r.revision))
-      port_.log(LogLevel::Error, "audit_found", {{"key", key.substr(0, 60)}, {"what", "no longer open"}});
+    for (const auto &key : state_writer_.not_there(from, audited_, there, r.revision))
+      runtime_.log(LogLevel::Error, "audit_mismatch_found", {{"key", key.substr(0, 60)}, {"what", "no longer open"}});
   });
 }
 
-void RecordWatch::again(std::function<void()> fn) {
-  port_.later(kLoadRetry, [this, epoch = lead_.epoch(), fn = std::move(fn)] {
-    if (epoch == lead_.epoch()) fn();
+void StateWatch::again(std::function<void()> fn) {
+  runtime_.later(kLoadRetry, [this, epoch = leadership_.epoch(), fn = std::move(fn)] {
+    if (epoch == leadership_.epoch()) fn();
   });
 }
 
-void RecordWatch::on(const TermElected &) {
+void StateWatch::on(const LeaderElected &) {
   follow_from_ = 0;
   auditing_ = false;
   audited_.clear();
-  next_audit_ = port_.now() + kAuditEvery;
+  next_audit_ = runtime_.now() + kAuditEvery;
   load_progress("");
 }
 
 // Progress is read before the open jobs: a job that ends in between is then simply not found open.
-void RecordWatch::load_progress(std::string from) {
-  port_.store(StoreList{"progress/", from}, 2.0, [this, from, epoch = lead_.epoch()](const wire::StoreReply &r) {
-    if (epoch != lead_.epoch()) return;
-    if (r.status != 200) return again([this, from] { load_progress(from); });
-    for (const auto &e : r.entries)
-      if (!recorder_.load_progress(e)) { // what it may have said was started is not known, so nothing may be
-        port_.log(LogLevel::Error, "record_unreadable", {{"key", e.key.substr(0, 60)}, {"then", "term ended"}});
-        return lead_.step_down("a progress record cannot be read");
-      }
-    if (r.more && !r.entries.empty()) return load_progress(r.entries.back().key);
-    load_open("");
-  });
+void StateWatch::load_progress(std::string from) {
+  runtime_.store(
+      StoreList{"progress/", from}, 2.0, [this, from, epoch = leadership_.epoch()](const wire::StoreReply &r) {
+        if (epoch != leadership_.epoch()) return;
+        if (r.status != 200) return again([this, from] { load_progress(from); });
+        for (const auto &e : r.entries)
+          if (!state_writer_.load_progress(e)) { // what it may have said was started is not known, so nothing may be
+            runtime_.log(LogLevel::Error, "record_rejected", {{"key", e.key.substr(0, 60)}, {"then", "term ended"}});
+            return leadership_.step_down("a progress record cannot be read");
+          }
+        if (r.more && !r.entries.empty()) return load_progress(r.entries.back().key);
+        load_open("");
+      });
 }
 
 // All open records: before leading, and again whenever the watch has failed.
-void RecordWatch::load_open(std::string from) {
-  if (from.empty()) listed_from_ = port_.now();
-  port_.store(StoreList{"open/", from}, 2.0, [this, from, epoch = lead_.epoch()](const wire::StoreReply &r) {
-    if (epoch != lead_.epoch()) return;
+void StateWatch::load_open(std::string from) {
+  if (from.empty()) listed_from_ = runtime_.now();
+  runtime_.store(StoreList{"open/", from}, 2.0, [this, from, epoch = leadership_.epoch()](const wire::StoreReply &r) {
+    if (epoch != leadership_.epoch()) return;
     if (r.status != 200) return again([this, from] { load_open(from); });
     if (from.empty()) follow_from_ = r.revision;
     for (const auto &e : r.entries) {
-      if (!relisting_) recorder_.load_end(e);
-      recorder_.take_open(e.key, e.value, e.stamp);
+      if (!relisting_) state_writer_.load_end(e);
+      state_writer_.take_open(e.key, e.value, e.mod_revision);
     }
     if (r.more && !r.entries.empty()) return load_open(r.entries.back().key);
     cancellations_.news(listed_from_);
@@ -86,28 +88,28 @@
       relisting_ = false;
       return;
     }
-    lead_.begin_term();
+    leadership_.begin_term();
   });
 }
 
-void RecordWatch::follow() {
+void StateWatch::follow() {
   if (following_ || relisting_) return;
   following_ = true;
-  port_.store(StoreFollow{"open/", follow_from_, kFollowHold}, kFollowHold + 1.5,
-              [this, sent = port_.now(), epoch = lead_.epoch()](const wire::StoreReply &r) {
-                if (epoch != lead_.epoch()) return;
-                following_ = false;
-                if (r.status == 410 || r.status == 0) { // too far behind, or no answer: a list may get one
-                  relisting_ = true;
-                  return load_open("");
-                }
-                if (r.status != 200) return; // tried again with the next tick
-                for (const auto &e : r.events)
-                  if (e.value) recorder_.take_open(e.key, *e.value, e.stamp);
-                follow_from_ = std::max(follow_from_, r.revision);
-                cancellations_.news(sent);
-                follow();
-              });
+  runtime_.store(StoreWatch{"open/", follow_from_, kFollowHold}, kFollowHold + 1.5,
+                 [this, sent = runtime_.now(), epoch = leadership_.epoch()](const wire::StoreReply &r) {
+                   if (epoch != leadership_.epoch()) return;
+                   following_ = false;
+                   if (r.status == 410 || r.status == 0) { // too far behind, or no answer: a list may get one
+                     relisting_ = true;
+                     return load_open("");
+                   }
+                   if (r.status != 200) return; // tried again with the next tick
+                   for (const auto &e : r.events)
+                     if (e.value) state_writer_.take_open(e.key, *e.value, e.mod_revision);
+                   follow_from_ = std::max(follow_from_, r.revision);
+                   cancellations_.news(sent);
+                   follow();
+                 });
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/core/wishes.cpp
+++ b/src/core/wishes.cpp
@@ -4,14 +4,14 @@
 #include <cmath>
 #include <limits>
 
-namespace loft::core {
+namespace loftrouter::core {
 
 namespace {
 constexpr double kDefaultDue = 3600.0; // s, for jobs without a deadline or an objective: dear machines can wait
 constexpr double kPatience = 1800.0;   // s, of small work without a wish: afterwards it may use dear machines too
 } // namespace
 
-std::optional<double> Wishes::wanted_after(const JobSpec &spec, std::optional<double> deadline) const {
+std::optional<double> JobObjectives::wanted_after(const JobSpec &spec, std::optional<double> deadline) const {
   if (deadline) return deadline;
   std::optional<double> last;
   for (const auto &o : settings_.objectives)
@@ -20,7 +20,7 @@
 }
 
 // Where only its start is wanted by a time: that, and its run.
-std::optional<double> Wishes::started_within(const JobSpec &spec) const {
+std::optional<double> JobObjectives::started_within(const JobSpec &spec) const {
   std::optional<double> last;
   for (const auto &o : settings_.objectives)
     if (o.kind == "wait" && o.job_class == spec.job_class)
@@ -28,7 +28,7 @@
   return last;
 }
 
-double Wishes::due_after(const JobSpec &spec, std::optional<double> deadline, double age_s) const {
+double JobObjectives::due_after(const JobSpec &spec, std::optional<double> deadline, double age_s) const {
   if (deadline) return *deadline;
   const double soonest = age_s + spec.estimate_s;
   double first = std::numeric_limits<double>::infinity(), last = 0;
@@ -41,8 +41,9 @@
   return std::isfinite(first) ? first : last;
 }
 
-bool Wishes::patient(const JobSpec &spec, Urgency urgency, std::optional<double> deadline, double age_s) const {
+bool JobObjectives::deferrable(const JobSpec &spec, Urgency urgency, std::optional<double> deadline,
+                               double age_s) const {
   return is_small(spec, urgency) && !wanted_after(spec, deadline) && age_s < kPatience;
 }
 
-} // namespace loft::core
+} // namespace loftrouter::core
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -5,7 +5,7 @@
 
 #include <sys/socket.h>
 
-namespace loft::net {
+namespace loftrouter::net {
 
 struct HttpClient::Conn {
   Conn(HttpLimits limits) : parser(HttpParser::Kind::Response, limits) {}
@@ -147,4 +147,4 @@
   sweep_timer_.once(0.1);
 }
 
-} // namespace loft::net
+} // namespace loftrouter::net
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::net {
+namespace loftrouter::net {
 
 namespace {
 
@@ -280,4 +280,4 @@
   return out;
 }
 
-} // namespace loft::net
+} // namespace loftrouter::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -12,7 +12,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-namespace loft::net {
+namespace loftrouter::net {
 
 namespace {
 // Connections that wait to be accepted: after a takeover all 11,000 workers may come at once. The kernel cuts this to
@@ -152,4 +152,4 @@
   return fd;
 }
 
-} // namespace loft::net
+} // namespace loftrouter::net
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -7,7 +7,7 @@
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-namespace loft::net {
+namespace loftrouter::net {
 
 namespace {
 constexpr std::size_t kMaxIncoming = 16;
@@ -18,7 +18,7 @@
 
 struct PeerLinks::Link {
   LinkId id = 0;
-  int sibling = -1;
+  int replica = -1;
   Fd fd;
   std::string in, out;
   std::unique_ptr<IoWatch> watch;
@@ -26,8 +26,8 @@
   std::uint32_t remote = 0;
 };
 
-PeerLinks::PeerLinks(Loop &loop, Fd listener, std::vector<Address> siblings, Reader reader)
-    : loop_(loop), listener_(std::move(listener)), siblings_(std::move(siblings)), dialled_(siblings_.size(), 0),
+PeerLinks::PeerLinks(Loop &loop, Fd listener, std::vector<Address> replicas, Reader reader)
+    : loop_(loop), listener_(std::move(listener)), replicas_(std::move(replicas)), dialled_(replicas_.size(), 0),
       reader_(std::move(reader)), accept_watch_(loop, listener_.get(), [this](int) { accept_ready(); }),
       sweep_timer_(loop, [this] { sweep(); }) {
   accept_watch_.want(EV_READ);
@@ -36,10 +36,10 @@
 
 PeerLinks::~PeerLinks() = default;
 
-PeerLinks::Link *PeerLinks::open(Fd fd, int sibling) {
+PeerLinks::Link *PeerLinks::open(Fd fd, int replica) {
   auto link = std::make_unique<Link>();
   link->id = next_++;
-  link->sibling = sibling;
+  link->replica = replica;
   link->fd = std::move(fd);
   link->heard = loop_.now();
   auto *raw = link.get();
@@ -53,7 +53,7 @@
   sockaddr_in from{};
   socklen_t length = sizeof from;
   Fd fd(::accept4(listener_.get(), reinterpret_cast<sockaddr *>(&from), &length, SOCK_NONBLOCK | SOCK_CLOEXEC));
-  if (!fd || links_.size() >= kMaxIncoming + siblings_.size()) return;
+  if (!fd || links_.size() >= kMaxIncoming + replicas_.size()) return;
   int one = 1;
   ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
   open(std::move(fd), -1)->remote = ntohl(from.sin_addr.s_addr);
@@ -64,13 +64,13 @@
   return it == links_.end() ? 0 : it->second->remote;
 }
 
-void PeerLinks::send_to_sibling(int sibling, std::string_view bytes) {
-  auto &id = dialled_[static_cast<std::size_t>(sibling)];
+void PeerLinks::send_to_replica(int replica, std::string_view bytes) {
+  auto &id = dialled_[static_cast<std::size_t>(replica)];
   if (!links_.contains(id)) {
-    Fd fd = connect_to(siblings_[static_cast<std::size_t>(sibling)]);
+    Fd fd = connect_to(replicas_[static_cast<std::size_t>(replica)]);
     if (!fd) return;
-    Link *link = open(std::move(fd), sibling);
-    link->remote = siblings_[static_cast<std::size_t>(sibling)].ip;
+    Link *link = open(std::move(fd), replica);
+    link->remote = replicas_[static_cast<std::size_t>(replica)].ip;
     id = link->id;
   }
   send_on(id, bytes);
@@ -98,7 +98,7 @@
   if (n <= 0) return close(l);
   l.heard = loop_.now();
   l.in.append(buf, static_cast<std::size_t>(n));
-  if (!reader_(l.id, l.sibling, l.in) || l.in.size() > kMaxBuffered) close(l);
+  if (!reader_(l.id, l.replica, l.in) || l.in.size() > kMaxBuffered) close(l);
 }
 
 void PeerLinks::flush(Link &l) {
@@ -131,4 +131,4 @@
   sweep_timer_.once(0.5);
 }
 
-} // namespace loft::net
+} // namespace loftrouter::net
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -8,7 +8,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-namespace loft::net {
+namespace loftrouter::net {
 
 struct HttpServer::Conn {
   Conn(ConnId i, Fd f) : id(i), fd(std::move(f)) {}
@@ -175,4 +175,4 @@
   sweep_timer_.once(0.5);
 }
 
-} // namespace loft::net
+} // namespace loftrouter::net
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::store {
+namespace loftrouter::store {
 
 StoreClient::StoreClient(net::Loop &loop, net::Address address, Done done)
     : requests_(loop, address, {8, 256, 4 << 20}), leases_(loop, address, {2, 8, 64 << 10}),
@@ -22,14 +22,14 @@
            fmt::format("/store?under={}{}&most={}", x.prefix, x.from.empty() ? "" : "&from=" + x.from, x.page));
     }
     void operator()(const core::StoreCommit &x) {
-      call(c.requests_, "POST", "/commit", wire::encode_commit(x.guards, x.writes));
+      call(c.requests_, "POST", "/commit", wire::encode_commit(x.preconditions, x.writes));
     }
-    void operator()(const core::StoreLeaseNew &x) { call(c.leases_, "POST", "/leases", wire::encode_ttl(x.ttl_s)); }
-    void operator()(const core::StoreLeaseTouch &x) {
+    void operator()(const core::StoreLeaseGrant &x) { call(c.leases_, "POST", "/leases", wire::encode_ttl(x.ttl_s)); }
+    void operator()(const core::StoreLeaseRenew &x) {
       call(c.leases_, "POST", fmt::format("/leases/{}/touch", x.lease), wire::encode(wire::Json::object()));
     }
-    void operator()(const core::StoreLeaseDrop &x) { call(c.leases_, "DELETE", fmt::format("/leases/{}", x.lease)); }
-    void operator()(const core::StoreFollow &x) {
+    void operator()(const core::StoreLeaseRevoke &x) { call(c.leases_, "DELETE", fmt::format("/leases/{}", x.lease)); }
+    void operator()(const core::StoreWatch &x) {
       call(c.follows_, "GET",
            fmt::format("/follow?under={}&from={}&hold_ms={}", x.prefix, x.from, static_cast<int>(x.hold_s * 1000)));
     }
@@ -37,4 +37,4 @@
   std::visit(Visitor{go, *this}, op.what);
 }
 
-} // namespace loft::store
+} // namespace loftrouter::store
--- a/src/wire/admin.cpp
+++ b/src/wire/admin.cpp
@@ -10,7 +10,7 @@
 
 #include "loftrouter/wire/messages.hpp"
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 namespace {
 
@@ -20,7 +20,7 @@
   double least, most;
 };
 constexpr Tunable kTunables[] = {
-    {"whole_bonus", &Tunables::whole_bonus, 0, 1000},
+    {"whole_bonus", &Tunables::full_plan_bonus, 0, 1000},
     {"age_weight", &Tunables::age_weight, 0, 10},
     {"image_weight", &Tunables::image_weight, 0, 100},
     {"price_weight", &Tunables::price_weight, 0, 100},
@@ -80,8 +80,8 @@
   return std::nullopt;
 }
 
-constexpr std::size_t kMostBody = 16 * 1024;
-constexpr int kMostDepth = 4;
+constexpr std::size_t kMaxBody = 16 * 1024;
+constexpr int kMaxDepth = 4;
 
 // How deep maps and lists are nested at the most; what stands within strings doesn't count.
 int nesting(std::string_view json) {
@@ -104,7 +104,7 @@
 
 // The text is small, and nesting is refused before it is parsed.
 std::optional<Json> parse_body(std::string_view body) {
-  if (body.size() > kMostBody || nesting(body) > kMostDepth) return std::nullopt;
+  if (body.size() > kMaxBody || nesting(body) > kMaxDepth) return std::nullopt;
   auto j = Json::parse(body, nullptr, false);
   if (!j.is_object()) return std::nullopt;
   return j;
@@ -160,7 +160,7 @@
                         Plain{"foreseen", "GET", Kind::Foreseen}, Plain{"report", "GET", Kind::Report},
                         Plain{"settings", "GET", Kind::Settings}, Plain{"settings", "PUT", Kind::Change},
                         Plain{"budgets", "GET", Kind::Budgets}, Plain{"budgets", "PUT", Kind::ChangeBudgets},
-                        Plain{"statement", "GET", Kind::Statement}, Plain{"cells", "GET", Kind::Cells},
+                        Plain{"statement", "GET", Kind::Statement}, Plain{"cells", "GET", Kind::CellFederation},
                         Plain{"cells", "PUT", Kind::ChangeCells}, Plain{"quotas", "GET", Kind::Quotas},
                         Plain{"configuration", "GET", Kind::Configuration}}) {
     if (path != p.path) continue;
@@ -199,9 +199,9 @@
   r.kind = Kind::Machine;
   r.machine = path.substr(0, slash);
   if (action == kOrders[0])
-    r.order = MachineOrder::Drain;
+    r.order = MachineAdminState::Drain;
   else if (action == kOrders[1])
-    r.order = MachineOrder::Quarantine;
+    r.order = MachineAdminState::Quarantine;
   else if (action != "release")
     return AdminError{404, "a machine can be told drain, quarantine or release"};
   return r;
@@ -227,46 +227,47 @@
   return std::nullopt;
 }
 
-Json to_json(MachineOrder order) {
+Json to_json(MachineAdminState order) {
   return kOrders[static_cast<int>(order)];
 }
 
-Json to_json(const MachineOrders &orders) {
+Json to_json(const MachineAdminStates &orders) {
   Json j = Json::object();
   for (const auto &[name, order] : orders)
     j[name] = to_json(order);
   return j;
 }
 
-std::optional<MachineOrder> machine_order_from_json(const Json &j) {
+std::optional<MachineAdminState> machine_admin_state_from_json(const Json &j) {
   for (int k = 0; k < 2; ++k)
-    if (j == kOrders[k]) return static_cast<MachineOrder>(k);
+    if (j == kOrders[k]) return static_cast<MachineAdminState>(k);
   return std::nullopt;
 }
 
-MachineOrders machine_orders_from_json(const Json &j) {
-  MachineOrders out;
+MachineAdminStates machine_admin_states_from_json(const Json &j) {
+  MachineAdminStates out;
   if (!j.is_object()) return out;
   for (const auto &[name, value] : j.items())
-    if (const auto order = machine_order_from_json(value); order && out.size() < kMostMachineOrders) out[name] = *order;
+    if (const auto order = machine_admin_state_from_json(value); order && out.size() < kMaxMachineOrders)
+      out[name] = *order;
   return out;
 }
 
-static Json reach_json(const ReachWord &w) {
-  Json j = to_json(ReachRecord{w, 0});
+static Json connectivity_json(const ConnectivityRecord &w) {
+  Json j = to_json(StoredConnectivityRecord{w, 0});
   j.erase("at");
   return j;
 }
 
 std::string encode_status(const AdminStatus &s) {
-  Json siblings = Json::array(), fleet = Json::array(), queues = Json::array();
-  for (const auto &x : s.siblings)
-    siblings.push_back({{"node", x.node},
+  Json replicas = Json::array(), fleet = Json::array(), queues = Json::array();
+  for (const auto &x : s.replicas)
+    replicas.push_back({{"node", x.node},
                         {"heard_s_ago", age(x.heard_s)},
                         {"version", x.version},
                         {"cut_off_from_state_service", x.cut_off},
-                        {"hears_workers", x.reach.workers == Hearing::Hears},
-                        {"reaches", reach_json(x.reach)},
+                        {"hears_workers", x.connectivity.workers == WorkerReachability::Reachable},
+                        {"reaches", connectivity_json(x.connectivity)},
                         {"told_by", x.told_by},
                         {"passes_reports_on", x.passes_reports},
                         {"workers_kept", x.keeps}});
@@ -303,16 +304,16 @@
   for (const auto &c : s.cells)
     cells.push_back({{"cell", c.name},
                      {"heard_s_ago", age(c.heard_s)},
-                     {"may_be_lent_to", c.lends},
-                     {"tasks_lent", c.lent_tasks},
-                     {"tasks_borrowed", c.borrowed_tasks}});
-  Json reach = reach_json(s.reach.word), by_zone = Json::object();
-  for (const auto &[zone, machines] : s.reach.machines)
+                     {"may_be_lent_to", c.delegates},
+                     {"tasks_lent", c.delegated_out_tasks},
+                     {"tasks_borrowed", c.delegated_in_tasks}});
+  Json connectivity = connectivity_json(s.connectivity.word), by_zone = Json::object();
+  for (const auto &[zone, machines] : s.connectivity.machines)
     by_zone[zone] = machines;
-  reach["machines_by_zone"] = std::move(by_zone);
+  connectivity["machines_by_zone"] = std::move(by_zone);
   return dump(
       {{"node", s.node},
-       {"reaches", std::move(reach)},
+       {"reaches", std::move(connectivity)},
        {"role", s.role},
        {"leader", std::move(leader)},
        {"troubles", s.troubles},
@@ -321,14 +322,14 @@
        {"workers",
         {{"reported_s_ago", age(s.report_age_s)},
          {"here", s.load.workers},
-         {"here_most", s.load.workers_most},
+         {"here_most", s.load.max_workers},
          {"reports_a_second", rounded(s.load.reports)},
-         {"reports_a_second_most", rounded(s.load.reports_most)},
+         {"reports_a_second_most", rounded(s.load.max_reports)},
          {"passed_on_a_second", rounded(s.load.passed)},
          {"siblings_keep_some", s.load.spreads}}},
        {"processor",
         {{"used_s", rounded(s.load.cpu_s)}, {"up_s", rounded(s.load.up_s)}, {"allowed_share", s.load.cpu_share}}},
-       {"siblings", std::move(siblings)},
+       {"siblings", std::move(replicas)},
        {"fleet", std::move(fleet)},
        {"queues", std::move(queues)},
        {"served", std::move(served)},
@@ -397,9 +398,9 @@
 }
 
 Json to_json(const CellRules &r) {
-  return {{"lend", r.lend},
-          {"borrow", r.borrow},
-          {"most_borrowed_cpus", r.most_borrowed_cpus},
+  return {{"lend", r.delegate},
+          {"borrow", r.accept},
+          {"most_borrowed_cpus", r.max_accepted_cpus},
           {"stay_teams", r.stay_teams},
           {"stay_classes", r.stay_classes}};
 }
@@ -408,11 +409,11 @@
   for (const auto &[name, value] : j.items()) {
     if (name == "lend" || name == "borrow") {
       if (!value.is_boolean()) return name + ": true or false is wanted";
-      (name == "lend" ? r.lend : r.borrow) = value.get<bool>();
+      (name == "lend" ? r.delegate : r.accept) = value.get<bool>();
     } else if (name == "most_borrowed_cpus") {
       const double v = value.is_number() ? value.get<double>() : std::nan("");
       if (!(v >= 0 && v <= 1e6)) return "most_borrowed_cpus: a number from 0 to 1000000 is wanted";
-      r.most_borrowed_cpus = v;
+      r.max_accepted_cpus = v;
     } else if (name == "stay_teams" || name == "stay_classes") {
       std::vector<std::string> all;
       if (!value.is_array() || value.size() > 100) return name + ": a list of at most 100 names is wanted";
@@ -510,7 +511,7 @@
   return machine.size() + kLineWithoutName;
 }
 
-std::string encode_settings(const Tunables &t, const MachineOrders &orders, std::string_view next) {
+std::string encode_settings(const Tunables &t, const MachineAdminStates &orders, std::string_view next) {
   return dump({{"settings", to_json(t)}, {"machines", to_json(orders)}, {"next", next.empty() ? Json() : Json(next)}});
 }
 
@@ -518,4 +519,4 @@
   return dump({{"error", text}});
 }
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/src/wire/admin_configuration.cpp
+++ b/src/wire/admin_configuration.cpp
@@ -4,7 +4,7 @@
 
 #include "loftrouter/wire/admin.hpp"
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 namespace {
 
@@ -90,4 +90,4 @@
   return dump({{"record", "quota/" + team}, {"changes", std::move(changes)}});
 }
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -2,7 +2,7 @@
 
 #include <cmath>
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 bool valid_utf8(std::string_view s) {
   std::size_t i = 0;
@@ -104,4 +104,4 @@
   return out;
 }
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/src/wire/cell.cpp
+++ b/src/wire/cell.cpp
@@ -5,7 +5,7 @@
 #include "loftrouter/wire/cbor.hpp"
 #include "loftrouter/wire/packed.hpp"
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 using namespace packed;
 
@@ -297,4 +297,4 @@
   return PeerRead::Frame;
 }
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/src/wire/configuration.cpp
+++ b/src/wire/configuration.cpp
@@ -5,18 +5,18 @@
 
 #include <fmt/format.h>
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 namespace {
 
-constexpr double kMostAmount = 1e9;
-constexpr std::size_t kMostCells = 17; // a cell and 16 others
+constexpr double kMaxAmount = 1e9;
+constexpr std::size_t kMaxCells = 17; // a cell and 16 others
 
 std::optional<double> amount(const Json &j, const char *name) {
   const auto it = j.find(name);
   if (it == j.end() || !it->is_number()) return std::nullopt;
   const double value = it->get<double>();
-  return value >= 0 && value <= kMostAmount ? std::optional(value) : std::nullopt;
+  return value >= 0 && value <= kMaxAmount ? std::optional(value) : std::nullopt;
 }
 
 std::optional<std::uint64_t> count(const Json &j, const char *name) {
@@ -56,7 +56,7 @@
 }
 
 std::optional<AmountsByCell> by_cell_from(const Json &j) {
-  if (!j.is_object() || j.size() > kMostCells) return std::nullopt;
+  if (!j.is_object() || j.size() > kMaxCells) return std::nullopt;
   AmountsByCell all;
   for (const auto &[cell, value] : j.items()) {
     const auto a = amounts_from(value);
@@ -95,7 +95,7 @@
   const auto shares = by_cell_from(j.value("shares", Json())), caps = by_cell_from(j.value("caps", Json())),
              held = by_cell_from(j.value("held", Json()));
   const Json history = j.value("history", Json::array());
-  if (!version || !limits || !shares || !caps || !held || !history.is_array() || history.size() > kMostQuotaHistory)
+  if (!version || !limits || !shares || !caps || !held || !history.is_array() || history.size() > kMaxQuotaHistory)
     return std::nullopt;
   for (const auto &c : history) {
     const auto number = c.is_object() ? count(c, "number") : std::nullopt;
@@ -120,12 +120,12 @@
     if (limit || name == "cpus" || name == "gpus") {
       const auto wanted = limit && value.is_null() ? std::optional(Amounts::kUnlimited) : amount(j, name.c_str());
       if (!wanted)
-        return fmt::format("{}: a number from 0 to {:g} is wanted{}", name, kMostAmount,
+        return fmt::format("{}: a number from 0 to {:g} is wanted{}", name, kMaxAmount,
                            limit ? ", or null for the limit of the settings file" : "");
       (name == "cpus"       ? change.guaranteed_cpus
        : name == "gpus"     ? change.guaranteed_gpus
-       : name == "cpus_max" ? change.most_cpus
-                            : change.most_gpus) = wanted;
+       : name == "cpus_max" ? change.max_cpus
+                            : change.max_gpus) = wanted;
     } else if (name == "shares") {
       change.shares = by_cell_from(value.is_null() ? Json::object() : value);
       if (!change.shares) return std::string("shares: a map from cells to cpus and gpus is wanted, or null");
@@ -146,8 +146,8 @@
   };
   limit("cpus", c.guaranteed_cpus);
   limit("gpus", c.guaranteed_gpus);
-  limit("cpus_max", c.most_cpus);
-  limit("gpus_max", c.most_gpus);
+  limit("cpus_max", c.max_cpus);
+  limit("gpus_max", c.max_gpus);
   if (c.shares) j["shares"] = by_cell_json(*c.shares);
   if (c.version) j["version"] = *c.version;
   return j;
@@ -176,4 +176,4 @@
   return AppliedRecord{*revision, j["at"].get<double>()};
 }
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -7,7 +7,7 @@
 
 #include <fmt/format.h>
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 namespace {
 
@@ -18,15 +18,15 @@
                      *image_gb = "image_gb", *types = "hulls", *type = "hull", *zone = "yard", *zones = "yards",
                      *one_zone = "one_zone", *spread = "apart", *spot = "standby", *estimate = "guess_s",
                      *checkpoint = "bookmark_s", *save = "stash_s", *deadline = "due_s", *state = "status",
-                     *machine = "box", *machines = "boxes", *address = "address", *session = "shift", *seq = "tick",
-                     *token = "baton", *notice = "warning_s", *task = "piece", *attempt = "try", *cause = "cause",
-                     *saved = "stored", *orders = "orders", *verb = "verb", *grace = "leeway_s",
-                     *redirect = "answer_to", *revision = "epoch", *stamp = "stamp", *lease = "permit", *key = "k",
-                     *value = "v", *entries = "entries", *more = "truncated", *guards = "guards", *writes = "writes",
-                     *put = "set", *del = "drop", *failed = "failed", *events = "events", *ttl = "ttl_ms",
-                     *request = "hire", *count = "number", *name = "sku", *cache = "local_gb", *fetch = "pull_gb_per_s",
-                     *price = "rate", *spot_price = "spot_price", *boot = "startup_s", *age = "age_s",
-                     *waits_for = "waits_on";
+                     *machine = "box", *machines = "boxes", *address = "address", *incarnation = "shift",
+                     *sequence = "tick", *fencing_token = "baton", *notice = "warning_s", *task = "piece",
+                     *attempt = "try", *cause = "cause", *saved = "stored", *orders = "orders", *verb = "verb",
+                     *grace = "leeway_s", *redirect = "answer_to", *revision = "epoch", *mod_revision = "stamp",
+                     *lease = "permit", *key = "k", *value = "v", *entries = "entries", *more = "truncated",
+                     *preconditions = "guards", *writes = "writes", *put = "set", *del = "drop", *failed = "failed",
+                     *events = "events", *ttl = "ttl_ms", *request = "hire", *count = "number", *name = "sku",
+                     *cache = "local_gb", *fetch = "pull_gb_per_s", *price = "rate", *spot_price = "spot_price",
+                     *boot = "startup_s", *age = "age_s", *waits_for = "waits_on";
 }
 
 constexpr const char *kShapes[] = {"array", "gang", "service"};
@@ -214,7 +214,7 @@
     s.deadline_s = *d;
   }
   if (const Json &v = at(j, f::waits_for); !v.is_null()) {
-    if (!v.is_array() || v.size() > kMostWaitsFor) return bad(f::waits_for);
+    if (!v.is_array() || v.size() > kMaxWaitsFor) return bad(f::waits_for);
     for (const auto &name : v) {
       const auto named = text(name);
       if (!named || !valid_job_id(*named) || *named == s.id) return bad(f::waits_for);
@@ -278,7 +278,7 @@
 // What is refused is what `decode` refuses, and what a tree would show to be missing or of the wrong kind.
 class ReportReader final : public nlohmann::json_sax<Json> {
 public:
-  std::optional<WorkerReport> take() {
+  std::optional<Heartbeat> take() {
     constexpr unsigned need =
         1U << Machine | 1U << Address | 1U << Type | 1U << Zone | 1U << Session | 1U << Seq | 1U << Token | 1U << Spot;
     if (!whole_ || (good_ & need) != need) return std::nullopt;
@@ -300,9 +300,9 @@
   }
   bool number_unsigned(number_unsigned_t v) override {
     if (depth_ == 1) {
-      auto *to = key_ == Session ? &report_.session
-                 : key_ == Seq   ? &report_.seq
-                 : key_ == Token ? &report_.token
+      auto *to = key_ == Session ? &report_.incarnation
+                 : key_ == Seq   ? &report_.sequence
+                 : key_ == Token ? &report_.fencing_token
                                  : nullptr;
       if (to) {
         *to = v;
@@ -396,8 +396,8 @@
     None = 31
   };
   static constexpr std::pair<const char *, Field> kTop[] = {
-      {f::machine, Machine}, {f::address, Address}, {f::type, Type}, {f::zone, Zone},     {f::session, Session},
-      {f::seq, Seq},         {f::token, Token},     {f::spot, Spot}, {f::notice, Notice}, {f::tasks, Tasks}};
+      {f::machine, Machine}, {f::address, Address},     {f::type, Type}, {f::zone, Zone},     {f::incarnation, Session},
+      {f::sequence, Seq},    {f::fencing_token, Token}, {f::spot, Spot}, {f::notice, Notice}, {f::tasks, Tasks}};
   static constexpr std::pair<const char *, Field> kTask[] = {
       {f::task, Name}, {f::attempt, Attempt}, {f::state, Phase}, {f::cause, Cause}, {f::saved, Saved}};
   static constexpr std::size_t kDepth = DecodeLimits{}.depth;
@@ -440,7 +440,7 @@
     }
   }
 
-  WorkerReport report_;
+  Heartbeat report_;
   std::size_t depth_ = 0;
   Field key_ = None;
   unsigned good_ = 0, good_task_ = 0;
@@ -452,29 +452,30 @@
 
 } // namespace
 
-std::optional<WorkerReport> decode_report(std::string_view body) {
+std::optional<Heartbeat> decode_heartbeat(std::string_view body) {
   ReportReader reader;
   if (!Json::sax_parse(body.begin(), body.end(), &reader, Json::input_format_t::cbor, true)) return std::nullopt;
   return reader.take();
 }
 
-static Json orders_json(const std::vector<TaskOrder> &orders) {
+static Json orders_json(const std::vector<TaskCommand> &orders) {
   Json list = Json::array();
   for (const auto &o : orders) {
     Json e = {
         {f::verb, kVerbs[static_cast<int>(o.verb)]}, {f::task, task_name(o.job, o.index)}, {f::attempt, o.attempt}};
-    if (o.verb == TaskOrder::Verb::Stop) e[f::grace] = o.grace_s;
+    if (o.verb == TaskCommand::Verb::Stop) e[f::grace] = o.grace_s;
     list.push_back(std::move(e));
   }
   return list;
 }
 
-std::string encode_orders(std::uint64_t token, const std::vector<TaskOrder> &orders) {
-  return encode({{f::token, token}, {f::orders, orders_json(orders)}});
+std::string encode_commands(std::uint64_t fencing_token, const std::vector<TaskCommand> &orders) {
+  return encode({{f::fencing_token, fencing_token}, {f::orders, orders_json(orders)}});
 }
 
-std::string encode_call(std::uint64_t token, std::uint64_t session, const std::vector<TaskOrder> &orders) {
-  return encode({{f::token, token}, {f::session, session}, {f::orders, orders_json(orders)}});
+std::string encode_call(std::uint64_t fencing_token, std::uint64_t incarnation,
+                        const std::vector<TaskCommand> &orders) {
+  return encode({{f::fencing_token, fencing_token}, {f::incarnation, incarnation}, {f::orders, orders_json(orders)}});
 }
 
 std::string encode_redirect(std::string_view node) {
@@ -482,7 +483,7 @@
   return encode({{f::redirect, node}});
 }
 
-std::string encode_report(const WorkerReport &r) {
+std::string encode_heartbeat(const Heartbeat &r) {
   Json tasks = Json::array();
   for (const auto &t : r.tasks) {
     Json e = {
@@ -491,27 +492,29 @@
     if (t.saved) e[f::saved] = true;
     tasks.push_back(std::move(e));
   }
-  Json j = {{f::machine, r.machine}, {f::address, r.address}, {f::type, r.type},
-            {f::zone, r.zone},       {f::spot, r.spot},       {f::session, r.session},
-            {f::seq, r.seq},         {f::token, r.token},     {f::tasks, std::move(tasks)}};
+  Json j = {{f::machine, r.machine},     {f::address, r.address},
+            {f::type, r.type},           {f::zone, r.zone},
+            {f::spot, r.spot},           {f::incarnation, r.incarnation},
+            {f::sequence, r.sequence},   {f::fencing_token, r.fencing_token},
+            {f::tasks, std::move(tasks)}};
   if (r.notice_s) j[f::notice] = *r.notice_s;
   return encode(j);
 }
 
-std::optional<WorkerOrders> decode_orders(std::string_view body) {
+std::optional<WorkerCommands> decode_commands(std::string_view body) {
   auto j = decode(body);
   if (!j) return std::nullopt;
-  auto token = count(at(*j, f::token));
+  auto fencing_token = count(at(*j, f::fencing_token));
   const Json &list = at(*j, f::orders);
-  if (!token || !list.is_array()) return std::nullopt;
-  WorkerOrders out{*token, {}};
+  if (!fencing_token || !list.is_array()) return std::nullopt;
+  WorkerCommands out{*fencing_token, {}};
   for (const auto &e : list) {
-    TaskOrder o;
+    TaskCommand o;
     auto verb = find_name(kVerbs, at(e, f::verb));
     auto name = text(at(e, f::task));
     auto attempt = count(at(e, f::attempt));
     if (!verb || !name || !attempt || !split_task(*name, o.job, o.index)) return std::nullopt;
-    o.verb = static_cast<TaskOrder::Verb>(*verb);
+    o.verb = static_cast<TaskCommand::Verb>(*verb);
     o.attempt = *attempt;
     o.grace_s = amount(at(e, f::grace)).value_or(0);
     out.orders.push_back(std::move(o));
@@ -522,7 +525,9 @@
 Json to_json(const OpenRecord &r) {
   Json j = {{"spec", to_json(r.spec)}, {"at", r.submit_wall}};
   if (r.cancelled) j["cancelled"] = true;
-  if (r.lent) j["lent"] = {{"home", r.lent->home}, {"gen", r.lent->generation}, {"tasks", set_json(r.lent->tasks)}};
+  if (r.delegated)
+    j["lent"] = {
+        {"home", r.delegated->origin}, {"gen", r.delegated->generation}, {"tasks", set_json(r.delegated->tasks)}};
   return j;
 }
 
@@ -532,12 +537,12 @@
   auto when = amount(at(j, "at"), 1e12);
   if (!spec || !when) return std::nullopt;
   OpenRecord out{std::move(*spec), *when, at(j, "cancelled").is_boolean(), {}};
-  if (const Json &lent = at(j, "lent"); !lent.is_null()) {
-    const auto home = text(at(lent, "home"));
-    const auto generation = count(at(lent, "gen"));
-    auto tasks = set_from(at(lent, "tasks"));
-    if (!home || !generation || !tasks) return std::nullopt;
-    out.lent = Lent{*home, *generation, std::move(*tasks)};
+  if (const Json &delegated = at(j, "lent"); !delegated.is_null()) {
+    const auto origin = text(at(delegated, "home"));
+    const auto generation = count(at(delegated, "gen"));
+    auto tasks = set_from(at(delegated, "tasks"));
+    if (!origin || !generation || !tasks) return std::nullopt;
+    out.delegated = DelegationSource{*origin, *generation, std::move(*tasks)};
   }
   return out;
 }
@@ -590,8 +595,8 @@
     j["h"] = r.running_ms;
     j["t"] = r.at_ms;
   }
-  if (r.borrowed) j["b"] = r.borrowed;
-  for (const auto &l : r.loans) {
+  if (r.delegated_here) j["b"] = r.delegated_here;
+  for (const auto &l : r.delegations) {
     Json e = {{"g", l.generation},
               {"c", l.cell},
               {"l", l.lease_s},
@@ -665,8 +670,8 @@
       r.running_ms = static_cast<std::int64_t>(std::min<std::uint64_t>(count(at(e, "h")).value_or(0), 1ULL << 53));
       r.at_ms = static_cast<std::int64_t>(std::min<std::uint64_t>(count(at(e, "t")).value_or(0), 1ULL << 53));
     }
-    r.borrowed = count(at(e, "b")).value_or(0);
-    for (const Json &loans = at(e, "l"); const auto &l : loans.is_array() ? loans : Json::array()) {
+    r.delegated_here = count(at(e, "b")).value_or(0);
+    for (const Json &delegations = at(e, "l"); const auto &l : delegations.is_array() ? delegations : Json::array()) {
       const auto generation = count(at(l, "g"));
       const auto cell = text(at(l, "c"));
       const auto lease = amount(at(l, "l"));
@@ -675,7 +680,7 @@
                             : std::nullopt;
       auto tasks = set_from(at(l, "r"));
       if (!generation || !cell || !lease || !used || !tasks) return false;
-      r.loans.push_back({*generation, *cell, std::move(*tasks), *lease, at(l, "x").is_boolean(), *used});
+      r.delegations.push_back({*generation, *cell, std::move(*tasks), *lease, at(l, "x").is_boolean(), *used});
     }
     out.jobs.emplace_back(std::string(id), std::move(r));
     return true;
@@ -705,7 +710,7 @@
 constexpr const char *kHearing[] = {"unknown", "hears", "silent"}, *kCloud[] = {"unknown", "answers", "fails"};
 }
 
-Json to_json(const ReachRecord &r) {
+Json to_json(const StoredConnectivityRecord &r) {
   return {{"workers", kHearing[static_cast<int>(r.word.workers)]},
           {"machines", r.word.machines},
           {"quiet_s", r.word.quiet_s},
@@ -714,17 +719,17 @@
           {"at", r.wall}};
 }
 
-std::optional<ReachRecord> reach_from_json(const Json &j) {
+std::optional<StoredConnectivityRecord> connectivity_from_json(const Json &j) {
   const auto workers = find_name(kHearing, at(j, "workers")), cloud = find_name(kCloud, at(j, "cloud"));
   const auto machines = count(at(j, "machines"));
-  const auto quiet = amount(at(j, "quiet_s"), ReachWord::kMostQuiet),
-             carried = amount(at(j, "carried_s"), ReachWord::kMostQuiet);
+  const auto quiet = amount(at(j, "quiet_s"), ConnectivityRecord::kMaxQuiet),
+             carried = amount(at(j, "carried_s"), ConnectivityRecord::kMaxQuiet);
   const auto when = amount(at(j, "at"), 1e12);
   if (!quiet || !carried || !workers || !cloud || !machines || !when) return std::nullopt;
-  return ReachRecord{{static_cast<Hearing>(*workers),
-                      static_cast<std::uint16_t>(std::min<std::uint64_t>(*machines, 65535)), *quiet, *carried,
-                      static_cast<CloudWord>(*cloud)},
-                     *when};
+  return StoredConnectivityRecord{{static_cast<WorkerReachability>(*workers),
+                                   static_cast<std::uint16_t>(std::min<std::uint64_t>(*machines, 65535)), *quiet,
+                                   *carried, static_cast<ProviderHealth>(*cloud)},
+                                  *when};
 }
 
 Json to_json(const std::vector<MachineType> &types) {
@@ -767,10 +772,10 @@
   return out;
 }
 
-std::string encode_commit(const std::vector<Guard> &guards, const std::vector<Write> &writes) {
+std::string encode_commit(const std::vector<Precondition> &preconditions, const std::vector<Mutation> &writes) {
   Json g = Json::array(), w = Json::array();
-  for (const auto &x : guards)
-    g.push_back({{f::key, x.key}, {f::stamp, x.stamp}});
+  for (const auto &x : preconditions)
+    g.push_back({{f::key, x.key}, {f::mod_revision, x.mod_revision}});
   for (const auto &x : writes) {
     if (!x.value) {
       w.push_back({{f::del, x.key}});
@@ -780,7 +785,7 @@
     if (x.lease) e[f::lease] = x.lease;
     w.push_back(std::move(e));
   }
-  return encode({{f::guards, std::move(g)}, {f::writes, std::move(w)}});
+  return encode({{f::preconditions, std::move(g)}, {f::writes, std::move(w)}});
 }
 
 std::string encode_ttl(double ttl_s) {
@@ -802,11 +807,11 @@
   r.more = at(*j, f::more).is_boolean() && at(*j, f::more).get<bool>();
   for (const auto &k : at(*j, f::failed))
     if (k.is_string()) r.failed.push_back(k.get<std::string>());
-  auto entry = [](const Json &e) -> std::optional<Entry> {
+  auto entry = [](const Json &e) -> std::optional<KeyValue> {
     auto key = text(at(e, f::key));
-    auto stamp = count(at(e, f::stamp));
-    if (!key || !stamp) return std::nullopt;
-    return Entry{*key, at(e, f::value), *stamp, count(at(e, f::lease)).value_or(0)};
+    auto mod_revision = count(at(e, f::mod_revision));
+    if (!key || !mod_revision) return std::nullopt;
+    return KeyValue{*key, at(e, f::value), *mod_revision, count(at(e, f::lease)).value_or(0)};
   };
   if (auto single = entry(*j)) r.entries.push_back(std::move(*single));
   if (const Json &list = at(*j, f::entries); list.is_array())
@@ -815,20 +820,21 @@
   if (const Json &list = at(*j, f::events); list.is_array())
     for (const auto &e : list) {
       auto put = text(at(e, f::put)), del = text(at(e, f::del));
-      auto stamp = count(at(e, f::stamp)).value_or(0);
+      auto mod_revision = count(at(e, f::mod_revision)).value_or(0);
       if (put)
-        r.events.push_back({*put, at(e, f::value), stamp});
+        r.events.push_back({*put, at(e, f::value), mod_revision});
       else if (del)
-        r.events.push_back({*del, std::nullopt, stamp});
+        r.events.push_back({*del, std::nullopt, mod_revision});
     }
   return r;
 }
 
-std::string encode_rent(std::string_view request, std::string_view type, std::string_view zone, bool spot, int number) {
+std::string encode_scale_out(std::string_view request, std::string_view type, std::string_view zone, bool spot,
+                             int number) {
   return encode({{f::request, request}, {f::type, type}, {f::zone, zone}, {f::spot, spot}, {f::count, number}});
 }
 
-std::string encode_return(const std::vector<std::string> &names) {
+std::string encode_scale_in(const std::vector<std::string> &names) {
   return encode({{f::machines, names}});
 }
 
@@ -880,4 +886,4 @@
   return r;
 }
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -5,7 +5,7 @@
 #include "loftrouter/wire/messages.hpp"
 #include "loftrouter/wire/packed.hpp"
 
-namespace loft::wire {
+namespace loftrouter::wire {
 
 using namespace packed;
 
@@ -32,13 +32,13 @@
   return r.ok;
 }
 
-void put_report(std::string &out, const WorkerReport &w) {
+void put_report(std::string &out, const Heartbeat &w) {
   for (const auto *text : {&w.machine, &w.address, &w.type, &w.zone})
     put_text(out, *text);
   put(out, static_cast<std::uint8_t>(w.spot | w.notice_s.has_value() << 1));
-  put(out, w.session);
-  put(out, w.seq);
-  put(out, w.token);
+  put(out, w.incarnation);
+  put(out, w.sequence);
+  put(out, w.fencing_token);
   if (w.notice_s) put(out, static_cast<std::uint32_t>(std::min(4e9, *w.notice_s * 1000)));
   put(out, static_cast<std::uint16_t>(w.tasks.size()));
   std::string_view before;
@@ -48,19 +48,19 @@
     put(out, static_cast<std::uint8_t>(t.cause));
   }
 }
-bool get_report(Reader &r, WorkerReport &w) {
+bool get_report(Reader &r, Heartbeat &w) {
   for (auto *text : {&w.machine, &w.address, &w.type, &w.zone})
     if (!r.text(*text) || text->empty() || !valid_utf8(*text)) return false;
   const auto flags = r.get<std::uint8_t>();
   w.spot = flags & 1;
-  w.session = r.get<std::uint64_t>();
-  w.seq = r.get<std::uint64_t>();
-  w.token = r.get<std::uint64_t>();
+  w.incarnation = r.get<std::uint64_t>();
+  w.sequence = r.get<std::uint64_t>();
+  w.fencing_token = r.get<std::uint64_t>();
   if (flags & 2) w.notice_s = r.get<std::uint32_t>() / 1000.0;
   const auto count = r.get<std::uint16_t>();
   std::string before;
   for (unsigned i = 0; r.ok && i < count; ++i) {
-    TaskReport t;
+    TaskStatus t;
     if (!get_task(r, t.job, before, t.index, t.attempt)) return false;
     const auto phase = r.get<std::uint8_t>(), cause = r.get<std::uint8_t>();
     if ((phase & 0x7f) > static_cast<unsigned>(TaskPhase::Exited) || cause > static_cast<unsigned>(ExitCause::Unknown))
@@ -88,11 +88,11 @@
   const auto count = r.get<std::uint16_t>();
   std::string before;
   for (unsigned i = 0; r.ok && i < count; ++i) {
-    TaskOrder o;
+    TaskCommand o;
     if (!get_task(r, o.job, before, o.index, o.attempt)) return false;
     const auto verb = r.get<std::uint8_t>();
-    if (verb > static_cast<unsigned>(TaskOrder::Verb::Forget)) return false;
-    o.verb = static_cast<TaskOrder::Verb>(verb);
+    if (verb > static_cast<unsigned>(TaskCommand::Verb::Forget)) return false;
+    o.verb = static_cast<TaskCommand::Verb>(verb);
     o.grace_s = r.get<std::uint32_t>() / 1000.0;
     m.orders.push_back(std::move(o));
   }
@@ -167,11 +167,11 @@
   put(body, m.reads);
   put(body, m.writes);
   put(body, static_cast<std::uint8_t>(m.cut_off | m.leads << 1 | m.spreads << 2 | m.passes << 3));
-  put(body,
-      static_cast<std::uint8_t>(static_cast<unsigned>(m.reach.workers) | static_cast<unsigned>(m.reach.cloud) << 2));
-  put(body, m.reach.machines);
-  for (double s : {m.reach.quiet_s, m.reach.carried_s})
-    put(body, static_cast<std::uint16_t>(std::clamp(s, 0.0, ReachWord::kMostQuiet) * 10));
+  put(body, static_cast<std::uint8_t>(static_cast<unsigned>(m.connectivity.workers) |
+                                      static_cast<unsigned>(m.connectivity.cloud) << 2));
+  put(body, m.connectivity.machines);
+  for (double s : {m.connectivity.quiet_s, m.connectivity.carried_s})
+    put(body, static_cast<std::uint16_t>(std::clamp(s, 0.0, ConnectivityRecord::kMaxQuiet) * 10));
   auto count = std::min(m.cancelled.size(), kPeerMaxCancelled);
   put(body, static_cast<std::uint8_t>(count));
   for (std::size_t i = 0; i < count; ++i)
@@ -234,14 +234,15 @@
   out.leads = flags & 2;
   out.spreads = flags & 4;
   out.passes = flags & 8;
-  const auto reach = r.get<std::uint8_t>();
-  if ((reach & 3) > static_cast<unsigned>(Hearing::Silent) || reach >> 2 > static_cast<unsigned>(CloudWord::Fails))
+  const auto connectivity = r.get<std::uint8_t>();
+  if ((connectivity & 3) > static_cast<unsigned>(WorkerReachability::Unreachable) ||
+      connectivity >> 2 > static_cast<unsigned>(ProviderHealth::Unhealthy))
     return PeerRead::Garbage;
-  out.reach.workers = static_cast<Hearing>(reach & 3);
-  out.reach.cloud = static_cast<CloudWord>(reach >> 2);
-  out.reach.machines = r.get<std::uint16_t>();
-  for (double *s : {&out.reach.quiet_s, &out.reach.carried_s})
-    *s = std::min(ReachWord::kMostQuiet, r.get<std::uint16_t>() / 10.0);
+  out.connectivity.workers = static_cast<WorkerReachability>(connectivity & 3);
+  out.connectivity.cloud = static_cast<ProviderHealth>(connectivity >> 2);
+  out.connectivity.machines = r.get<std::uint16_t>();
+  for (double *s : {&out.connectivity.quiet_s, &out.connectivity.carried_s})
+    *s = std::min(ConnectivityRecord::kMaxQuiet, r.get<std::uint16_t>() / 10.0);
   auto count = r.get<std::uint8_t>();
   for (unsigned i = 0; r.ok && i < count; ++i) {
     std::string id;
@@ -263,4 +264,4 @@
   return done(true);
 }
 
-} // namespace loft::wire
+} // namespace loftrouter::wire
--- a/tests/accounts_test.cpp
+++ b/tests/accounts_test.cpp
@@ -4,9 +4,9 @@
 #include "loftrouter/accounts/period.hpp"
 #include "scenario.hpp"
 
-using namespace loft;
-using namespace loft::test;
-using namespace loft::accounts;
+using namespace loftrouter;
+using namespace loftrouter::test;
+using namespace loftrouter::accounts;
 
 namespace {
 
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -9,15 +9,15 @@
 
 #include "world.hpp"
 
-using namespace loft;
-using namespace loft::core;
-using loft::test::job_name;
+using namespace loftrouter;
+using namespace loftrouter::core;
+using loftrouter::test::job_name;
 
 namespace {
 
 constexpr double kCancel = 40, kDriftOfSiblings[] = {0.0005, -0.0005};
 
-struct Sibling { // as Cancellations::repeated() of another process would have it
+struct Replica { // as Cancellations::repeated() of another process would have it
   double began = 0;
   std::deque<std::pair<std::string, double>> noted; // and when, by the true clock
 };
@@ -34,7 +34,7 @@
   void elect() {
     MachineType type;
     type.name = "t";
-    catalogue.take({type});
+    catalog.take({type});
     lead.step_down("a new term");
     deliver();
     for (int i = 0; i < 200 && lead.role() != Role::Loading; ++i) {
@@ -62,21 +62,21 @@
     });
   }
 
-  void note_at(int sibling) {
+  void note_at(int replica) {
     const auto id = job_name(next++);
     notes[id] = t;
-    if (sibling == 2) return known.note(id), deliver();
-    siblings[sibling].noted.emplace_back(id, t);
+    if (replica == 2) return known.note(id), deliver();
+    replicas[replica].noted.emplace_back(id, t);
   }
-  void restart(int sibling) { siblings[sibling] = {t, {}}; }
-  void word(int sibling, double asked) { // of now; it may be as old as its question
-    auto &s = siblings[sibling];
-    const double rate = 1 + kDriftOfSiblings[sibling];
+  void restart(int replica) { replicas[replica] = {t, {}}; }
+  void word(int replica, double asked) { // of now; it may be as old as its question
+    auto &s = replicas[replica];
+    const double rate = 1 + kDriftOfSiblings[replica];
     std::erase_if(s.noted, [&](const auto &n) { return (t - n.second) * rate > kCancel; });
     std::vector<std::string> ids;
     for (auto it = s.noted.rbegin(); it != s.noted.rend() && ids.size() < wire::kPeerMaxCancelled; ++it)
       ids.push_back(it->first);
-    known.hear(static_cast<std::size_t>(sibling), asked, (t - s.began) * rate, ids);
+    known.hear(static_cast<std::size_t>(replica), asked, (t - s.began) * rate, ids);
     deliver();
   }
   // What the state service was asked now, to be answered at any later time: of what was recorded by then, a part of the
@@ -125,17 +125,17 @@
   static Settings three_nodes() {
     Settings s;
     s.cancel_s = kCancel;
-    s.siblings = {{"b", "a", ""}, {"c", "a", ""}};
+    s.replicas = {{"b", "a", ""}, {"c", "a", ""}};
     return s;
   }
   const Settings settings = three_nodes();
-  Port port{1};
+  Runtime port{1};
   Events events;
-  Catalogue catalogue{{"a"}};
-  Leadership lead{port, events, settings, catalogue};
+  InstanceTypeCatalog catalog{{"a"}};
+  Leadership lead{port, events, settings, catalog};
   JobTable jobs{port, events, settings};
   Cancellations known{port, settings, lead, jobs};
-  Sibling siblings[2] = {{t, {}}, {t, {}}};
+  Replica replicas[2] = {{t, {}}, {t, {}}};
   std::map<std::string, double> notes;
   std::set<std::string> in_table;
   std::deque<std::pair<double, std::map<std::string, bool>>> under_way; // questions, in order
--- a/tests/cells_plan_test.cpp
+++ b/tests/cells_plan_test.cpp
@@ -7,8 +7,8 @@
 #include "loftrouter/cells/membership.hpp"
 #include "loftrouter/cells/plan.hpp"
 
-using namespace loft;
-using namespace loft::cells;
+using namespace loftrouter;
+using namespace loftrouter::cells;
 
 namespace {
 
@@ -118,7 +118,7 @@
 
 // Three cells that all see the same empty one do not fill it three times over.
 TEST(CellPlan, RoomIsPromisedOnce) {
-  Promises p;
+  CapacityGrants p;
   EXPECT_EQ(p.promise(1, 2, 30, false, 100, 0), 30u);
   EXPECT_EQ(p.promise(2, 2, 30, false, 100, 0), 20u);
   EXPECT_EQ(p.promise(3, 2, 30, false, 100, 0), 0u);
@@ -132,7 +132,7 @@
 }
 
 TEST(CellMembership, FindsTheLeaderThroughAnyNodeAndTriesSeldom) {
-  Membership m({10, 11, 12});
+  CellMembership m({10, 11, 12});
   double t = 0;
   std::vector<std::pair<double, int>> tries;
   auto turn = [&](auto answers) {
--- a/tests/cells_test.cpp
+++ b/tests/cells_test.cpp
@@ -5,8 +5,8 @@
 #include "federation.hpp"
 #include "scenario.hpp"
 
-using namespace loft;
-using namespace loft::test;
+using namespace loftrouter;
+using namespace loftrouter::test;
 
 namespace {
 
@@ -20,7 +20,7 @@
 // Cell 0 has few machines, the others as many as they want.
 std::vector<WorldOptions> one_small(int cells = 2, long machines = 4) {
   std::vector<WorldOptions> out(static_cast<std::size_t>(cells));
-  out[0].most_machines = machines;
+  out[0].max_machines = machines;
   return out;
 }
 
@@ -32,11 +32,11 @@
 
 } // namespace
 
-TEST(Cells, WaitingWorkGoesWhereThereIsRoom) {
+TEST(CellFederation, WaitingWorkGoesWhereThereIsRoom) {
   double alone = 0;
-  for (bool lend : {false, true}) {
+  for (bool delegate : {false, true}) {
     Federation f(1, one_small());
-    if (!lend) f.cut(0, 1, 1000);
+    if (!delegate) f.cut(0, 1, 1000);
     for (int i = 0; i < 6; ++i)
       f[0].at(5 + i, [&f] { f[0].submit(batch(f[0], 30, 20)); });
     double over = 0;
@@ -46,7 +46,7 @@
     }
     EXPECT_TRUE(f.broken().empty()) << all(f);
     ASSERT_GT(over, 0) << f[0].finished_jobs;
-    if (lend) {
+    if (delegate) {
       EXPECT_LT(over, 0.7 * alone);
       EXPECT_FALSE(f.started_elsewhere.empty());
     } else {
@@ -58,7 +58,7 @@
 
 // The borrower is cut off in the middle, for good or for a while: what it told stays done, the rest comes home by the
 // bound, and each job ends once.
-TEST(Cells, WorkOfAVanishedCellComesHome) {
+TEST(CellFederation, WorkOfAVanishedCellComesHome) {
   for (double gone_for : {1000.0, 30.0, 15.0})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       Federation f(seed, one_small());
@@ -75,7 +75,7 @@
 
 // A loan that has lapsed may have been started at home; a next leader there that reads of it must not confirm it to the
 // borrower, which is back by then with what it still holds. (It did: docs/incidents/lapsed-loan-confirmed.md.)
-TEST(Cells, LapsedLoansAreNotConfirmedByTheNextLeader) {
+TEST(CellFederation, LapsedLoansAreNotConfirmedByTheNextLeader) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     Federation f(seed, one_small(2, 6));
     for (int i = 0; i < 6; ++i)
@@ -94,7 +94,7 @@
 }
 
 // A cancellation at home, at each step of a loan, also when the borrower cannot be told.
-TEST(Cells, CancelledWorkIsOverEverywhereInTime) {
+TEST(CellFederation, CancelledWorkIsOverEverywhereInTime) {
   for (bool cut : {false, true})
     for (int step = 0; step < 12; ++step) {
       Federation f(static_cast<std::uint64_t>(step) + 1, one_small());
@@ -113,7 +113,7 @@
 }
 
 // A team's limit holds over all cells together.
-TEST(Cells, TeamLimitsHoldOverAllCells) {
+TEST(CellFederation, TeamLimitsHoldOverAllCells) {
   Federation f(3, one_small());
   for (int i = 0; i < 8; ++i)
     f[0].at(5 + i, [&f] {
@@ -127,7 +127,7 @@
 }
 
 // What may not leave stays, however long the queue, and whoever asks is told where the rest is.
-TEST(Cells, WorkThatMayNotLeaveStays) {
+TEST(CellFederation, WorkThatMayNotLeaveStays) {
   Federation f(4, one_small());
   f.run(10);
   const auto set = f[0].admin(0, "PUT", "/admin/v1/cells", R"({"stay_teams": ["blue"], "stay_classes": ["secret"]})");
@@ -160,7 +160,7 @@
 
 // Ids that both cells' users have chosen are not mixed: neither is lent over the other, and an own user who comes later
 // gets the id.
-TEST(Cells, SameIdsInTwoCellsAreNotMixed) {
+TEST(CellFederation, SameIdsInTwoCellsAreNotMixed) {
   auto options = one_small();
   options[0].first_job = options[1].first_job = 500;
   Federation f(5, options);
@@ -180,7 +180,7 @@
 
 // What an earlier loan of a job has done here stays in the progress record for a while; the next loan of the same job
 // must not be told as done by it. (It was, once in 2,000 seeded worlds: not_done.)
-TEST(Cells, WhatAnEarlierLoanDidIsNotTakenForThisOnes) {
+TEST(CellFederation, WhatAnEarlierLoanDidIsNotTakenForThisOnes) {
   for (std::uint64_t written_by : {5, 7}) {
     WorldOptions o;
     o.cells = {"q", {{"p", {"p:0"}}}};
@@ -188,8 +188,8 @@
     auto spec = w.job(Shape::Array, 24, 1, 10);
     ProgressRecord progress;
     progress.finished = {{0, 22}};
-    progress.borrowed = written_by;
-    w.put_record("open/" + spec.id, wire::to_json(OpenRecord{spec, 1.7e9, false, Lent{"p", 7, {{8, 24}}}}));
+    progress.delegated_here = written_by;
+    w.put_record("open/" + spec.id, wire::to_json(OpenRecord{spec, 1.7e9, false, DelegationSource{"p", 7, {{8, 24}}}}));
     w.put_record("progress/s0", wire::progress_shard({{spec.id, wire::to_json(progress)}}));
     Ranges told;
     bool ended = false;
@@ -214,7 +214,7 @@
   for (int c = 0; c < cells; ++c) {
     auto o = troubled(seed + static_cast<std::uint64_t>(c));
     o.accounts = seed % 2;
-    o.most_machines = c == 0 ? 5 : seed % 3 ? 400 : 8;
+    o.max_machines = c == 0 ? 5 : seed % 3 ? 400 : 8;
     options.push_back(o);
   }
   Federation f(seed, options, seed % 3 ? 0.03 : 0);
@@ -249,4 +249,4 @@
   EXPECT_TRUE(f.all_over()) << f[0].finished_jobs << " of " << f[0].accepted_jobs;
 }
 
-INSTANTIATE_TEST_SUITE_P(Cells, CellSeeds, ::testing::Range(1, 1 + seeds(6)));
+INSTANTIATE_TEST_SUITE_P(CellFederation, CellSeeds, ::testing::Range(1, 1 + seeds(6)));
--- a/tests/client_test.cpp
+++ b/tests/client_test.cpp
@@ -5,8 +5,8 @@
 #include "loftrouter/client/ask.hpp"
 #include "loftrouter/client/render.hpp"
 
-using namespace loft;
-using namespace loft::client;
+using namespace loftrouter;
+using namespace loftrouter::client;
 using nlohmann::json;
 
 namespace {
@@ -104,7 +104,7 @@
 // Guards against tables that read what is gone: they iterated over a map that had ended with its expression.
 TEST(Client, TablesOfQuotasAndOfWhereTheyAreInForce) {
   const auto quotas =
-      loft::client::quotas_table(nlohmann::json::parse(R"({"teams": {"red": {"cpus": 1.0, "cpus_max": 90.0,
+      loftrouter::client::quotas_table(nlohmann::json::parse(R"({"teams": {"red": {"cpus": 1.0, "cpus_max": 90.0,
     "here": {"cpus_max": 30.0}, "version": 4, "owner": "south", "held": {"north": {"cpus": 30.0}, "south": {"cpus": 60.0}}},
     "blue": {"here": {}}}})"));
   ASSERT_EQ(quotas.rows.size(), 2U);
@@ -112,15 +112,15 @@
   EXPECT_EQ(quotas.rows[1].back(), "north=30.000 south=60.000");
   EXPECT_EQ(quotas.rows[1][3], "30.000");
   const auto status =
-      loft::client::configuration_table(nlohmann::json::parse(R"({"records": [{"record": "config/quota/red",
+      loftrouter::client::configuration_table(nlohmann::json::parse(R"({"records": [{"record": "config/quota/red",
     "revision": 12, "in_force_since": {"a": "01:02:03Z", "b": "01:02:04Z"}, "not_in_force_at": ["c"]}]})"));
   ASSERT_EQ(status.rows.size(), 1U);
   EXPECT_EQ(status.rows[0][2], "a since 01:02:03Z, b since 01:02:04Z");
   EXPECT_EQ(status.rows[0][3], "c");
-  const auto history = loft::client::history_table(nlohmann::json::parse(
+  const auto history = loftrouter::client::history_table(nlohmann::json::parse(
       R"({"changes": [{"at": "01:02:03Z", "guaranteed": {"cpus": 0.0}, "most": {"cpus": 5.0}}]})"));
   ASSERT_EQ(history.rows.size(), 1U);
   EXPECT_EQ(history.rows[0][2], "5.000");
-  EXPECT_TRUE(loft::client::quotas_table(nullptr).rows.empty());
-  EXPECT_TRUE(loft::client::configuration_table(nullptr).rows.empty());
+  EXPECT_TRUE(loftrouter::client::quotas_table(nullptr).rows.empty());
+  EXPECT_TRUE(loftrouter::client::configuration_table(nullptr).rows.empty());
 }
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -11,8 +11,8 @@
 #include "loftrouter/wire/admin_configuration.hpp"
 #include "scenario.hpp"
 
-using namespace loft;
-using namespace loft::test;
+using namespace loftrouter;
+using namespace loftrouter::test;
 using nlohmann::json;
 
 namespace {
@@ -188,7 +188,7 @@
   WorldOptions o;
   o.configuration = true;
   o.accounts = true;
-  o.fetch_least = o.fetch_most = 0.05; // what was sent is on its machine soon
+  o.min_fetch = o.max_fetch = 0.05; // what was sent is on its machine soon
   return o;
 }
 
@@ -619,10 +619,10 @@
 }
 
 TEST(ConfigLimits, TheLastRecordOfAKindIsTakenAndTheNextRefused) {
-  constexpr int kMost = static_cast<int>(wire::kMostConfigRecords);
-  static_assert(kMost >= 11'000);
+  constexpr int kMax = static_cast<int>(wire::kMaxConfigRecords);
+  static_assert(kMax >= 11'000);
   World w(10, thousands_of_machines());
-  for (int m = 0; m < kMost - 1; ++m)
+  for (int m = 0; m < kMax - 1; ++m)
     w.put_record("config/machine/" + machine_name(m), {{"value", "drain"}, {"in_document", false}});
   w.run(40); // past the first list, and one in between
   auto order = [&w](int m, const std::string &action) {
@@ -630,15 +630,15 @@
     w.run(w.now() + 1);
     return answer->status;
   };
-  EXPECT_EQ(order(kMost - 1, "/drain"), 200);
-  EXPECT_EQ(order(kMost, "/drain"), 409);
+  EXPECT_EQ(order(kMax - 1, "/drain"), 200);
+  EXPECT_EQ(order(kMax, "/drain"), 409);
   EXPECT_EQ(order(0, "/quarantine"), 200) << "one that stands already can be changed";
   EXPECT_EQ(order(1, "/release"), 200);
-  EXPECT_EQ(order(kMost, "/drain"), 200);
+  EXPECT_EQ(order(kMax, "/drain"), 200);
   w.crash(2, 1); // and one that loads them anew
   w.run(w.now() + 10);
   for (int node = 0; node < 3; ++node)
-    EXPECT_EQ(count_orders(w, node), wire::kMostConfigRecords) << node;
+    EXPECT_EQ(count_orders(w, node), wire::kMaxConfigRecords) << node;
   EXPECT_TRUE(w.broken.empty()) << test::all(w);
 }
 
--- a/tests/daemon_test.cpp
+++ b/tests/daemon_test.cpp
@@ -25,8 +25,8 @@
 
 extern char **environ;
 
-using namespace loft;
-using loft::test::free_port;
+using namespace loftrouter;
+using loftrouter::test::free_port;
 using nlohmann::json;
 
 namespace {
@@ -107,15 +107,15 @@
       peers[i] = free_port();
     }
     for (int i = 0; i < 3; ++i) {
-      json siblings = json::array();
+      json replicas = json::array();
       for (int k = 0; k < 3; ++k)
-        if (k != i) siblings.push_back({{"node_name", name(k)}, {"site", "a"}, {"address", local(peers[k])}});
+        if (k != i) replicas.push_back({{"node_name", name(k)}, {"site", "a"}, {"address", local(peers[k])}});
       json team = {{"name", "red"}, {"cpus", 0.0}, {"cpus_max", 0.0}, {"gpus", 0.0}, {"gpus_max", 0.0}};
       json s = {{"node_name", name(i)},
                 {"site", "a"},
                 {"api_addr", local(api[i])},
                 {"peer_listen", local(peers[i])},
-                {"siblings", siblings},
+                {"siblings", replicas},
                 {"outside", {{"cloud", local(outside.cloud_port)}, {"state", local(outside.state_port)}}},
                 {"settings",
                  {{"size", 3},
@@ -404,21 +404,21 @@
   ::signal(SIGPIPE, SIG_IGN);
   constexpr double kLease = 3;
   StandIns outside, there;
-  Daemons home(outside, "north", kLease), other(there, "south", kLease);
-  home.start_as("north", "south", other);
-  other.start_as("south", "north", home);
-  for (auto *d : {&home, &other})
+  Daemons origin(outside, "north", kLease), other(there, "south", kLease);
+  origin.start_as("north", "south", other);
+  other.start_as("south", "north", origin);
+  for (auto *d : {&origin, &other})
     for (int i = 0; i < 3; ++i)
       ASSERT_TRUE(eventually([&] { return call(d->api[i], "GET", "/up").status == 200; })) << i;
   Worker worker("n-000001", other.api, kLease);
   auto status = [&](const std::string &id) {
     for (int i = 0; i < 3; ++i)
-      if (const auto a = call(home.api[i], "GET", "/api/jobs/" + id); a.status == 200)
+      if (const auto a = call(origin.api[i], "GET", "/api/jobs/" + id); a.status == 200)
         return a.cbor().value("status", "");
     return std::string();
   };
   // One that the other cell runs to its end.
-  ASSERT_TRUE(eventually([&] { return call(home.api[0], "POST", "/api/jobs", job("j-000001")).status == 201; }));
+  ASSERT_TRUE(eventually([&] { return call(origin.api[0], "POST", "/api/jobs", job("j-000001")).status == 201; }));
   ASSERT_TRUE(eventually([&] { return worker.started("j-000001/0") == 1; }));
   EXPECT_TRUE(eventually([&] { return status("j-000001") == "running"; }));
   EXPECT_EQ(call(other.api[1], "GET", "/api/jobs/j-000001").status, 404) << "nobody has submitted it there";
@@ -426,11 +426,11 @@
   EXPECT_TRUE(eventually([&] { return status("j-000001") == "done"; }));
   worker.finish(false);
   // One in the middle of which that cell vanishes: it comes home by the bound, and ends there.
-  ASSERT_TRUE(eventually([&] { return call(home.api[1], "POST", "/api/jobs", job("j-000002")).status == 201; }));
+  ASSERT_TRUE(eventually([&] { return call(origin.api[1], "POST", "/api/jobs", job("j-000002")).status == 201; }));
   ASSERT_TRUE(eventually([&] { return worker.started("j-000002/0") == 1; }));
   other.stand_still(true);
   {
-    Worker here("n-000002", home.api, kLease);
+    Worker here("n-000002", origin.api, kLease);
     ASSERT_TRUE(eventually([&] { return here.started("j-000002/0") == 1; }));
     EXPECT_FALSE(worker.runs_anything()) << "its lease has long run out";
     other.stand_still(false); // with an old loan
@@ -440,9 +440,9 @@
     EXPECT_EQ(here.completed("j-000002/0") + worker.completed("j-000002/0"), 1);
   }
   // And one that is cancelled while it runs there.
-  ASSERT_TRUE(eventually([&] { return call(home.api[2], "POST", "/api/jobs", job("j-000003")).status == 201; }));
+  ASSERT_TRUE(eventually([&] { return call(origin.api[2], "POST", "/api/jobs", job("j-000003")).status == 201; }));
   ASSERT_TRUE(eventually([&] { return worker.started("j-000003/0") == 1; }));
-  ASSERT_TRUE(eventually([&] { return call(home.api[0], "POST", "/api/jobs/j-000003/abort").status == 200; }));
+  ASSERT_TRUE(eventually([&] { return call(origin.api[0], "POST", "/api/jobs/j-000003/abort").status == 200; }));
   EXPECT_TRUE(eventually([&] { return !worker.runs_anything(); }));
   EXPECT_EQ(status("j-000003"), "aborted");
 }
--- a/tests/federation.cpp
+++ b/tests/federation.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace loft::test {
+namespace loftrouter::test {
 
 namespace {
 constexpr int kNodes = 100; // more than a cell has: link ids are cell and node
@@ -53,7 +53,7 @@
 // Node numbers are those of the sender's features file: the others' nodes in order.
 void Federation::send(int cell, int node, const core::CellSend &s) {
   ++frames;
-  loans += s.message.kind == wire::CellMessage::Kind::Taken && s.message.yes;
+  delegations += s.message.kind == wire::CellMessage::Kind::Taken && s.message.yes;
   auto numbered = [this](int of, int other, int k) { // how `of` dials node k of `other`
     int n = 0;
     for (int x = 0; x < other; ++x)
@@ -103,26 +103,26 @@
   return -1;
 }
 
-static std::string task_key(int home, const World::On &task) {
-  return std::to_string(home) + task.job + "/" + std::to_string(task.index);
+static std::string task_key(int origin, const World::On &task) {
+  return std::to_string(origin) + task.job + "/" + std::to_string(task.index);
 }
 
 void Federation::started(int cell, const World::On &task) {
-  const int home = owner(cell, task.job);
-  if (home != cell) ++started_elsewhere[task.job];
-  auto &there = on_[task_key(home, task)];
+  const int origin = owner(cell, task.job);
+  if (origin != cell) ++started_elsewhere[task.job];
+  auto &there = on_[task_key(origin, task)];
   for (const auto &[x, serial] : there)
     broken_.push_back("t=" + std::to_string(t_) + " ran_twice over cells " + task.job + "/" +
                       std::to_string(task.index) + " in " + name(cell) + " and " + name(x));
   there.emplace(cell, task.serial);
-  homes_[{cell, task.serial}] = home;
-  const auto &spec = (*this)[home].own(task.job)->spec;
-  used_[{home, spec.team}] += spec.need.cpus;
+  origins_[{cell, task.serial}] = origin;
+  const auto &spec = (*this)[origin].own(task.job)->spec;
+  used_[{origin, spec.team}] += spec.need.cpus;
   const double used = used_by(spec.team);
-  for (const auto &team : options_[static_cast<std::size_t>(home)].teams)
+  for (const auto &team : options_[static_cast<std::size_t>(origin)].teams)
     if (team.name == spec.team && team.cpus_max > 0 && used > team.cpus_max + 1e-6)
       broken_.push_back("t=" + std::to_string(t_) + " quota over cells " + team.name);
-  if (on_start) on_start(home, cell, task);
+  if (on_start) on_start(origin, cell, task);
 }
 
 double Federation::used_by(const std::string &team) const {
@@ -133,13 +133,13 @@
 }
 
 void Federation::stopped(int cell, const World::On &task) {
-  const int home = homes_.at({cell, task.serial}); // another job may bear the id by now
-  homes_.erase({cell, task.serial});
-  const auto it = on_.find(task_key(home, task));
+  const int origin = origins_.at({cell, task.serial}); // another job may bear the id by now
+  origins_.erase({cell, task.serial});
+  const auto it = on_.find(task_key(origin, task));
   it->second.erase({cell, task.serial});
   if (it->second.empty()) on_.erase(it);
-  const auto &spec = (*this)[home].own(task.job)->spec;
-  used_[{home, spec.team}] -= spec.need.cpus;
+  const auto &spec = (*this)[origin].own(task.job)->spec;
+  used_[{origin, spec.team}] -= spec.need.cpus;
 }
 
 bool Federation::all_over() const {
@@ -153,4 +153,4 @@
   return out;
 }
 
-} // namespace loft::test
+} // namespace loftrouter::test
--- a/tests/federation.hpp
+++ b/tests/federation.hpp
@@ -5,7 +5,7 @@
 
 #include "world.hpp"
 
-namespace loft::test {
+namespace loftrouter::test {
 
 class Federation {
 public:
@@ -25,8 +25,8 @@
   bool all_over() const;
   double used_by(const std::string &team) const; // CPUs of its tasks on machines, whichever cell its jobs are from
   std::vector<std::string> broken() const;       // in all of them, and over them
-  std::function<void(int home, int cell, const World::On &)> on_start;
-  int frames = 0, loans = 0;                    // the latter: debts that were taken
+  std::function<void(int origin, int cell, const World::On &)> on_start;
+  int frames = 0, delegations = 0;              // the latter: debts that were taken
   std::map<std::string, int> started_elsewhere; // tasks, by job: not in the cell that accepted it
   static std::string name(int c) { return std::string(1, static_cast<char>('p' + c)); }
 
@@ -46,8 +46,8 @@
   std::vector<Cut> cuts_;
   std::vector<std::string> broken_;
   std::unordered_map<std::string, std::set<std::pair<int, std::uint64_t>>> on_; // cell and serial, by owner and task
-  std::map<std::pair<int, std::uint64_t>, int> homes_;                          // of what runs, by cell and serial
+  std::map<std::pair<int, std::uint64_t>, int> origins_;                        // of what runs, by cell and serial
   std::map<std::pair<int, std::string>, double> used_;                          // CPUs, by owner and team
 };
 
-} // namespace loft::test
+} // namespace loftrouter::test
--- a/tests/fingerprint/effects_hash.cpp
+++ b/tests/fingerprint/effects_hash.cpp
@@ -8,7 +8,7 @@
 #include "loftrouter/wire/messages.hpp"
 #include "loftrouter/wire/peer.hpp"
 
-namespace loft::fingerprint {
+namespace loftrouter::fingerprint {
 
 namespace {
 
@@ -50,14 +50,14 @@
 }
 
 std::string content_of(const core::PeerSend &frame) {
-  return FieldWriter().integer(frame.sibling).number(frame.link).text(wire::encode_peer(frame.message)).take();
+  return FieldWriter().integer(frame.replica).number(frame.link).text(wire::encode_peer(frame.message)).take();
 }
 
 std::string content_of(const core::WorkerCall &call) {
   return FieldWriter()
       .text(call.address)
       .text(call.machine)
-      .text(wire::encode_call(call.token, call.session, call.orders))
+      .text(wire::encode_call(call.fencing_token, call.incarnation, call.orders))
       .take();
 }
 
@@ -72,14 +72,14 @@
   void operator()(const core::StoreGet &get) const { begin(StateRequest::Get).text(get.key); }
   void operator()(const core::StoreList &list) const { begin(StateRequest::List).text(list.prefix).text(list.from); }
   void operator()(const core::StoreCommit &commit) const {
-    begin(StateRequest::Commit).text(wire::encode_commit(commit.guards, commit.writes));
+    begin(StateRequest::Commit).text(wire::encode_commit(commit.preconditions, commit.writes));
   }
-  void operator()(const core::StoreLeaseNew &lease) const {
+  void operator()(const core::StoreLeaseGrant &lease) const {
     begin(StateRequest::LeaseNew).text(wire::encode_ttl(lease.ttl_s));
   }
-  void operator()(const core::StoreLeaseTouch &touch) const { begin(StateRequest::LeaseTouch).number(touch.lease); }
-  void operator()(const core::StoreLeaseDrop &drop) const { begin(StateRequest::LeaseDrop).number(drop.lease); }
-  void operator()(const core::StoreFollow &follow) const {
+  void operator()(const core::StoreLeaseRenew &touch) const { begin(StateRequest::LeaseTouch).number(touch.lease); }
+  void operator()(const core::StoreLeaseRevoke &drop) const { begin(StateRequest::LeaseDrop).number(drop.lease); }
+  void operator()(const core::StoreWatch &follow) const {
     begin(StateRequest::Follow).text(follow.prefix).number(follow.from).real(follow.hold_s);
   }
 };
@@ -90,11 +90,11 @@
   FieldWriter &begin(CloudRequest kind) const { return out.number(static_cast<std::uint64_t>(kind)); }
   void operator()(const core::CloudTypes &) const { begin(CloudRequest::Types); }
   void operator()(const core::CloudList &list) const { begin(CloudRequest::List).text(list.from); }
-  void operator()(const core::CloudRent &rent) const {
-    begin(CloudRequest::Rent).text(wire::encode_rent(rent.request, rent.type, rent.zone, rent.spot, rent.count));
+  void operator()(const core::CloudScaleOut &rent) const {
+    begin(CloudRequest::Rent).text(wire::encode_scale_out(rent.request, rent.type, rent.zone, rent.spot, rent.count));
   }
-  void operator()(const core::CloudReturn &back) const {
-    begin(CloudRequest::Return).text(wire::encode_return(back.names));
+  void operator()(const core::CloudScaleIn &back) const {
+    begin(CloudRequest::Return).text(wire::encode_scale_in(back.names));
   }
 };
 
@@ -172,4 +172,4 @@
   add_all(Destination::Replica, effects.peers);
 }
 
-} // namespace loft::fingerprint
+} // namespace loftrouter::fingerprint
--- a/tests/fingerprint/effects_hash.hpp
+++ b/tests/fingerprint/effects_hash.hpp
@@ -10,7 +10,7 @@
 
 #include "loftrouter/core/effects.hpp"
 
-namespace loft::fingerprint {
+namespace loftrouter::fingerprint {
 
 // FNV-1a, 64 bits: the same on every platform and build.
 class Hash {
@@ -59,4 +59,4 @@
   std::uint64_t messages_ = 0;
 };
 
-} // namespace loft::fingerprint
+} // namespace loftrouter::fingerprint
--- a/tests/fingerprint/main.cpp
+++ b/tests/fingerprint/main.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-using namespace loft::fingerprint;
+using namespace loftrouter::fingerprint;
 
 struct Options {
   int seeds = 20, first_seed = 1, jobs = 4;
--- a/tests/fingerprint/scenarios.cpp
+++ b/tests/fingerprint/scenarios.cpp
@@ -8,7 +8,7 @@
 #include "../federation.hpp"
 #include "../scenario.hpp"
 
-namespace loft::fingerprint {
+namespace loftrouter::fingerprint {
 
 namespace {
 
@@ -360,7 +360,7 @@
 
 std::vector<std::string> play_preemption(std::uint64_t seed, EffectsHash &hash) {
   WorldOptions options;
-  options.most_machines = 10 + static_cast<long>(seed % 4);
+  options.max_machines = 10 + static_cast<long>(seed % 4);
   options.capacity = {{"big", 5}, {"small", 6}};
   options.teams = {{"red", 20, 60, 0, 0}, {"blue", 8, 24, 0, 0}};
   options.loss = seed % 2 ? 0.02 : 0;
@@ -497,7 +497,7 @@
   for (int cell = 0; cell < cells; ++cell) {
     options.push_back(test::troubled(seed + static_cast<std::uint64_t>(cell)));
     options.back().accounts = seed % 2;
-    options.back().most_machines = cell == 0 ? 5 : 60;
+    options.back().max_machines = cell == 0 ? 5 : 60;
   }
   Federation federation(seed, options, seed % 3 ? 0.03 : 0);
   record(federation, hash);
@@ -529,7 +529,7 @@
   one.configuration = true;
   one.accounts = true;
   std::vector<WorldOptions> options(kCells, one);
-  options[0].most_machines = 6;
+  options[0].max_machines = 6;
   Federation federation(seed, options, seed % 3 == 0 ? 0.0 : 0.03);
   record(federation, hash);
   for (int cell = 0; cell < kCells; ++cell) {
@@ -553,12 +553,12 @@
 
 std::vector<std::string> play_large(std::uint64_t seed, EffectsHash &hash) {
   WorldOptions options;
-  options.most_machines = 300;
-  options.report_s = 5;
+  options.max_machines = 300;
+  options.heartbeat_interval_s = 5;
   options.lease_s = 26;
   options.cancel_s = 52;
-  options.boot_least = 1;
-  options.boot_most = 5;
+  options.min_boot = 1;
+  options.max_boot = 5;
   options.page = 100;
   options.teams = {{"red", 200, 0, 0, 0}, {"blue", 0, 300, 0, 0}};
   options.types.push_back({"accelerated", {8, 2, 32}, 50, 1, 2, 0.9, 8, {"a", "b"}});
@@ -626,4 +626,4 @@
   return result;
 }
 
-} // namespace loft::fingerprint
+} // namespace loftrouter::fingerprint
--- a/tests/fingerprint/scenarios.hpp
+++ b/tests/fingerprint/scenarios.hpp
@@ -9,7 +9,7 @@
 
 #include "effects_hash.hpp"
 
-namespace loft::fingerprint {
+namespace loftrouter::fingerprint {
 
 struct Scenario {
   std::string_view name, description;
@@ -26,4 +26,4 @@
 };
 SeedResult play_seed(const Scenario &scenario, std::uint64_t seed);
 
-} // namespace loft::fingerprint
+} // namespace loftrouter::fingerprint
--- a/tests/fingerprint_test.cpp
+++ b/tests/fingerprint_test.cpp
@@ -5,8 +5,8 @@
 
 #include "fingerprint/scenarios.hpp"
 
-using namespace loft;
-using namespace loft::fingerprint;
+using namespace loftrouter;
+using namespace loftrouter::fingerprint;
 
 namespace {
 
@@ -24,7 +24,7 @@
   effects.replies.push_back({1, 200, "body", {}, true});
   effects.cells.push_back({0, 0, {}});
   effects.store.push_back({1, 2.0, core::StoreGet{"key"}});
-  effects.cloud.push_back({2, 3.0, core::CloudRent{"request", "type", "zone", true, 2}});
+  effects.cloud.push_back({2, 3.0, core::CloudScaleOut{"request", "type", "zone", true, 2}});
   effects.workers.push_back({"10.0.0.1:1", 3, 4, "machine", {}});
   effects.peers.push_back({0, 0, {}});
   return effects;
@@ -60,8 +60,8 @@
   expect_new_hash([](core::Effects &e) { e.store[0].deadline_s = 4; });
   expect_new_hash([](core::Effects &e) { e.store[0].what = core::StoreList{"key", ""}; });
   expect_new_hash([](core::Effects &e) { e.store[0].what = core::StoreCommit{{{"key", 1}}, {}}; });
-  expect_new_hash([](core::Effects &e) { e.cloud[0].what = core::CloudReturn{{"machine"}}; });
-  expect_new_hash([](core::Effects &e) { e.workers[0].token = 5; });
+  expect_new_hash([](core::Effects &e) { e.cloud[0].what = core::CloudScaleIn{{"machine"}}; });
+  expect_new_hash([](core::Effects &e) { e.workers[0].fencing_token = 5; });
   expect_new_hash([](core::Effects &e) { e.peers[0].message.nonce = 1; });
   expect_new_hash([](core::Effects &e) { e.peers.clear(); });
 }
--- a/tests/free_port.hpp
+++ b/tests/free_port.hpp
@@ -5,7 +5,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-namespace loft::test {
+namespace loftrouter::test {
 
 inline int free_port() {
   int fd = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -21,4 +21,4 @@
   return port;
 }
 
-} // namespace loft::test
+} // namespace loftrouter::test
--- a/tests/fuzz/main.cpp
+++ b/tests/fuzz/main.cpp
@@ -4,7 +4,7 @@
 #include "targets.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) {
-  static const auto run = loft::fuzz::target(FUZZ_TARGET);
+  static const auto run = loftrouter::fuzz::target(FUZZ_TARGET);
   run({reinterpret_cast<const char *>(data), size});
   return 0;
 }
