--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -10,7 +10,7 @@
 #include "loftrouter/wire/admin.hpp"
 #include "loftrouter/wire/cell.hpp"
 
-namespace loft::fuzz {
+namespace loftrouter::fuzz {
 
 namespace {
 
@@ -42,10 +42,10 @@
 }
 
 void wire(std::string_view in) {
-  using namespace loft::wire;
-  if (auto r = decode_report(in)) {
-    const auto again = decode_report(encode_report(*r));
-    must(again && encode_report(*again) == encode_report(*r), "a report goes there and back");
+  using namespace loftrouter::wire;
+  if (auto r = decode_heartbeat(in)) {
+    const auto again = decode_heartbeat(encode_heartbeat(*r));
+    must(again && encode_heartbeat(*again) == encode_heartbeat(*r), "a report goes there and back");
   }
   if (auto j = decode_job(in); auto *spec = std::get_if<JobSpec>(&j)) {
     std::string problem;
@@ -57,7 +57,7 @@
     final_from_json(*j);
     types_from_json(*j);
   }
-  decode_orders(in);
+  decode_commands(in);
   decode_store(200, in);
   for (auto call : {CloudCall::Types, CloudCall::List, CloudCall::Rent, CloudCall::Return})
     decode_cloud(call, 200, in);
@@ -66,7 +66,7 @@
 }
 
 void peer(std::string_view in) {
-  using namespace loft::wire;
+  using namespace loftrouter::wire;
   std::string_view rest = in;
   for (PeerMessage m; read_peer(rest, m) == PeerRead::Frame;) {
     const auto bytes = encode_peer(m);
@@ -78,7 +78,7 @@
 }
 
 void cell(std::string_view in) {
-  using namespace loft::wire;
+  using namespace loftrouter::wire;
   std::string_view rest = in;
   for (CellMessage m; read_cell(rest, m) == PeerRead::Frame;) {
     const auto bytes = encode_cell(m);
@@ -101,10 +101,10 @@
     ExitCause cause;
   };
   struct Box {
-    WorkerReport report;
+    Heartbeat report;
     std::vector<Run> runs;
-    std::vector<WorkerReport> old; // that may arrive once more
-    double answered = -1e9;        // sent when, by its own lease
+    std::vector<Heartbeat> old; // that may arrive once more
+    double answered = -1e9;     // sent when, by its own lease
   };
   bench::Load load(0);
   for (int i = 0; i < 3; ++i)
@@ -123,9 +123,9 @@
         x = {};
         x.report = {"m-" + std::to_string(++machines), "10.0.0.1:1", "small", "a", true, 1, 0, 0, {}, {}};
       }
-    if (now > box.answered + load.lease_s() && box.report.seq) { // its lease is over: all is forgotten
+    if (now > box.answered + load.lease_s() && box.report.sequence) { // its lease is over: all is forgotten
       box.runs.clear();
-      ++box.report.session;
+      ++box.report.incarnation;
       box.answered = now;
     }
     for (auto &r : box.runs) { // some go on, some end
@@ -138,32 +138,32 @@
       }
     }
     if (a >> 2 & 1) { // the report, or its answer, may be lost, or the report be an old one
-      ++box.report.seq;
+      ++box.report.sequence;
       box.report.tasks.clear();
       for (const auto &r : box.runs)
         box.report.tasks.push_back({r.job, r.index, r.attempt, r.phase, r.cause, false});
       auto sent = box.report;
       box.old.push_back(sent);
       if ((a >> 3 & 7) == 0) sent = box.old[box.old.size() - 1 - b % std::min<std::size_t>(4, box.old.size())];
-      const auto orders = wire::decode_orders(load.answer(wire::encode_report(sent)));
-      if (orders && orders->token > 0 && (a >> 3 & 7) > 1) {
+      const auto orders = wire::decode_commands(load.answer(wire::encode_heartbeat(sent)));
+      if (orders && orders->fencing_token > 0 && (a >> 3 & 7) > 1) {
         box.answered = now;
-        box.report.token = orders->token;
+        box.report.fencing_token = orders->fencing_token;
         for (const auto &o : orders->orders) {
           auto mine = std::find_if(box.runs.begin(), box.runs.end(), [&](const Run &r) {
             return r.index == o.index && r.attempt == o.attempt && r.job == o.job;
           });
-          if (o.verb == TaskOrder::Verb::Start && mine == box.runs.end()) {
+          if (o.verb == TaskCommand::Verb::Start && mine == box.runs.end()) {
             for (const auto &other : boxes)
               for (const auto &r : other.runs)
                 must(r.job != o.job || r.index != o.index || r.phase == TaskPhase::Exited ||
                          load.now().mono > other.answered + load.lease_s(),
                      "a task starts on one machine only");
             box.runs.push_back({o.job, o.index, o.attempt, TaskPhase::Fetching, ExitCause::None});
-          } else if (o.verb == TaskOrder::Verb::Stop && mine != box.runs.end() && mine->phase != TaskPhase::Exited) {
+          } else if (o.verb == TaskCommand::Verb::Stop && mine != box.runs.end() && mine->phase != TaskPhase::Exited) {
             mine->phase = TaskPhase::Exited;
             mine->cause = ExitCause::Stopped;
-          } else if (o.verb == TaskOrder::Verb::Forget && mine != box.runs.end()) {
+          } else if (o.verb == TaskCommand::Verb::Forget && mine != box.runs.end()) {
             must(mine->phase == TaskPhase::Exited, "only what has ended is forgotten");
             box.runs.erase(mine);
           }
@@ -187,21 +187,21 @@
 }
 
 std::vector<std::string> seeds(std::string_view name) {
-  using namespace loft::wire;
-  WorkerReport r{"n-1", "10.0.0.1:9000", "small", "a", true, 1, 2, 3, 4.5, {}};
+  using namespace loftrouter::wire;
+  Heartbeat r{"n-1", "10.0.0.1:9000", "small", "a", true, 1, 2, 3, 4.5, {}};
   r.tasks = {{"j-000001", 1, 7, TaskPhase::Running, ExitCause::None, false},
              {"j-000001", 2, 8, TaskPhase::Exited, ExitCause::Done, true}};
   if (name == "http")
     return {net::format_request("POST", "/v1/report", "10.0.0.1:8080", "body"),
             "POST /api/jobs HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"};
-  if (name == "wire") return {encode_report(r), encode_orders(3, {{TaskOrder::Verb::Stop, "j-1", 0, 1, 2}})};
+  if (name == "wire") return {encode_heartbeat(r), encode_commands(3, {{TaskCommand::Verb::Stop, "j-1", 0, 1, 2}})};
   if (name == "peer") {
     PeerMessage m;
     m.kind = PeerMessage::Kind::Report;
     m.report = r;
     auto bytes = encode_peer(m);
     m.kind = PeerMessage::Kind::Orders;
-    m.orders = {{TaskOrder::Verb::Start, "j-1", 0, 1, 0}};
+    m.orders = {{TaskCommand::Verb::Start, "j-1", 0, 1, 0}};
     bytes += encode_peer(m);
     m.kind = PeerMessage::Kind::Digest;
     m.news = {{"j-1", 1, 2, true, "why"}};
@@ -239,4 +239,4 @@
   return all;
 }
 
-} // namespace loft::fuzz
+} // namespace loftrouter::fuzz
--- a/tests/fuzz/targets.hpp
+++ b/tests/fuzz/targets.hpp
@@ -6,10 +6,10 @@
 #include <string_view>
 #include <vector>
 
-namespace loft::fuzz {
+namespace loftrouter::fuzz {
 
 using Target = void (*)(std::string_view input);
 Target target(std::string_view name);                  // nothing for an unknown one
 std::vector<std::string> seeds(std::string_view name); // inputs to begin with
 
-} // namespace loft::fuzz
+} // namespace loftrouter::fuzz
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -9,9 +9,9 @@
 
 TEST(Fuzz, KeptInputsAreTakenWell) {
   for (const char *name : {"http", "wire", "peer", "cell", "reports"}) {
-    const auto run = loft::fuzz::target(name);
+    const auto run = loftrouter::fuzz::target(name);
     ASSERT_TRUE(run);
-    for (const auto &input : loft::fuzz::seeds(name)) {
+    for (const auto &input : loftrouter::fuzz::seeds(name)) {
       run(input);
       for (std::size_t cut = 0; cut < input.size() && input.size() < 600; cut += 7)
         run(std::string_view(input).substr(0, cut));
@@ -24,5 +24,5 @@
     }
     EXPECT_GT(kept, 0u) << name;
   }
-  EXPECT_FALSE(loft::fuzz::target("other"));
+  EXPECT_FALSE(loftrouter::fuzz::target("other"));
 }
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -13,7 +13,7 @@
 
 #include "loftrouter/cells/handover.hpp"
 
-using namespace loft::cells;
+using namespace loftrouter::cells;
 
 namespace {
 
@@ -31,7 +31,7 @@
 struct Size {
   int jobs = 1, generations = 1, frames = 2, terms = 2, questions = 2;
 };
-constexpr int kMostJobs = 2;
+constexpr int kMaxJobs = 2;
 constexpr Terms kTerms{2, 1, 0, 0}; // in ticks
 
 struct Frame {
@@ -39,7 +39,7 @@
   char job, generation, asked_left; // the last: ticks since the question that a grant answers, as far as they count
   char term;                        // of the borrower's leader that sent it, or that it answers
   char question;                    // its number; 0: neither question nor answer
-  char home_term;                   // of home's leader that sent it, or that its sender knows
+  char origin_term;                 // of home's leader that sent it, or that its sender knows
   bool yes;
   bool operator<(const Frame &o) const { return std::memcmp(this, &o, sizeof o) < 0; }
 };
@@ -47,11 +47,11 @@
 struct Job {
   // Home.
   char generation = 0; // latest used
-  std::optional<AtHome> loan;
+  std::optional<DelegationAtOrigin> delegation;
   char recorded = 0; // the generation that the state service has as lent; 0: none
   bool runs_here = false, done = false;
   // Borrower.
-  std::optional<AtBorrower> debt;
+  std::optional<DelegationAtRemote> inbound;
   char kept = 0;         // the generation that its state service has
   char runs_left = -1;   // ticks that its workers may go on at most; negative: nothing runs
   char ran = 0;          // generation that runs there
@@ -62,29 +62,29 @@
   double now = 0;
   char term = 1;     // of the borrower's leader
   char question = 0; // its latest
-  char home_term = 1, knows_home_term = 0;
-  Job jobs[kMostJobs];
+  char origin_term = 1, knows_origin_term = 0;
+  Job jobs[kMaxJobs];
   std::vector<Frame> frames; // sorted
 
   std::string key() const {
-    std::string out{term, question, home_term, knows_home_term};
+    std::string out{term, question, origin_term, knows_origin_term};
     auto left = [this](double until) {
       return static_cast<char>(until == kNever ? 99 : std::clamp(until - now, -1.0, 4.0));
     };
     for (const auto &j : jobs) {
       out += {j.generation, j.recorded, static_cast<char>(j.runs_here), static_cast<char>(j.done), j.kept,
               j.runs_left,  j.ran,      static_cast<char>(j.finished)};
-      if (j.loan)
+      if (j.delegation)
         out += {'L',
-                static_cast<char>(j.loan->generation()),
-                static_cast<char>(j.loan->offers()),
-                static_cast<char>(j.loan->closing()),
-                static_cast<char>(j.loan->over(now)),
-                left(j.loan->until()),
-                static_cast<char>(j.loan->borrower_term())};
-      if (j.debt)
-        out += {'D', static_cast<char>(j.debt->generation()), static_cast<char>(j.debt->closed()),
-                left(j.debt->until()), static_cast<char>(j.debt->asked_before())};
+                static_cast<char>(j.delegation->generation()),
+                static_cast<char>(j.delegation->offers()),
+                static_cast<char>(j.delegation->closing()),
+                static_cast<char>(j.delegation->over(now)),
+                left(j.delegation->until()),
+                static_cast<char>(j.delegation->remote_term())};
+      if (j.inbound)
+        out += {'D', static_cast<char>(j.inbound->generation()), static_cast<char>(j.inbound->closed()),
+                left(j.inbound->until()), static_cast<char>(j.inbound->asked_before())};
     }
     for (const auto &f : frames)
       out.append(reinterpret_cast<const char *>(&f), sizeof f);
@@ -140,24 +140,25 @@
       const Job &j = s.jobs[static_cast<std::size_t>(k)];
       const auto at = static_cast<std::size_t>(k);
       // Home.
-      const bool free = !j.loan && !j.runs_here && !j.done;
+      const bool free = !j.delegation && !j.runs_here && !j.done;
       if (free && j.generation < size_.generations)
         with([&](State &n) {
           Job &x = n.jobs[at];
-          x.loan.emplace(static_cast<Generation>(++x.generation), static_cast<std::uint64_t>(n.home_term));
-          if (mutant_ == Mutant::RecordAfterOffer) x.loan->recorded();
+          x.delegation.emplace(static_cast<Generation>(++x.generation), static_cast<std::uint64_t>(n.origin_term));
+          if (mutant_ == Mutant::RecordAfterOffer) x.delegation->recorded();
         });
-      if (j.loan && j.recorded != j.generation && !j.loan->over(s.now))
+      if (j.delegation && j.recorded != j.generation && !j.delegation->over(s.now))
         with([&](State &n) {
           n.jobs[at].recorded = n.jobs[at].generation;
-          n.jobs[at].loan->recorded();
+          n.jobs[at].delegation->recorded();
         });
-      if (j.loan && j.loan->offers())
-        with([&](State &n) { send(n, {Frame::Offer, k, j.generation, 0, 0, 0, n.home_term, false}); });
-      if (j.loan && !j.loan->closing() && !j.loan->over(s.now)) with([&](State &n) { n.jobs[at].loan->close(); });
-      if (j.loan && j.loan->over(s.now))
+      if (j.delegation && j.delegation->offers())
+        with([&](State &n) { send(n, {Frame::Offer, k, j.generation, 0, 0, 0, n.origin_term, false}); });
+      if (j.delegation && !j.delegation->closing() && !j.delegation->over(s.now))
+        with([&](State &n) { n.jobs[at].delegation->close(); });
+      if (j.delegation && j.delegation->over(s.now))
         with([&](State &n) {
-          n.jobs[at].loan.reset();
+          n.jobs[at].delegation.reset();
           n.jobs[at].recorded = 0;
         });
       if (free) with([&](State &n) { n.jobs[at].runs_here = true; });
@@ -167,9 +168,9 @@
           n.jobs[at].done = true;
         });
       // Borrower.
-      if (j.debt && !j.debt->closed() && s.question < size_.questions)
+      if (j.inbound && !j.inbound->closed() && s.question < size_.questions)
         with([&](State &n) { send(n, {Frame::Ask, k, j.kept, 0, n.term, ++n.question, 0, false}); });
-      if (j.debt && j.debt->may_run(s.now) && j.runs_left < 0 && !j.finished)
+      if (j.inbound && j.inbound->may_run(s.now) && j.runs_left < 0 && !j.finished)
         with([&](State &n) {
           n.jobs[at].runs_left = static_cast<char>(kTerms.lease_s);
           n.jobs[at].ran = j.kept;
@@ -179,9 +180,9 @@
           n.jobs[at].runs_left = -1;
           n.jobs[at].finished |= j.ran == j.kept;
         });
-      if (j.debt && (j.debt->closed() || j.finished) && j.runs_left < 0)
-        with([&](State &n) { send(n, {Frame::Ended, k, j.kept, 0, n.term, 0, n.knows_home_term, j.finished}); });
-      if (j.debt && !j.debt->closed()) with([&](State &n) { n.jobs[at].debt->close(); }); // given back
+      if (j.inbound && (j.inbound->closed() || j.finished) && j.runs_left < 0)
+        with([&](State &n) { send(n, {Frame::Ended, k, j.kept, 0, n.term, 0, n.knows_origin_term, j.finished}); });
+      if (j.inbound && !j.inbound->closed()) with([&](State &n) { n.jobs[at].inbound->close(); }); // given back
     }
     // Frames arrive, once or again, or never.
     for (std::size_t f = 0; f < s.frames.size(); ++f)
@@ -193,23 +194,23 @@
         out.push_back(std::move(n));
       }
     // The leader at home, and at the borrower, is another: what is not recorded is forgotten.
-    if (s.home_term < size_.terms)
+    if (s.origin_term < size_.terms)
       with([&](State &n) {
-        ++n.home_term;
+        ++n.origin_term;
         for (auto &j : n.jobs) {
-          j.loan.reset();
+          j.delegation.reset();
           if (j.recorded)
-            j.loan = AtHome::restored(static_cast<Generation>(j.recorded), static_cast<std::uint64_t>(n.home_term),
-                                      n.now, kTerms);
+            j.delegation = DelegationAtOrigin::restored(static_cast<Generation>(j.recorded),
+                                                        static_cast<std::uint64_t>(n.origin_term), n.now, kTerms);
         }
       });
     if (s.term < size_.terms)
       with([&](State &n) {
         ++n.term;
-        n.knows_home_term = 0;
+        n.knows_origin_term = 0;
         for (auto &j : n.jobs) {
-          j.debt.reset();
-          if (j.kept) j.debt.emplace(static_cast<Generation>(j.kept), static_cast<std::uint64_t>(n.question));
+          j.inbound.reset();
+          if (j.kept) j.inbound.emplace(static_cast<Generation>(j.kept), static_cast<std::uint64_t>(n.question));
         }
       });
     with([&](State &n) { pass_time(n); });
@@ -223,47 +224,50 @@
         f.asked_left = static_cast<char>(std::min(3, f.asked_left + 1));
     std::sort(n.frames.begin(), n.frames.end());
     for (auto &j : n.jobs) {
-      if (j.debt) j.debt->tick(n.now);
+      if (j.inbound) j.inbound->tick(n.now);
       // The workers' leases: renewed for as long as the leader lets them go on, over at most a lease later.
       if (j.runs_left >= 0)
-        j.runs_left = j.debt && j.debt->may_run(n.now) && j.ran == j.kept ? static_cast<char>(kTerms.lease_s)
-                                                                          : static_cast<char>(j.runs_left - 1);
+        j.runs_left = j.inbound && j.inbound->may_run(n.now) && j.ran == j.kept ? static_cast<char>(kTerms.lease_s)
+                                                                                : static_cast<char>(j.runs_left - 1);
     }
   }
 
   void take(State &n, const Frame &f) const {
-    if (f.kind == Frame::Offer || f.kind == Frame::Grant) n.knows_home_term = std::max(n.knows_home_term, f.home_term);
+    if (f.kind == Frame::Offer || f.kind == Frame::Grant)
+      n.knows_origin_term = std::max(n.knows_origin_term, f.origin_term);
     Job &j = n.jobs[static_cast<std::size_t>(f.job)];
     const bool mine = mutant_ == Mutant::GenerationIgnored ||
-                      (j.loan && j.loan->generation() == static_cast<Generation>(f.generation));
+                      (j.delegation && j.delegation->generation() == static_cast<Generation>(f.generation));
     switch (f.kind) {
     case Frame::Offer: // recorded before it says yes; an older one is still in the way, or this one is known
       if (j.kept || j.runs_left >= 0) return;
       j.kept = f.generation;
       j.finished = false;
-      j.debt.emplace(static_cast<Generation>(f.generation),
-                     mutant_ == Mutant::OldAnswerTaken ? 0 : static_cast<std::uint64_t>(n.question));
+      j.inbound.emplace(static_cast<Generation>(f.generation),
+                        mutant_ == Mutant::OldAnswerTaken ? 0 : static_cast<std::uint64_t>(n.question));
       return;
     case Frame::Ask:
-      return send(n, {Frame::Grant, f.job, f.generation, f.asked_left, f.term, f.question, n.home_term,
-                      j.loan && mine && j.loan->confirm(n.now, static_cast<std::uint64_t>(f.term), kTerms)});
+      return send(n,
+                  {Frame::Grant, f.job, f.generation, f.asked_left, f.term, f.question, n.origin_term,
+                   j.delegation && mine && j.delegation->confirm(n.now, static_cast<std::uint64_t>(f.term), kTerms)});
     case Frame::Grant:
-      if (!j.debt || f.term != n.term) return; // not an answer to this leader
+      if (!j.inbound || f.term != n.term) return; // not an answer to this leader
       if (mutant_ != Mutant::GenerationIgnored && j.kept != f.generation) return;
-      if (!f.yes) return j.debt->close();
-      j.debt->granted(static_cast<std::uint64_t>(f.question),
-                      mutant_ == Mutant::GrantFromAnswer ? n.now : n.now - f.asked_left, kTerms);
+      if (!f.yes) return j.inbound->close();
+      j.inbound->granted(static_cast<std::uint64_t>(f.question),
+                         mutant_ == Mutant::GrantFromAnswer ? n.now : n.now - f.asked_left, kTerms);
       return;
     case Frame::Ended:
-      if (j.loan && mine &&
-          j.loan->ended(mutant_ == Mutant::TermIgnored ? ~std::uint64_t(0) : static_cast<std::uint64_t>(f.term),
-                        static_cast<std::uint64_t>(mutant_ == Mutant::HomeTermIgnored ? n.home_term : f.home_term)))
+      if (j.delegation && mine &&
+          j.delegation->ended(
+              mutant_ == Mutant::TermIgnored ? ~std::uint64_t(0) : static_cast<std::uint64_t>(f.term),
+              static_cast<std::uint64_t>(mutant_ == Mutant::HomeTermIgnored ? n.origin_term : f.origin_term)))
         j.done |= f.yes;
       // Home's answer, which may be lost; taken at once, it lets the borrower forget.
-      if (!j.loan || !mine || j.loan->over(n.now)) {
+      if (!j.delegation || !mine || j.delegation->over(n.now)) {
         if (j.kept == f.generation && j.runs_left < 0) {
           j.kept = 0;
-          j.debt.reset();
+          j.inbound.reset();
         }
       }
     }
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -4,7 +4,7 @@
 
 #include "loftrouter/net/http.hpp"
 
-using loft::net::HttpParser;
+using loftrouter::net::HttpParser;
 using State = HttpParser::State;
 
 namespace {
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -5,8 +5,8 @@
 
 #include "scenario.hpp"
 
-using namespace loft;
-using namespace loft::test;
+using namespace loftrouter;
+using namespace loftrouter::test;
 
 namespace {
 
@@ -150,7 +150,7 @@
 TEST(Links, DeafLeaderMakesRoomAlsoWhereOnlyTheStateServiceIsCommonGround) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     WorldOptions o;
-    o.report_s = 2;
+    o.heartbeat_interval_s = 2;
     o.lease_s = 16;
     World w(seed, o);
     steady_work(w, 140);
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -5,7 +5,7 @@
 
 #include "loftrouter/core/log.hpp"
 
-using namespace loft::core;
+using namespace loftrouter::core;
 
 TEST(Log, OneEventIsOneLineWhateverAFieldHolds) {
   // Names of machines and classes come from outside; one with a line break would forge a line of its own.
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -5,8 +5,8 @@
 
 #include "scenario.hpp"
 
-using namespace loft;
-using namespace loft::test;
+using namespace loftrouter;
+using namespace loftrouter::test;
 
 namespace {
 
@@ -17,7 +17,7 @@
   WorldOptions o;
   o.told_once = true;
   if (!slow) return o;
-  o.report_s = 4;
+  o.heartbeat_interval_s = 4;
   o.lease_s = 18;
   o.cancel_s = 43;
   o.cpu_share = 0.004;
@@ -193,7 +193,7 @@
 
 // The leader ends while machines with long tasks cannot be reached, or don't hear the next leader's answers.
 TEST_P(Meeting, LeaderEndsWhileMachinesCannotBeReached) {
-  for (bool deaf : {false, true}) {
+  for (bool downlink_lost : {false, true}) {
     World w(seed(), o);
     for (int i = 0; i < 8; ++i)
       w.at(2 + i, [&w, i] {
@@ -203,7 +203,7 @@
       });
     w.run(35 + shift);
     const auto terms = w.elected_at.size();
-    deaf ? w.cut_inbound(0.5, 40) : w.cut_outbound(0.5, 0.8 * o.lease_s);
+    downlink_lost ? w.cut_inbound(0.5, 40) : w.cut_outbound(0.5, 0.8 * o.lease_s);
     w.at(w.now() + 0.3 + shift, [&w] { crash_leader(w, 12); });
     w.run(60);
     EXPECT_GT(w.elected_at.size(), terms);
@@ -287,7 +287,7 @@
 TEST_P(Meeting, WordsThatLeaveSomethingOut) {
   o.state_write_rps = 150;
   o.state_rps = 1000;
-  o.most_machines = 60;
+  o.max_machines = 60;
   const std::size_t most = wire::kPeerMaxCancelled;
   for (std::size_t jobs : {most + 20, std::size_t(3)}) {
     World w(seed(), o);
@@ -477,8 +477,8 @@
 // More work than room, of all priorities, over slow links: what can save does so when its place is taken, nothing is
 // held free for long, and every class is served.
 TEST_P(Later, MoreWorkThanRoomUrgentAndNotOverSlowLinks) {
-  o.most_machines = 8;
-  o.fetch_most = 8;
+  o.max_machines = 8;
+  o.max_fetch = 8;
   o.held_up = 0.2;
   World w(seed(), o);
   for (int i = 0; i < 30; ++i)
@@ -653,7 +653,7 @@
   int n = 0;
   w.last_task_done = [&](const std::string &id) {
     const int k = n++, at = k % 3;
-    const double late = 0.004 * static_cast<double>(k) * (o.report_s > 2 ? 12 : 6) + 0.001 * shift;
+    const double late = 0.004 * static_cast<double>(k) * (o.heartbeat_interval_s > 2 ? 12 : 6) + 0.001 * shift;
     w.at(w.now() + late, [&, id, at] {
       Asked &x = asked[id];
       x.abort = w.abort_at(at, id);
@@ -1016,7 +1016,7 @@
   o.next_value_kb = seed % 3 ? 0 : 4;
   o.told_once = seed % 4 > 1;
   if (seed % 5 > 1) o.node_zones = {"a", "b", seed % 5 == 2 ? "a" : "b"};
-  if (seed % 7 == 3) o.most_machines = 7; // more work than room
+  if (seed % 7 == 3) o.max_machines = 7; // more work than room
   World w(seed, o);
   auto rng = std::make_shared<std::mt19937_64>(seed * 977 + 3);
   constexpr int kJobs = 24;
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -7,8 +7,8 @@
 #include "loftrouter/app/settings.hpp"
 #include "scenario.hpp"
 
-using namespace loft;
-using namespace loft::test;
+using namespace loftrouter;
+using namespace loftrouter::test;
 
 namespace {
 
@@ -85,7 +85,7 @@
     if (name == "final") again = wire::final_json(wire::final_from_json(j).value());
     if (name == "sums") again = wire::to_json(wire::sums_from_json(j).value());
     if (name == "leader") again = wire::to_json(wire::leader_from_json(j).value());
-    if (name == "reach") again = wire::to_json(wire::reach_from_json(j).value());
+    if (name == "reach") again = wire::to_json(wire::connectivity_from_json(j).value());
     if (name == "types") again = wire::to_json(wire::types_from_json(j).value());
     if (name == "progress")
       again = wire::to_json(wire::progress_from_json("progress/j-000412", j).value().jobs[0].second);
@@ -121,7 +121,7 @@
   Settings s;
   s.state_write_rps = 15;
   s.state_next_write_rps = 5;
-  core::StoreBudget b(s);
+  core::StateServiceLimits b(s);
   for (double at : {10.0, 10.1, 11.0}) // the first two are one burst
     EXPECT_FALSE(b.refused(at));
   EXPECT_TRUE(b.refused(12));
@@ -130,7 +130,7 @@
   b.share(12.5, 0.5, {});
   EXPECT_LT(b.leader_writes(13), 5);
   s.state_next_write_rps = 15;
-  core::StoreBudget level(s);
+  core::StateServiceLimits level(s);
   for (int i = 0; i < 9; ++i)
     EXPECT_FALSE(level.refused(10 + i)) << "nothing to fall to";
 }
@@ -177,11 +177,11 @@
     auto pick = [&](std::size_t n) { return static_cast<std::size_t>(rng() % n); };
     Settings settings;
     settings.teams = {{"red", 0, 0, 0, 0}};
-    core::Port port(seed);
+    core::Runtime port(seed);
     core::Events events;
-    core::Catalogue catalogue({"a"});
-    core::StoreBudget budget(settings);
-    core::Leadership lead(port, events, settings, catalogue);
+    core::InstanceTypeCatalog catalog({"a"});
+    core::StateServiceLimits budget(settings);
+    core::Leadership lead(port, events, settings, catalog);
     core::JobTable jobs(port, events, settings);
     core::EndedJobs ended(events);
     core::Dependencies graph(port, settings, budget, lead, jobs, ended);
@@ -298,7 +298,7 @@
 TEST(Pipelines, NoneAreAcceptedBesideAnEarlierVersion) {
   Settings s;
   s.node = "node-0";
-  s.siblings = {{"node-1", "a", ""}};
+  s.replicas = {{"node-1", "a", ""}};
   s.zones = {"a"};
   s.teams = {{"red", 0, 0, 0, 0}};
   core::Core core(s, 1);
@@ -337,7 +337,7 @@
   EXPECT_EQ(pong.peers[0].message.nonce, 41u) << "answered as ever";
   EXPECT_EQ(status(), "earlier");
   EXPECT_TRUE(refused());
-  ping(42 | wire::kKnowsWaiting);
+  ping(42 | wire::kKnowsDependencies);
   EXPECT_EQ(status(), "this or later");
   EXPECT_FALSE(refused());
   ping(43); // it came back old
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -7,8 +7,8 @@
 #include "loftrouter/core/placement.hpp"
 #include "loftrouter/core/util.hpp"
 
-using namespace loft;
-using namespace loft::core;
+using namespace loftrouter;
+using namespace loftrouter::core;
 
 namespace {
 
@@ -18,10 +18,10 @@
   std::vector<Resources> room;
 };
 
-Case random_case(std::mt19937 &rng, int most_machines = 8, int most_jobs = 6) {
+Case random_case(std::mt19937 &rng, int max_machines = 8, int max_jobs = 6) {
   auto pick = [&](int n) { return static_cast<int>(rng() % static_cast<unsigned>(n)); };
   Case c;
-  for (int i = 0, n = 1 + pick(most_machines); i < n; ++i) {
+  for (int i = 0, n = 1 + pick(max_machines); i < n; ++i) {
     PlaceMachine m;
     m.id = i;
     m.type = pick(2);
@@ -31,11 +31,11 @@
     m.spot = pick(2);
     m.kept = !m.spot && m.type == 1 && pick(2);
     m.spare = {2.0 + pick(6), 1, 40};
-    m.dear = 0.2 * pick(5);
+    m.price_premium = 0.2 * pick(5);
     if (pick(2)) m.images.push_back(pick(3));
     c.machines.push_back(m);
   }
-  for (int i = 0, n = 1 + pick(most_jobs); i < n; ++i) {
+  for (int i = 0, n = 1 + pick(max_jobs); i < n; ++i) {
     PlaceJob j;
     j.need = {1.0 + pick(6), static_cast<double>(pick(4) == 0), 1.0 + pick(12)};
     j.types = {static_cast<char>(pick(4) > 0), static_cast<char>(pick(4) > 0)};
@@ -43,7 +43,7 @@
     j.spot = pick(2);
     j.gang = pick(3) == 0;
     j.one_zone = pick(4) == 0;
-    j.ready = static_cast<std::uint32_t>(1 + pick(std::max(6, most_machines)));
+    j.ready = static_cast<std::uint32_t>(1 + pick(std::max(6, max_machines)));
     j.limit = j.ready;
     if (pick(4) == 0) j.zone_cap = static_cast<int>((j.ready + 1) / 2);
     j.urgency = static_cast<Urgency>(pick(4));
@@ -95,7 +95,7 @@
         sum += top;
       }
       if (plan.empty() || (jobs[j].gang && plan.size() < jobs[j].ready)) continue;
-      double value = sum / static_cast<double>(plan.size()) + (plan.size() == jobs[j].ready ? o.whole_bonus : 0) +
+      double value = sum / static_cast<double>(plan.size()) + (plan.size() == jobs[j].ready ? o.full_plan_bonus : 0) +
                      o.age_weight * jobs[j].wait_s + (jobs[j].in_time ? o.in_time_bonus : 0);
       if (best < 0 || value > best_value) {
         best = static_cast<int>(j);
@@ -127,9 +127,9 @@
   EXPECT_NEAR(fit_score(j, m), 0.5 * 0.2 + 0.5 * 0.1, 1e-12);
 }
 
-void compare_with_plain(std::mt19937 &rng, int cases, int most_machines, int most_jobs) {
+void compare_with_plain(std::mt19937 &rng, int cases, int max_machines, int max_jobs) {
   for (int i = 0; i < cases; ++i) {
-    auto c = random_case(rng, most_machines, most_jobs);
+    auto c = random_case(rng, max_machines, max_jobs);
     for (auto &j : c.jobs) {
       j.one_zone = false;
       j.zone_cap = -1;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -13,8 +13,8 @@
 #include "loftrouter/net/client.hpp"
 #include "loftrouter/wire/messages.hpp"
 
-using namespace loft;
-using namespace loft::scale;
+using namespace loftrouter;
+using namespace loftrouter::scale;
 
 namespace {
 
--- a/tests/scenario.hpp
+++ b/tests/scenario.hpp
@@ -3,7 +3,7 @@
 
 #include "world.hpp"
 
-namespace loft::test {
+namespace loftrouter::test {
 
 inline void mixed_load(World &w, int jobs) {
   for (int i = 0; i < jobs; ++i)
@@ -131,4 +131,4 @@
   }
 }
 
-} // namespace loft::test
+} // namespace loftrouter::test
--- a/tests/survival_test.cpp
+++ b/tests/survival_test.cpp
@@ -4,8 +4,8 @@
 
 #include "scenario.hpp"
 
-using namespace loft;
-using namespace loft::test;
+using namespace loftrouter;
+using namespace loftrouter::test;
 
 namespace {
 
@@ -154,8 +154,8 @@
 TEST(AfterAnOutage, WhatCameUpInItIsUsed) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     WorldOptions o;
-    o.boot_least = 6;
-    o.boot_most = 12;
+    o.min_boot = 6;
+    o.max_boot = 12;
     World w(seed, o);
     w.at(2, [&w] { w.submit(w.job(Shape::Array, 40, 1, 30)); });
     w.run(6);
@@ -180,20 +180,20 @@
   WorldOptions o;
   o.capacity = {{"small", 0}, {"big", 1}};
   World w(3, o);
-  auto dear = w.job(Shape::Array, 1, 9, 600);
-  dear.spot = false;
-  w.at(2, [&w, &dear] { w.submit(dear); });
+  auto price_premium = w.job(Shape::Array, 1, 9, 600);
+  price_premium.spot = false;
+  w.at(2, [&w, &price_premium] { w.submit(price_premium); });
   w.run(30);
   ASSERT_EQ(w.on_machines().size(), 1U);
-  auto patient = w.job(Shape::Array, 3, 1, 5);
-  patient.spot = true;
-  patient.urgency = Urgency::Low;
-  w.submit(patient);
+  auto deferrable = w.job(Shape::Array, 3, 1, 5);
+  deferrable.spot = true;
+  deferrable.urgency = Urgency::Low;
+  w.submit(deferrable);
   w.run(60);
-  EXPECT_EQ(w.starts_of(patient.id), 0) << "it waits for a cheap place at first";
+  EXPECT_EQ(w.starts_of(deferrable.id), 0) << "it waits for a cheap place at first";
   w.calm();
   w.run(200);
-  EXPECT_EQ(w.starts_of(patient.id), 3);
+  EXPECT_EQ(w.starts_of(deferrable.id), 3);
   EXPECT_TRUE(w.broken.empty()) << all(w);
 }
 
@@ -201,7 +201,7 @@
 TEST(Largest, BeginWithinFourMinutesBesideAFlood) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     WorldOptions o;
-    o.most_machines = 12; // scarce
+    o.max_machines = 12; // scarce
     o.capacity = {{"big", 6}, {"small", 6}};
     World w(seed, o);
     std::vector<std::string> large;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -5,8 +5,8 @@
 #include "loftrouter/wire/messages.hpp"
 #include "loftrouter/wire/peer.hpp"
 
-using namespace loft;
-using namespace loft::wire;
+using namespace loftrouter;
+using namespace loftrouter::wire;
 
 namespace {
 
@@ -46,7 +46,7 @@
   j["waits_on"] = {"j-000398", "j-000405", "j-000398"};
   EXPECT_EQ(std::get<JobSpec>(decode_job(encode(j))).waits_for, (std::vector<std::string>{"j-000398", "j-000405"}));
   Json many = Json::array();
-  for (std::size_t i = 0; i <= kMostWaitsFor; ++i)
+  for (std::size_t i = 0; i <= kMaxWaitsFor; ++i)
     many.push_back("j-1" + std::to_string(1000 + i));
   for (Json bad : {Json("j-000398"), Json({{"j-000398", 1}}), Json({"j-000412"}), Json({"x-1"}), Json({7}), many}) {
     j["waits_on"] = bad;
@@ -104,14 +104,14 @@
                                      {"tick", 88},
                                      {"baton", 41},
                                      {"pieces", {{{"piece", "j-000412/3"}, {"try", 2}, {"status", "running"}}}}});
-  ASSERT_TRUE(decode_report(report));
+  ASSERT_TRUE(decode_heartbeat(report));
   int read = 0;
   for (int i = 0; i < 20000; ++i) {
     std::string s = i % 2 ? report : encode(good_job());
     for (unsigned n = 1 + rng() % 3; n-- > 0;)
       s[rng() % s.size()] = static_cast<char>(rng());
     if (i % 5 == 0) s.resize(rng() % s.size());
-    read += decode_report(s).has_value() || std::holds_alternative<JobSpec>(decode_job(s));
+    read += decode_heartbeat(s).has_value() || std::holds_alternative<JobSpec>(decode_job(s));
   }
   EXPECT_GT(read, 0);
 }
@@ -150,7 +150,7 @@
   m.nonce = 0x1122334455667788;
   m.term = 77;
   m.cut_off = m.passes = true;
-  m.reach = {Hearing::Silent, 700, 12.5, 3.5, CloudWord::Fails};
+  m.connectivity = {WorkerReachability::Unreachable, 700, 12.5, 3.5, ProviderHealth::Unhealthy};
   m.uptime_ms = 123456;
   m.reads = 345;
   m.writes = 21;
@@ -173,11 +173,11 @@
     EXPECT_EQ(r.reads, m.reads);
     EXPECT_EQ(r.writes, m.writes);
     EXPECT_TRUE(r.cut_off && r.passes);
-    EXPECT_EQ(r.reach.workers, Hearing::Silent);
-    EXPECT_EQ(r.reach.machines, 700);
-    EXPECT_EQ(r.reach.quiet_s, 12.5);
-    EXPECT_EQ(r.reach.carried_s, 3.5);
-    EXPECT_EQ(r.reach.cloud, CloudWord::Fails);
+    EXPECT_EQ(r.connectivity.workers, WorkerReachability::Unreachable);
+    EXPECT_EQ(r.connectivity.machines, 700);
+    EXPECT_EQ(r.connectivity.quiet_s, 12.5);
+    EXPECT_EQ(r.connectivity.carried_s, 3.5);
+    EXPECT_EQ(r.connectivity.cloud, ProviderHealth::Unhealthy);
     EXPECT_EQ(r.cancelled, m.cancelled);
   }
   EXPECT_EQ(frames, 2);
@@ -214,13 +214,13 @@
                     {"j-77", 0, 3, TaskPhase::Exited, ExitCause::Unknown, false}};
   ASSERT_EQ(read_one(encode_peer(m), r), PeerRead::Frame);
   EXPECT_EQ(std::tuple(r.nonce, r.term, r.sender), std::tuple(7u, 9u, 2u));
-  EXPECT_EQ(encode_report(r.report), encode_report(m.report));
+  EXPECT_EQ(encode_heartbeat(r.report), encode_heartbeat(m.report));
   m.kind = PeerMessage::Kind::Orders;
   m.status = 200;
-  m.orders = {{TaskOrder::Verb::Start, "j-77", 5, 6, 0}, {TaskOrder::Verb::Stop, "j-77", 6, 7, 3.5}};
+  m.orders = {{TaskCommand::Verb::Start, "j-77", 5, 6, 0}, {TaskCommand::Verb::Stop, "j-77", 6, 7, 3.5}};
   ASSERT_EQ(read_one(encode_peer(m), r), PeerRead::Frame);
   EXPECT_EQ(r.status, 200);
-  EXPECT_EQ(encode_orders(1, r.orders), encode_orders(1, m.orders));
+  EXPECT_EQ(encode_commands(1, r.orders), encode_commands(1, m.orders));
 }
 
 TEST(Peer, QuestionsPassedOnGoThereAndBack) {
@@ -256,7 +256,7 @@
   report.report = {"n-1", "10.1.0.2:9000", "g8", "a", false, 1, 2, 3, {}, {{"j-1", 0, 1}}};
   PeerMessage orders;
   orders.kind = PeerMessage::Kind::Orders;
-  orders.orders = {{TaskOrder::Verb::Stop, "j-1", 0, 1, 2}};
+  orders.orders = {{TaskCommand::Verb::Stop, "j-1", 0, 1, 2}};
   for (std::size_t i : {0, 1, 2, 3, 4, 5, 6, 7, 9, 10, 11}) { // all of the header but a length that may be true
     auto s = good;
     s[i] = static_cast<char>(0xee);
@@ -279,11 +279,11 @@
 namespace {
 
 // What a report says, read slowly from a whole tree: the model that the streaming reader has to agree with.
-std::optional<WorkerReport> slow_report(std::string_view bytes) {
+std::optional<Heartbeat> slow_report(std::string_view bytes) {
   const auto tree = decode(bytes);
   if (!tree || !tree->is_object()) return std::nullopt;
   const Json &j = *tree;
-  WorkerReport r;
+  Heartbeat r;
   auto fail = false;
   auto text = [&](const char *name) {
     std::string v = j.contains(name) && j[name].is_string() ? j[name].get<std::string>() : "";
@@ -300,9 +300,9 @@
   r.address = text("address");
   r.type = text("hull");
   r.zone = text("yard");
-  r.session = number(j, "shift");
-  r.seq = number(j, "tick");
-  r.token = number(j, "baton");
+  r.incarnation = number(j, "shift");
+  r.sequence = number(j, "tick");
+  r.fencing_token = number(j, "baton");
   if (!j.contains("standby") || !j["standby"].is_boolean()) return std::nullopt;
   r.spot = j["standby"].get<bool>();
   if (const Json n = j.value("warning_s", Json()); n.is_number())
@@ -320,7 +320,7 @@
                          : static_cast<long>(names.size());
   };
   for (const Json &e : list) {
-    TaskReport t;
+    TaskStatus t;
     t.attempt = number(e, "try");
     if (fail || !e.contains("piece") || !e["piece"].is_string() || e["piece"].get<std::string>().size() > 200)
       return std::nullopt;
@@ -367,20 +367,20 @@
                                        "warning_s", "pieces",  "piece", "try",  "status",  "cause", "stored", "more"};
   int good = 0, bad = 0;
   for (int n = 0; n < 6000; ++n) {
-    WorkerReport r;
+    Heartbeat r;
     r.machine = "n-000231";
     r.address = "10.1.0.232:9000";
     r.type = "g8";
     r.zone = "a";
     r.spot = pick(2);
-    r.session = 1 + pick(3);
-    r.seq = rng();
-    r.token = pick(100);
+    r.incarnation = 1 + pick(3);
+    r.sequence = rng();
+    r.fencing_token = pick(100);
     if (pick(3) == 0) r.notice_s = static_cast<double>(pick(100)) / 4;
     for (std::size_t k = pick(5); k-- > 0;)
       r.tasks.push_back({"j-" + std::to_string(pick(1000)), static_cast<std::uint32_t>(pick(100)), rng(),
                          static_cast<TaskPhase>(pick(5)), static_cast<ExitCause>(pick(9)), pick(2) == 1});
-    auto j = Json::from_cbor(encode_report(r));
+    auto j = Json::from_cbor(encode_heartbeat(r));
     for (std::size_t k = pick(3); k-- > 0;) {
       Json &at = !j["pieces"].is_array() || j["pieces"].empty() || pick(2) ? j : j["pieces"][pick(j["pieces"].size())];
       if (at.is_object()) at[names[pick(names.size())]] = odd[pick(odd.size())];
@@ -388,11 +388,11 @@
     auto bytes = encode(j);
     if (pick(3) == 0) bytes[pick(bytes.size())] = static_cast<char>(rng());
     if (pick(20) == 0) bytes.resize(pick(bytes.size()));
-    const auto slow = slow_report(bytes), fast = decode_report(bytes);
+    const auto slow = slow_report(bytes), fast = decode_heartbeat(bytes);
     ASSERT_EQ(slow.has_value(), fast.has_value()) << testing::PrintToString(bytes);
     ++(slow ? good : bad);
     if (!slow) continue;
-    ASSERT_EQ(encode_report(*slow), encode_report(*fast)) << j;
+    ASSERT_EQ(encode_heartbeat(*slow), encode_heartbeat(*fast)) << j;
   }
   EXPECT_GT(good, 1000);
   EXPECT_GT(bad, 1000);
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace loft::test {
+namespace loftrouter::test {
 
 World::World(std::uint64_t seed, WorldOptions o) : o_(std::move(o)), rng_(seed) {
   nodes_.resize(static_cast<std::size_t>(o_.nodes));
@@ -21,11 +21,11 @@
   auto zone_of = [this](int k) { return o_.node_zones.empty() ? "a" : o_.node_zones[static_cast<std::size_t>(k)]; };
   s.zone = zone_of(i);
   for (int k = 0; k < o_.nodes; ++k)
-    if (k != i) s.siblings.push_back({"node-" + std::to_string(k), zone_of(k), ""});
+    if (k != i) s.replicas.push_back({"node-" + std::to_string(k), zone_of(k), ""});
   s.zones = {"a", "b"};
   s.teams = o_.core_teams.empty() ? o_.teams : o_.core_teams;
   s.lease_s = o_.core_lease_s > 0 ? o_.core_lease_s : o_.lease_s;
-  s.report_s = o_.report_s;
+  s.heartbeat_interval_s = o_.heartbeat_interval_s;
   s.cancel_s = o_.core_cancel_s > 0 ? o_.core_cancel_s : o_.cancel_s;
   s.cpu_share = o_.cpu_share;
   s.accounts = o_.accounts;
@@ -156,7 +156,7 @@
     ask(
         node,
         [r](core::RequestId q) {
-          return core::CmdReport{q, r};
+          return core::CmdHeartbeat{q, r};
         },
         [](const core::Reply &) {});
   return static_cast<int>(held.size());
@@ -193,7 +193,7 @@
   for (auto &b : machines_) {
     if (b.gone || !b.up || !chance(share)) continue;
     free_all(b);
-    ++b.session;
+    ++b.incarnation;
     b.lease_from = t_;
     b.in_flight = false;
     b.next_report = t_ + uniform(0.05, 0.5);
@@ -274,13 +274,13 @@
     const auto index = static_cast<std::size_t>(found - machines_.begin());
     schedule(there, [this, index, call] {
       Machine &b = machines_[index];
-      if (b.gone || !b.up || t_ < b.hang_until || t_ < b.inbound_cut_until || call.token < b.token ||
-          call.session != b.session)
+      if (b.gone || !b.up || t_ < b.hang_until || t_ < b.inbound_cut_until || call.fencing_token < b.fencing_token ||
+          call.incarnation != b.incarnation)
         return;
-      b.token = call.token;
+      b.fencing_token = call.fencing_token;
       ++direct_commands;
       for (const auto &o : call.orders) {
-        if (o.verb != TaskOrder::Verb::Stop) break_rule("only orders to stop may be late");
+        if (o.verb != TaskCommand::Verb::Stop) break_rule("only orders to stop may be late");
         for (auto &r : b.runs)
           if (r.job == o.job && r.index == o.index && r.attempt == o.attempt) stop_run(index, r.serial, o.grace_s);
       }
@@ -290,14 +290,14 @@
     if (chance(o_.loss)) continue;
     relayed += p.message.kind == wire::PeerMessage::Kind::Report;
     // Link ids in this world: the asker's index.
-    int to = p.sibling >= 0 ? (p.sibling < i ? p.sibling : p.sibling + 1) : static_cast<int>(p.link);
+    int to = p.replica >= 0 ? (p.replica < i ? p.replica : p.replica + 1) : static_cast<int>(p.link);
     double there = t_ + (chance(o_.loss) ? uniform(0.1, 30) : uniform(0.001, 0.005));
     // Answers come on the link that was dialled by who asked.
-    if (const Link &l = p.sibling >= 0 ? n.peers[to] : nodes_[static_cast<std::size_t>(to)].peers[i]; l.cut(t_)) {
+    if (const Link &l = p.replica >= 0 ? n.peers[to] : nodes_[static_cast<std::size_t>(to)].peers[i]; l.cut(t_)) {
       if (l.how != Cut::Hold && l.how != Cut::Slow) continue;
       there = l.how == Cut::Hold ? l.cut_until + uniform(0, 0.01) : t_ + uniform(0.3, 1.5);
     }
-    schedule(there, [this, to, i, pong = p.sibling < 0, m = p.message] {
+    schedule(there, [this, to, i, pong = p.replica < 0, m = p.message] {
       wire::PeerMessage read;
       const auto bytes = wire::encode_peer(m);
       std::string_view rest = bytes;
@@ -360,4 +360,4 @@
   t_ = until;
 }
 
-} // namespace loft::test
+} // namespace loftrouter::test
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -18,7 +18,7 @@
 
 #include "loftrouter/core/core.hpp"
 
-namespace loft::test {
+namespace loftrouter::test {
 
 // LOFTROUTER_SEEDS=N plays N seeds, for a longer search by hand.
 inline int seeds(int by_default) {
@@ -34,7 +34,7 @@
 
 struct WorldOptions {
   int nodes = 3;
-  double lease_s = 10, report_s = 1, cancel_s = 40;
+  double lease_s = 10, heartbeat_interval_s = 1, cancel_s = 40;
   double cpu_share = 1; // decides how many reports a leader takes itself
   // What the cores believe, if it is set: bugs to be caught.
   double core_lease_s = 0, core_cancel_s = 0;
@@ -55,21 +55,21 @@
   int next_txn_ops = 0;
   double untold_value_kb = 0;           // what it really takes, if that is less than it says
   bool begins_old = false;              // nodes write records as large as may be, until `upgrade`
-  long most_machines = 400;             // up at a time
+  long max_machines = 400;              // up at a time
   std::map<std::string, long> capacity; // the same by type, where it is said
   std::vector<MachineType> types{{"small", {4, 0, 16}, 50, 1, 0.2, 0.08, 8, {"a", "b"}},
                                  {"big", {16, 2, 64}, 50, 1, 0.8, 0.3, 8, {"a", "b"}}};
-  double boot_least = 1, boot_most = 12;            // s
-  double boot_share_least = 0, boot_share_most = 0; // of the type's boot time, instead
+  double min_boot = 1, max_boot = 12;            // s
+  double min_boot_share = 0, max_boot_share = 0; // of the type's boot time, instead
   double state_rps = 100, state_write_rps = 15;
   bool users_at_once = false; // a poll each second, so that ends are seen
   bool told_once = false;     // who has been told that a job is cancelled asks no more, so that no node reads it again
   int page = 20;              // records and machines that a list shows at a time
   CellSettings cells;
-  int first_job = 1;                        // number of the first
-  std::vector<std::string> node_zones;      // all in the first zone where nothing is said
-  double fetch_least = 0.2, fetch_most = 3; // s, of an image
-  double gang_peer_s = 4;                   // for the orderly stop of a gang
+  int first_job = 1;                     // number of the first
+  std::vector<std::string> node_zones;   // all in the first zone where nothing is said
+  double min_fetch = 0.2, max_fetch = 3; // s, of an image
+  double gang_peer_s = 4;                // for the orderly stop of a gang
   std::vector<Team> teams{{"red", 0, 0, 0, 0}, {"blue", 0, 12, 0, 0}};
 };
 
@@ -196,7 +196,7 @@
   int starts_of(const std::string &id) const { return starts_by_job_.count(id) ? starts_by_job_.at(id) : 0; }
   int returned = 0;                                                          // machines
   double held_s(const std::string &id) const { return told_.at(id).held_s; } // by its tasks, on machines, so far
-  std::vector<wire::Entry> records(const std::string &prefix) const;
+  std::vector<wire::KeyValue> records(const std::string &prefix) const;
   void put_record(const std::string &key, nlohmann::json value) {
     ++epoch_;
     change(key, std::move(value), 0);
@@ -239,7 +239,7 @@
   };
   struct Key {
     nlohmann::json value;
-    std::uint64_t stamp, lease;
+    std::uint64_t mod_revision, lease;
   };
   struct Follower {
     int node, life;
@@ -264,7 +264,7 @@
     std::string name, type, zone;
     bool spot = false, up = false, gone = false, sick = false, failed = false;
     double rented = 0, hang_until = -1, outbound_cut_until = -1, inbound_cut_until = -1;
-    std::uint64_t session = 1, seq = 0, token = 0;
+    std::uint64_t incarnation = 1, sequence = 0, fencing_token = 0;
     double lease_from = 0;
     int node = 0;
     bool in_flight = false;
@@ -313,8 +313,8 @@
   const Resources &size_of(const Machine &b) const;
   void worker_tick(std::size_t b);
   void report(std::size_t b);
-  WorkerReport make_report(Machine &b);
-  void take_response(std::size_t b, std::uint64_t session, double sent, const nlohmann::json &body);
+  Heartbeat make_report(Machine &b);
+  void take_response(std::size_t b, std::uint64_t incarnation, double sent, const nlohmann::json &body);
   void start_task(std::size_t b, const std::string &job, std::uint32_t index, std::uint64_t attempt);
   void progress(std::size_t b, std::uint64_t serial);
   void try_gang(const std::string &job, std::uint64_t attempt);
@@ -334,13 +334,13 @@
   std::map<std::string, Key> keys_;
   std::map<std::uint64_t, std::pair<double, double>> leases_; // ttl, end
   std::uint64_t epoch_ = 1, next_lease_ = 1;
-  std::deque<wire::Event> history_;
+  std::deque<wire::WatchEvent> history_;
   std::vector<Follower> followers_;
   double outage_until_ = -1;
   std::map<std::string, Link> zone_cuts_;
   std::map<std::string, long> zone_most_;
   double hold_back_ = 0;
-  std::vector<WorkerReport> held_back_;
+  std::vector<Heartbeat> held_back_;
   bool calm_ = false;
   std::map<std::string, double> could_since_; // jobs that wait where there is room, since when
   std::deque<Machine> machines_;
@@ -355,4 +355,4 @@
       on_; // tasks on machines, by job: serial, machine
 };
 
-} // namespace loft::test
+} // namespace loftrouter::test
--- a/tests/world_cloud.cpp
+++ b/tests/world_cloud.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace loft::test {
+namespace loftrouter::test {
 
 void World::cloud_op(int i, const core::CloudOp &op) {
   int life = nodes_[static_cast<std::size_t>(i)].life;
@@ -37,7 +37,7 @@
                                        : MachineStatus::Booting,
                               t_ - b.rented});
       }
-    } else if (auto *h = std::get_if<core::CloudRent>(&op.what)) {
+    } else if (auto *h = std::get_if<core::CloudScaleOut>(&op.what)) {
       auto [it, fresh] = rents_.try_emplace(h->request);
       auto there = std::count_if(machines_.begin(), machines_.end(), [](const Machine &b) { return !b.gone; });
       const auto of_type = o_.capacity.find(h->type);
@@ -50,7 +50,7 @@
                                 return !b.gone && b.zone == h->zone;
                               }));
       if (fresh)
-        for (int k = 0; k < h->count && there < o_.most_machines && left > 0; ++k, ++there, --left) {
+        for (int k = 0; k < h->count && there < o_.max_machines && left > 0; ++k, ++there, --left) {
           Machine b;
           char name[16];
           std::snprintf(name, sizeof name, "n-%06zu", machines_.size());
@@ -66,7 +66,7 @@
           boot(machines_.back());
         }
       r.names = it->second;
-    } else if (auto *d = std::get_if<core::CloudReturn>(&op.what)) {
+    } else if (auto *d = std::get_if<core::CloudScaleIn>(&op.what)) {
       for (auto &b : machines_)
         if (std::find(d->names.begin(), d->names.end(), b.name) != d->names.end() && !b.gone) {
           ++returned;
@@ -80,9 +80,9 @@
 void World::boot(Machine &b) {
   std::size_t i = machines_.size() - 1;
   if (chance(o_.boot_fail)) return;
-  double boots = uniform(o_.boot_least, o_.boot_most);
+  double boots = uniform(o_.min_boot, o_.max_boot);
   for (const auto &t : o_.types)
-    if (o_.boot_share_most > 0 && t.name == b.type) boots = t.boot_s * uniform(o_.boot_share_least, o_.boot_share_most);
+    if (o_.max_boot_share > 0 && t.name == b.type) boots = t.boot_s * uniform(o_.min_boot_share, o_.max_boot_share);
   schedule(t_ + boots, [this, i] {
     Machine &x = machines_[i];
     if (x.gone || x.failed) return; // a machine that stopped while it booted stays down
@@ -122,4 +122,4 @@
   b.up = false;
 }
 
-} // namespace loft::test
+} // namespace loftrouter::test
--- a/tests/world_state.cpp
+++ b/tests/world_state.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace loft::test {
+namespace loftrouter::test {
 
 using nlohmann::json;
 
@@ -15,10 +15,10 @@
   history_.push_back({key, value, epoch_});
 }
 
-std::vector<wire::Entry> World::records(const std::string &prefix) const {
-  std::vector<wire::Entry> out;
+std::vector<wire::KeyValue> World::records(const std::string &prefix) const {
+  std::vector<wire::KeyValue> out;
   for (const auto &[k, v] : keys_)
-    if (k.starts_with(prefix)) out.push_back({k, v.value, v.stamp, v.lease});
+    if (k.starts_with(prefix)) out.push_back({k, v.value, v.mod_revision, v.lease});
   return out;
 }
 
@@ -49,7 +49,7 @@
     if (it == keys_.end())
       r.status = 404;
     else
-      r.entries.push_back({it->first, it->second.value, it->second.stamp, it->second.lease});
+      r.entries.push_back({it->first, it->second.value, it->second.mod_revision, it->second.lease});
   } else if (auto *l = std::get_if<core::StoreList>(&op.what)) {
     for (auto &[k, v] : keys_) {
       if (k.compare(0, l->prefix.size(), l->prefix) != 0 || k <= l->from) continue;
@@ -58,12 +58,12 @@
         r.more = true;
         break;
       }
-      r.entries.push_back({k, v.value, v.stamp, v.lease});
+      r.entries.push_back({k, v.value, v.mod_revision, v.lease});
     }
   } else if (auto *c = std::get_if<core::StoreCommit>(&op.what)) {
-    for (auto &g : c->guards) {
+    for (auto &g : c->preconditions) {
       auto it = keys_.find(g.key);
-      if ((it == keys_.end() ? 0 : it->second.stamp) != g.stamp) r.failed.push_back(g.key);
+      if ((it == keys_.end() ? 0 : it->second.mod_revision) != g.mod_revision) r.failed.push_back(g.key);
     }
     const bool untold = o_.untold_value_kb > 0;
     const double kb = untold ? o_.untold_value_kb : o_.value_kb;
@@ -73,7 +73,7 @@
         r.status = 400;
       }
     const auto ops = static_cast<std::size_t>(o_.txn_ops);
-    if (c->writes.size() > ops || c->guards.size() > 4 * ops) {
+    if (c->writes.size() > ops || c->preconditions.size() > 4 * ops) {
       break_rule("transaction too large");
       r.status = 400;
     }
@@ -86,16 +86,16 @@
       for (auto &w : c->writes)
         change(w.key, w.value, w.lease);
     }
-  } else if (auto *n = std::get_if<core::StoreLeaseNew>(&op.what)) {
+  } else if (auto *n = std::get_if<core::StoreLeaseGrant>(&op.what)) {
     r.lease = next_lease_++;
     leases_[r.lease] = {n->ttl_s, t_ + n->ttl_s};
-  } else if (auto *n = std::get_if<core::StoreLeaseTouch>(&op.what)) {
+  } else if (auto *n = std::get_if<core::StoreLeaseRenew>(&op.what)) {
     auto it = leases_.find(n->lease);
     if (it == leases_.end())
       r.status = 404;
     else
       it->second.second = t_ + it->second.first;
-  } else if (auto *n = std::get_if<core::StoreLeaseDrop>(&op.what)) {
+  } else if (auto *n = std::get_if<core::StoreLeaseRevoke>(&op.what)) {
     auto it = leases_.find(n->lease);
     if (it != leases_.end()) {
       it->second.second = -1;
@@ -114,7 +114,7 @@
     r.status = 200;
     r.revision = epoch_;
     for (auto &e : history_)
-      if (e.stamp > w.from && e.key.compare(0, w.prefix.size(), w.prefix) == 0 &&
+      if (e.mod_revision > w.from && e.key.compare(0, w.prefix.size(), w.prefix) == 0 &&
           (lost_events <= 0 || !chance(lost_events)))
         r.events.push_back(e);
     Node &n = nodes_[static_cast<std::size_t>(w.node)];
@@ -145,12 +145,12 @@
     const auto how = n.state.how;
     if (how == Cut::Drop) return;
     if (how == Cut::Lists &&
-        (std::holds_alternative<core::StoreList>(op.what) || std::holds_alternative<core::StoreFollow>(op.what)))
+        (std::holds_alternative<core::StoreList>(op.what) || std::holds_alternative<core::StoreWatch>(op.what)))
       return;
     if (how == Cut::Hold) there = n.state.cut_until + uniform(0, 0.01); // delivered once the cut is over
     if (how == Cut::Slow) there = t_ + uniform(0.3, 1.5);
     lose_answer = how == Cut::NoAnswers;
-    if (how == Cut::Refuse && !std::holds_alternative<core::StoreFollow>(op.what)) {
+    if (how == Cut::Refuse && !std::holds_alternative<core::StoreWatch>(op.what)) {
       wire::StoreReply refusal;
       refusal.status = 503;
       schedule(there, [answer, refusal] { answer(refusal); });
@@ -181,7 +181,7 @@
     return r;
   };
   schedule(there, [this, i, life, op, answer, status, lose_answer, late] {
-    if (auto *f = std::get_if<core::StoreFollow>(&op.what)) {
+    if (auto *f = std::get_if<core::StoreWatch>(&op.what)) {
       if (lose_watches) return;
       if (t_ < outage_until_) return answer(status(503));
       expire_leases();
@@ -205,4 +205,4 @@
   });
 }
 
-} // namespace loft::test
+} // namespace loftrouter::test
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -3,8 +3,8 @@
 
 #include "scenario.hpp"
 
-using namespace loft;
-using namespace loft::test;
+using namespace loftrouter;
+using namespace loftrouter::test;
 
 TEST(World, QuietDayGetsEverythingDone) {
   World w(1, {});
@@ -406,7 +406,7 @@
 }
 
 TEST(Relay, AnAnswerReachesTheReportItWasMadeForOrNone) {
-  core::ReportRelay r(2, 10, 100);
+  core::HeartbeatForwarder r(2, 10, 100);
   auto a = r.take(1, "m-1", 0), b = r.take(2, "m-2", 0.1);
   ASSERT_TRUE(a && b);
   EXPECT_NE(*a, *b);
--- a/tests/world_users.cpp
+++ b/tests/world_users.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace loft::test {
+namespace loftrouter::test {
 
 using nlohmann::json;
 
@@ -154,7 +154,7 @@
       },
       [this, out, cmd](const core::Reply &r) {
         *out = {r.status, wire::decode(r.body).value_or(json())};
-        if constexpr (std::is_same_v<Cmd, core::CmdAbort>)
+        if constexpr (std::is_same_v<Cmd, core::CmdCancel>)
           if (r.status == 200 && out->body["status"] == "aborted") confirm_cancelled(told_[cmd.id]);
         if constexpr (requires { cmd.spec; }) {
           judge_answer(cmd.spec, r.status);
@@ -179,11 +179,11 @@
 
 std::shared_ptr<World::Answer> World::abort_at(int node, const std::string &id) {
   told_[id].cancel_asked = true;
-  return ask_once(node, core::CmdAbort{0, id});
+  return ask_once(node, core::CmdCancel{0, id});
 }
 
 std::shared_ptr<World::Answer> World::up(int node) {
-  return ask_once(node, core::CmdUp{0});
+  return ask_once(node, core::CmdHealthCheck{0});
 }
 
 std::shared_ptr<World::Answer> World::admin(int node, const std::string &method, const std::string &target,
@@ -218,7 +218,7 @@
   ask_as_user(
       node >= 0 ? node : static_cast<int>(rng_() % nodes_.size()),
       [id](core::RequestId q) {
-        return core::CmdAbort{q, id};
+        return core::CmdCancel{q, id};
       },
       [this, id, settled, retry](const core::Reply &r) {
         if (*settled) return;
@@ -233,4 +233,4 @@
   schedule(t_ + 5, retry);
 }
 
-} // namespace loft::test
+} // namespace loftrouter::test
--- a/tests/world_workers.cpp
+++ b/tests/world_workers.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace loft::test {
+namespace loftrouter::test {
 
 constexpr double kGangWait = 30; // s, that a task waits for the others of its gang
 
@@ -15,23 +15,23 @@
   if (t_ - b.lease_from > o_.lease_s) { // also while it hangs: nothing runs past its lease
     lease_kills += static_cast<int>(b.runs.size());
     free_all(b);
-    ++b.session;
+    ++b.incarnation;
     b.lease_from = t_;
   }
   if (t_ >= b.hang_until && !b.in_flight && t_ >= b.next_report) report(i);
   schedule(t_ + 0.1, [this, i] { worker_tick(i); });
 }
 
-WorkerReport World::make_report(Machine &b) {
-  WorkerReport r;
+Heartbeat World::make_report(Machine &b) {
+  Heartbeat r;
   r.machine = b.name;
   r.address = "10.0.0.9:9000";
   r.type = b.type;
   r.zone = b.zone;
   r.spot = b.spot;
-  r.session = b.session;
-  r.seq = ++b.seq;
-  r.token = b.token;
+  r.incarnation = b.incarnation;
+  r.sequence = ++b.sequence;
+  r.fencing_token = b.fencing_token;
   for (auto &x : b.runs)
     r.tasks.push_back({x.job, x.index, x.attempt, x.phase, x.cause, x.saved});
   return r;
@@ -40,11 +40,11 @@
 void World::report(std::size_t i) {
   Machine &b = machines_[i];
   b.in_flight = true;
-  b.next_report = t_ + o_.report_s * uniform(0.75, 1.25);
+  b.next_report = t_ + o_.heartbeat_interval_s * uniform(0.75, 1.25);
   auto no = ++b.report_no;
   int node = b.node;
   double sent = t_;
-  auto session = b.session;
+  auto incarnation = b.incarnation;
   auto r = make_report(b);
   auto next_node = [this, i, no](int to) {
     Machine &x = machines_[i];
@@ -69,7 +69,7 @@
       ask(
           to,
           [r](core::RequestId q) {
-            return core::CmdReport{q, r};
+            return core::CmdHeartbeat{q, r};
           },
           [](const core::Reply &) {});
     });
@@ -89,14 +89,14 @@
   } else if (chance(o_.loss)) {
     there = t_ + uniform(0.1, 60); // late, when the worker has long given up
   }
-  schedule(there, [this, i, node, r, no, sent, session, next_node, lose_answer] {
+  schedule(there, [this, i, node, r, no, sent, incarnation, next_node, lose_answer] {
     if (!nodes_[static_cast<std::size_t>(node)].core) return next_node(-1);
     ask(
         node,
         [r](core::RequestId q) {
-          return core::CmdReport{q, r};
+          return core::CmdHeartbeat{q, r};
         },
-        [this, i, node, no, sent, session, next_node, lose_answer](const core::Reply &a) {
+        [this, i, node, no, sent, incarnation, next_node, lose_answer](const core::Reply &a) {
           if (lose_answer || t_ < machines_[i].inbound_cut_until) return;
           if (between(machines_[i].zone, nodes_[static_cast<std::size_t>(node)].zone)) return; // given up by its end
           auto answer = a;
@@ -107,7 +107,7 @@
           }
           // A machine that stands still reads it when it goes on.
           if (back < machines_[i].hang_until && machines_[i].hang_until < sent + 4) back = machines_[i].hang_until;
-          schedule(back, [this, i, no, sent, session, next_node, answer] {
+          schedule(back, [this, i, no, sent, incarnation, next_node, answer] {
             Machine &x = machines_[i];
             // A response that the worker no longer waits for is dropped.
             if (x.gone || !x.up || x.report_no != no || !x.in_flight || t_ < x.hang_until) return;
@@ -118,17 +118,17 @@
             }
             if (answer.status != 200) return next_node(-1);
             x.in_flight = false;
-            take_response(i, session, sent, body);
+            take_response(i, incarnation, sent, body);
           });
         });
   });
 }
 
-void World::take_response(std::size_t i, std::uint64_t session, double sent, const json &body) {
+void World::take_response(std::size_t i, std::uint64_t incarnation, double sent, const json &body) {
   Machine &b = machines_[i];
-  std::uint64_t token = body.value("baton", 0ULL);
-  if (session != b.session || token < b.token || token == 0) return;
-  b.token = token;
+  std::uint64_t fencing_token = body.value("baton", 0ULL);
+  if (incarnation != b.incarnation || fencing_token < b.fencing_token || fencing_token == 0) return;
+  b.fencing_token = fencing_token;
   b.lease_from = std::max(b.lease_from, sent);
   for (const auto &o : body["orders"]) {
     auto name = o["piece"].get<std::string>();
@@ -174,7 +174,7 @@
     if (x.job == job && x.index == index && x.phase != TaskPhase::Exited) return refuse(ExitCause::Busy);
   if (!told->spec.need.fits(free)) return refuse(ExitCause::NoRoom);
   b.runs.push_back(r);
-  double fetch = b.images.count(told->spec.image) ? 0.01 : uniform(o_.fetch_least, o_.fetch_most);
+  double fetch = b.images.count(told->spec.image) ? 0.01 : uniform(o_.min_fetch, o_.max_fetch);
   schedule(t_ + fetch, [this, i, serial = r.serial] { progress(i, serial); });
 }
 
@@ -483,4 +483,4 @@
   schedule(t_ + 0.5, [this] { periodic_check(); });
 }
 
-} // namespace loft::test
+} // namespace loftrouter::test
