--- a/bench/scale/scenario.hpp
+++ b/bench/scale/scenario.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/types.hpp"
+#include "loftrouter/model/types.hpp"
 
 namespace loftrouter::scale {
 
--- a/bench/scale/stand_in_cloud.hpp
+++ b/bench/scale/stand_in_cloud.hpp
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/types.hpp"
-#include "loftrouter/core/util.hpp"
+#include "loftrouter/core/runtime/util.hpp"
+#include "loftrouter/model/types.hpp"
 #include "loftrouter/net/loop.hpp"
 #include "loftrouter/net/server.hpp"
 #include "loftrouter/wire/cbor.hpp"
--- a/bench/scale/workload.hpp
+++ b/bench/scale/workload.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/settings.hpp"
+#include "loftrouter/model/settings.hpp"
 #include "scenario.hpp"
 
 namespace loftrouter::scale {
--- a/include/loftrouter/app/daemon.hpp
+++ b/include/loftrouter/app/daemon.hpp
@@ -1,7 +1,7 @@
 // Wiring: sockets on one side, the core's commands and effects on the other.
 #pragma once
 
-#include "loftrouter/core/settings.hpp"
+#include "loftrouter/model/settings.hpp"
 
 namespace loftrouter::app {
 
--- a/include/loftrouter/app/features.hpp
+++ b/include/loftrouter/app/features.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <variant>
 
-#include "loftrouter/core/settings.hpp"
+#include "loftrouter/model/settings.hpp"
 
 namespace loftrouter::app {
 
--- a/include/loftrouter/cloud/cloud.hpp
+++ b/include/loftrouter/cloud/cloud.hpp
@@ -3,7 +3,7 @@
 
 #include <functional>
 
-#include "loftrouter/core/effects.hpp"
+#include "loftrouter/core/runtime/effects.hpp"
 #include "loftrouter/net/client.hpp"
 
 namespace loftrouter::cloud {
--- a/include/loftrouter/core/administration.hpp
+++ b/include/loftrouter/core/api/administration_api_handler.hpp
@@ -5,11 +5,11 @@
 
 #include <string_view>
 
-#include "loftrouter/core/cells.hpp"
-#include "loftrouter/core/configuration_desk.hpp"
-#include "loftrouter/core/insight.hpp"
-#include "loftrouter/core/reports.hpp"
-#include "loftrouter/core/served.hpp"
+#include "loftrouter/core/api/configuration_api_handler.hpp"
+#include "loftrouter/core/api/service_level_counters.hpp"
+#include "loftrouter/core/api/status_reporter.hpp"
+#include "loftrouter/core/federation/cell_federation.hpp"
+#include "loftrouter/core/heartbeats/heartbeat_handler.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/configuration_desk.hpp
+++ b/include/loftrouter/core/api/configuration_api_handler.hpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/operators.hpp"
-#include "loftrouter/core/quota_exchange.hpp"
+#include "loftrouter/core/configuration/operator_settings.hpp"
+#include "loftrouter/core/federation/quota_exchange.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/chronicle.hpp
+++ b/include/loftrouter/core/api/event_log.hpp
@@ -1,8 +1,8 @@
 // Writes what has happened to the log. A listener: it owns nothing and changes nothing.
 #pragma once
 
-#include "loftrouter/core/events.hpp"
-#include "loftrouter/core/fleet.hpp"
+#include "loftrouter/core/runtime/events.hpp"
+#include "loftrouter/core/workers/worker_registry.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/users.hpp
+++ b/include/loftrouter/core/api/job_api_handler.hpp
@@ -13,8 +13,8 @@
 #include <string>
 #include <unordered_map>
 
-#include "loftrouter/core/insight.hpp"
-#include "loftrouter/core/relay.hpp"
+#include "loftrouter/core/api/status_reporter.hpp"
+#include "loftrouter/core/heartbeats/heartbeat_forwarding.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/served.hpp
+++ b/include/loftrouter/core/api/service_level_counters.hpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/dependencies.hpp"
-#include "loftrouter/core/events.hpp"
+#include "loftrouter/core/jobs/dependencies.hpp"
+#include "loftrouter/core/runtime/events.hpp"
 #include "loftrouter/wire/admin.hpp"
 
 namespace loftrouter::core {
--- a/include/loftrouter/core/insight.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -10,8 +10,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "loftrouter/core/scaler.hpp"
-#include "loftrouter/core/siblings.hpp"
+#include "loftrouter/core/autoscaling/autoscaler.hpp"
+#include "loftrouter/core/connectivity/replicas.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/scaler.hpp
+++ b/include/loftrouter/core/autoscaling/autoscaler.hpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/placer.hpp"
-#include "loftrouter/core/silence.hpp"
+#include "loftrouter/core/liveness/failure_detector.hpp"
+#include "loftrouter/core/scheduling/scheduler.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/catalogue.hpp
+++ b/include/loftrouter/core/catalog/instance_type_catalog.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/util.hpp"
+#include "loftrouter/core/runtime/util.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/applied.hpp
+++ b/include/loftrouter/core/configuration/applied_configuration.hpp
@@ -3,8 +3,8 @@
 // Owns that record. It is written after what it says is so, seldom, and only when something was configured.
 #pragma once
 
-#include "loftrouter/core/budget.hpp"
-#include "loftrouter/core/configuration.hpp"
+#include "loftrouter/core/configuration/configuration.hpp"
+#include "loftrouter/core/runtime/state_service_limits.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/configuration.hpp
+++ b/include/loftrouter/core/configuration/configuration.hpp
@@ -13,9 +13,9 @@
 #include <string_view>
 #include <vector>
 
-#include "loftrouter/core/events.hpp"
-#include "loftrouter/core/port.hpp"
-#include "loftrouter/core/settings.hpp"
+#include "loftrouter/core/runtime/events.hpp"
+#include "loftrouter/core/runtime/runtime.hpp"
+#include "loftrouter/model/settings.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/operators.hpp
+++ b/include/loftrouter/core/configuration/operator_settings.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/configuration.hpp"
+#include "loftrouter/core/configuration/configuration.hpp"
 #include "loftrouter/wire/admin.hpp"
 
 namespace loftrouter::core {
--- a/include/loftrouter/core/reach.hpp
+++ b/include/loftrouter/core/connectivity/connectivity_monitor.hpp
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/relay.hpp"
-#include "loftrouter/core/siblings.hpp"
-#include "loftrouter/core/silence.hpp"
+#include "loftrouter/core/connectivity/replicas.hpp"
+#include "loftrouter/core/heartbeats/heartbeat_forwarding.hpp"
+#include "loftrouter/core/liveness/failure_detector.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/siblings.hpp
+++ b/include/loftrouter/core/connectivity/replicas.hpp
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/budget.hpp"
-#include "loftrouter/core/cancellations.hpp"
-#include "loftrouter/core/events.hpp"
-#include "loftrouter/core/leadership.hpp"
+#include "loftrouter/core/election/leadership.hpp"
+#include "loftrouter/core/runtime/events.hpp"
+#include "loftrouter/core/runtime/state_service_limits.hpp"
+#include "loftrouter/core/state/cancellations.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/core.hpp
+++ b/include/loftrouter/core/core.hpp
@@ -6,16 +6,16 @@
 // has to tell the others goes out as events. docs/design.md has the picture.
 #pragma once
 
-#include "loftrouter/core/administration.hpp"
-#include "loftrouter/core/applied.hpp"
-#include "loftrouter/core/cells.hpp"
-#include "loftrouter/core/chronicle.hpp"
-#include "loftrouter/core/insight.hpp"
-#include "loftrouter/core/quota_exchange.hpp"
-#include "loftrouter/core/reports.hpp"
-#include "loftrouter/core/served.hpp"
-#include "loftrouter/core/users.hpp"
-#include "loftrouter/core/watch.hpp"
+#include "loftrouter/core/api/administration_api_handler.hpp"
+#include "loftrouter/core/api/event_log.hpp"
+#include "loftrouter/core/api/job_api_handler.hpp"
+#include "loftrouter/core/api/service_level_counters.hpp"
+#include "loftrouter/core/api/status_reporter.hpp"
+#include "loftrouter/core/configuration/applied_configuration.hpp"
+#include "loftrouter/core/federation/cell_federation.hpp"
+#include "loftrouter/core/federation/quota_exchange.hpp"
+#include "loftrouter/core/heartbeats/heartbeat_handler.hpp"
+#include "loftrouter/core/state/state_watch.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/leadership.hpp
+++ b/include/loftrouter/core/election/leadership.hpp
@@ -10,10 +10,10 @@
 #include <string>
 #include <string_view>
 
-#include "loftrouter/core/catalogue.hpp"
-#include "loftrouter/core/events.hpp"
-#include "loftrouter/core/port.hpp"
-#include "loftrouter/core/settings.hpp"
+#include "loftrouter/core/catalog/instance_type_catalog.hpp"
+#include "loftrouter/core/runtime/events.hpp"
+#include "loftrouter/core/runtime/runtime.hpp"
+#include "loftrouter/model/settings.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/cells.hpp
+++ b/include/loftrouter/core/federation/cell_federation.hpp
@@ -17,12 +17,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "loftrouter/cells/handover.hpp"
-#include "loftrouter/cells/membership.hpp"
-#include "loftrouter/cells/plan.hpp"
-#include "loftrouter/core/relay.hpp"
-#include "loftrouter/core/scaler.hpp"
-#include "loftrouter/core/siblings.hpp"
+#include "loftrouter/core/autoscaling/autoscaler.hpp"
+#include "loftrouter/core/connectivity/replicas.hpp"
+#include "loftrouter/core/federation/cell_membership.hpp"
+#include "loftrouter/core/federation/delegation_plan.hpp"
+#include "loftrouter/core/federation/delegation_protocol.hpp"
+#include "loftrouter/core/heartbeats/heartbeat_forwarding.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/cells/plan.hpp
+++ b/include/loftrouter/core/federation/delegation_plan.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/types.hpp"
+#include "loftrouter/model/types.hpp"
 #include "loftrouter/wire/cell.hpp"
 
 namespace loftrouter::cells {
--- a/include/loftrouter/core/quota_exchange.hpp
+++ b/include/loftrouter/core/federation/quota_exchange.hpp
@@ -10,8 +10,8 @@
 #include <set>
 #include <string>
 
-#include "loftrouter/core/cells.hpp"
-#include "loftrouter/core/quota_changes.hpp"
+#include "loftrouter/core/federation/cell_federation.hpp"
+#include "loftrouter/core/quotas/quota_changes.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/relay.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_forwarding.hpp
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "loftrouter/core/util.hpp"
+#include "loftrouter/core/runtime/util.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/reports.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
@@ -9,8 +9,8 @@
 #include <string_view>
 #include <vector>
 
-#include "loftrouter/core/fleet.hpp"
-#include "loftrouter/core/reach.hpp"
+#include "loftrouter/core/connectivity/connectivity_monitor.hpp"
+#include "loftrouter/core/workers/worker_registry.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/dependencies.hpp
+++ b/include/loftrouter/core/jobs/dependencies.hpp
@@ -17,10 +17,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "loftrouter/core/budget.hpp"
-#include "loftrouter/core/events.hpp"
-#include "loftrouter/core/jobs.hpp"
-#include "loftrouter/core/leadership.hpp"
+#include "loftrouter/core/election/leadership.hpp"
+#include "loftrouter/core/jobs/job_table.hpp"
+#include "loftrouter/core/runtime/events.hpp"
+#include "loftrouter/core/runtime/state_service_limits.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/judge.hpp
+++ b/include/loftrouter/core/jobs/failure_attribution.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/events.hpp"
-#include "loftrouter/core/jobs.hpp"
-#include "loftrouter/core/operators.hpp"
+#include "loftrouter/core/configuration/operator_settings.hpp"
+#include "loftrouter/core/jobs/job_table.hpp"
+#include "loftrouter/core/runtime/events.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/wishes.hpp
+++ b/include/loftrouter/core/jobs/job_objectives.hpp
@@ -3,8 +3,8 @@
 
 #include <optional>
 
-#include "loftrouter/core/settings.hpp"
-#include "loftrouter/core/types.hpp"
+#include "loftrouter/model/settings.hpp"
+#include "loftrouter/model/types.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/jobs.hpp
+++ b/include/loftrouter/core/jobs/job_table.hpp
@@ -11,10 +11,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "loftrouter/core/events.hpp"
-#include "loftrouter/core/port.hpp"
-#include "loftrouter/core/settings.hpp"
-#include "loftrouter/core/util.hpp"
+#include "loftrouter/core/runtime/events.hpp"
+#include "loftrouter/core/runtime/runtime.hpp"
+#include "loftrouter/core/runtime/util.hpp"
+#include "loftrouter/model/settings.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/reasons.hpp
+++ b/include/loftrouter/core/jobs/pending_reasons.hpp
@@ -6,10 +6,10 @@
 #include <string_view>
 #include <vector>
 
-#include "loftrouter/core/dependencies.hpp"
-#include "loftrouter/core/events.hpp"
-#include "loftrouter/core/judge.hpp"
-#include "loftrouter/core/wishes.hpp"
+#include "loftrouter/core/jobs/dependencies.hpp"
+#include "loftrouter/core/jobs/failure_attribution.hpp"
+#include "loftrouter/core/jobs/job_objectives.hpp"
+#include "loftrouter/core/runtime/events.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/silence.hpp
+++ b/include/loftrouter/core/liveness/failure_detector.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/fleet.hpp"
+#include "loftrouter/core/workers/worker_registry.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/quota_changes.hpp
+++ b/include/loftrouter/core/quotas/quota_changes.hpp
@@ -10,8 +10,8 @@
 #include <map>
 #include <string>
 
-#include "loftrouter/core/budget.hpp"
-#include "loftrouter/core/quotas.hpp"
+#include "loftrouter/core/quotas/quotas.hpp"
+#include "loftrouter/core/runtime/state_service_limits.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/quotas.hpp
+++ b/include/loftrouter/core/quotas/quotas.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/configuration.hpp"
-#include "loftrouter/core/fleet.hpp"
+#include "loftrouter/core/configuration/configuration.hpp"
+#include "loftrouter/core/workers/worker_registry.hpp"
 #include "loftrouter/wire/configuration.hpp"
 
 namespace loftrouter::core {
--- a/include/loftrouter/core/commands.hpp
+++ b/include/loftrouter/core/runtime/commands.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <variant>
 
-#include "loftrouter/core/types.hpp"
+#include "loftrouter/model/types.hpp"
 #include "loftrouter/wire/admin.hpp"
 #include "loftrouter/wire/cell.hpp"
 #include "loftrouter/wire/messages.hpp"
--- a/include/loftrouter/core/effects.hpp
+++ b/include/loftrouter/core/runtime/effects.hpp
@@ -7,8 +7,8 @@
 #include <variant>
 #include <vector>
 
-#include "loftrouter/core/commands.hpp"
-#include "loftrouter/core/log.hpp"
+#include "loftrouter/core/runtime/commands.hpp"
+#include "loftrouter/core/runtime/log.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/events.hpp
+++ b/include/loftrouter/core/runtime/events.hpp
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-#include "loftrouter/core/types.hpp"
+#include "loftrouter/model/types.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/port.hpp
+++ b/include/loftrouter/core/runtime/runtime.hpp
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "loftrouter/core/effects.hpp"
+#include "loftrouter/core/runtime/effects.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/budget.hpp
+++ b/include/loftrouter/core/runtime/state_service_limits.hpp
@@ -10,8 +10,8 @@
 #include <optional>
 #include <vector>
 
-#include "loftrouter/core/settings.hpp"
-#include "loftrouter/core/util.hpp"
+#include "loftrouter/core/runtime/util.hpp"
+#include "loftrouter/model/settings.hpp"
 #include "loftrouter/wire/cbor.hpp"
 
 namespace loftrouter::core {
--- a/include/loftrouter/core/util.hpp
+++ b/include/loftrouter/core/runtime/util.hpp
@@ -7,7 +7,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "loftrouter/core/types.hpp"
+#include "loftrouter/model/types.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/placement.hpp
+++ b/include/loftrouter/core/scheduling/placement.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "loftrouter/core/types.hpp"
+#include "loftrouter/model/types.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/placer.hpp
+++ b/include/loftrouter/core/scheduling/scheduler.hpp
@@ -10,12 +10,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "loftrouter/core/dependencies.hpp"
-#include "loftrouter/core/fleet.hpp"
-#include "loftrouter/core/judge.hpp"
-#include "loftrouter/core/placement.hpp"
-#include "loftrouter/core/quotas.hpp"
-#include "loftrouter/core/wishes.hpp"
+#include "loftrouter/core/jobs/dependencies.hpp"
+#include "loftrouter/core/jobs/failure_attribution.hpp"
+#include "loftrouter/core/jobs/job_objectives.hpp"
+#include "loftrouter/core/quotas/quotas.hpp"
+#include "loftrouter/core/scheduling/placement.hpp"
+#include "loftrouter/core/workers/worker_registry.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/cancellations.hpp
+++ b/include/loftrouter/core/state/cancellations.hpp
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "loftrouter/core/events.hpp"
-#include "loftrouter/core/jobs.hpp"
-#include "loftrouter/core/leadership.hpp"
+#include "loftrouter/core/election/leadership.hpp"
+#include "loftrouter/core/jobs/job_table.hpp"
+#include "loftrouter/core/runtime/events.hpp"
 #include "loftrouter/wire/peer.hpp"
 
 namespace loftrouter::core {
--- a/include/loftrouter/core/watch.hpp
+++ b/include/loftrouter/core/state/state_watch.hpp
@@ -6,9 +6,9 @@
 
 #include <string>
 
-#include "loftrouter/core/cancellations.hpp"
-#include "loftrouter/core/leadership.hpp"
-#include "loftrouter/core/recorder.hpp"
+#include "loftrouter/core/election/leadership.hpp"
+#include "loftrouter/core/state/cancellations.hpp"
+#include "loftrouter/core/state/state_writer.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/recorder.hpp
+++ b/include/loftrouter/core/state/state_writer.hpp
@@ -13,13 +13,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "loftrouter/core/budget.hpp"
-#include "loftrouter/core/dependencies.hpp"
-#include "loftrouter/core/events.hpp"
-#include "loftrouter/core/judge.hpp"
-#include "loftrouter/core/leadership.hpp"
-#include "loftrouter/core/ledger.hpp"
-#include "loftrouter/core/reasons.hpp"
+#include "loftrouter/core/election/leadership.hpp"
+#include "loftrouter/core/jobs/dependencies.hpp"
+#include "loftrouter/core/jobs/failure_attribution.hpp"
+#include "loftrouter/core/jobs/pending_reasons.hpp"
+#include "loftrouter/core/runtime/events.hpp"
+#include "loftrouter/core/runtime/state_service_limits.hpp"
+#include "loftrouter/core/state/usage_ledger.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/ledger.hpp
+++ b/include/loftrouter/core/state/usage_ledger.hpp
@@ -10,10 +10,10 @@
 #include <utility>
 #include <vector>
 
-#include "loftrouter/core/catalogue.hpp"
-#include "loftrouter/core/events.hpp"
-#include "loftrouter/core/jobs.hpp"
-#include "loftrouter/core/operators.hpp"
+#include "loftrouter/core/catalog/instance_type_catalog.hpp"
+#include "loftrouter/core/configuration/operator_settings.hpp"
+#include "loftrouter/core/jobs/job_table.hpp"
+#include "loftrouter/core/runtime/events.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/fleet.hpp
+++ b/include/loftrouter/core/workers/worker_registry.hpp
@@ -14,12 +14,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "loftrouter/core/catalogue.hpp"
-#include "loftrouter/core/events.hpp"
-#include "loftrouter/core/jobs.hpp"
-#include "loftrouter/core/leadership.hpp"
-#include "loftrouter/core/operators.hpp"
-#include "loftrouter/core/recorder.hpp"
+#include "loftrouter/core/catalog/instance_type_catalog.hpp"
+#include "loftrouter/core/configuration/operator_settings.hpp"
+#include "loftrouter/core/election/leadership.hpp"
+#include "loftrouter/core/jobs/job_table.hpp"
+#include "loftrouter/core/runtime/events.hpp"
+#include "loftrouter/core/state/state_writer.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/wire/admin.hpp
+++ b/include/loftrouter/wire/admin.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "loftrouter/accounts/period.hpp"
-#include "loftrouter/core/types.hpp"
+#include "loftrouter/model/types.hpp"
 #include "loftrouter/wire/cbor.hpp"
 #include "loftrouter/wire/configuration.hpp"
 
--- a/include/loftrouter/wire/admin_configuration.hpp
+++ b/include/loftrouter/wire/admin_configuration.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/settings.hpp"
+#include "loftrouter/model/settings.hpp"
 #include "loftrouter/wire/configuration.hpp"
 
 namespace loftrouter::wire {
--- a/include/loftrouter/wire/cell.hpp
+++ b/include/loftrouter/wire/cell.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "loftrouter/accounts/usage.hpp"
-#include "loftrouter/core/types.hpp"
+#include "loftrouter/model/types.hpp"
 #include "loftrouter/wire/peer.hpp"
 
 namespace loftrouter::wire {
--- a/include/loftrouter/wire/messages.hpp
+++ b/include/loftrouter/wire/messages.hpp
@@ -7,7 +7,7 @@
 #include <variant>
 #include <vector>
 
-#include "loftrouter/core/types.hpp"
+#include "loftrouter/model/types.hpp"
 #include "loftrouter/wire/cbor.hpp"
 
 namespace loftrouter::wire {
--- a/include/loftrouter/wire/peer.hpp
+++ b/include/loftrouter/wire/peer.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "loftrouter/core/types.hpp"
+#include "loftrouter/model/types.hpp"
 
 namespace loftrouter::wire {
 
--- a/src/accounts/usage.cpp
+++ b/src/accounts/usage.cpp
@@ -3,7 +3,7 @@
 #include <charconv>
 #include <cmath>
 
-#include "loftrouter/core/types.hpp"
+#include "loftrouter/model/types.hpp"
 
 namespace loftrouter::accounts {
 
--- a/src/core/administration.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/administration.hpp"
+#include "loftrouter/core/api/administration_api_handler.hpp"
 
 #include <algorithm>
 #include <map>
--- a/src/core/configuration_desk.cpp
+++ b/src/core/api/configuration_api_handler.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/configuration_desk.hpp"
+#include "loftrouter/core/api/configuration_api_handler.hpp"
 
 #include <algorithm>
 
--- a/src/core/chronicle.cpp
+++ b/src/core/api/event_log.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/chronicle.hpp"
+#include "loftrouter/core/api/event_log.hpp"
 
 namespace loftrouter::core {
 
--- a/src/core/users.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/users.hpp"
+#include "loftrouter/core/api/job_api_handler.hpp"
 
 #include <algorithm>
 #include <set>
--- a/src/core/served.cpp
+++ b/src/core/api/service_level_counters.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/served.hpp"
+#include "loftrouter/core/api/service_level_counters.hpp"
 
 #include <algorithm>
 
--- a/src/core/insight.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/insight.hpp"
+#include "loftrouter/core/api/status_reporter.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/scaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/scaler.hpp"
+#include "loftrouter/core/autoscaling/autoscaler.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/catalogue.cpp
+++ b/src/core/catalog/instance_type_catalog.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/catalogue.hpp"
+#include "loftrouter/core/catalog/instance_type_catalog.hpp"
 
 #include <limits>
 
--- a/src/core/applied.cpp
+++ b/src/core/configuration/applied_configuration.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/applied.hpp"
+#include "loftrouter/core/configuration/applied_configuration.hpp"
 
 #include "loftrouter/wire/configuration.hpp"
 
--- a/src/core/configuration.cpp
+++ b/src/core/configuration/configuration.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/configuration.hpp"
+#include "loftrouter/core/configuration/configuration.hpp"
 
 #include <algorithm>
 
--- a/src/core/operators.cpp
+++ b/src/core/configuration/operator_settings.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/operators.hpp"
+#include "loftrouter/core/configuration/operator_settings.hpp"
 
 #include "loftrouter/wire/configuration.hpp"
 
--- a/src/core/reach.cpp
+++ b/src/core/connectivity/connectivity_monitor.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/reach.hpp"
+#include "loftrouter/core/connectivity/connectivity_monitor.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/siblings.cpp
+++ b/src/core/connectivity/replicas.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/siblings.hpp"
+#include "loftrouter/core/connectivity/replicas.hpp"
 
 #include <algorithm>
 
--- a/src/core/leadership.cpp
+++ b/src/core/election/leadership.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/leadership.hpp"
+#include "loftrouter/core/election/leadership.hpp"
 
 namespace loftrouter::core {
 
--- a/src/core/cells_survey.cpp
+++ b/src/core/federation/capacity_survey.cpp
@@ -1,5 +1,5 @@
 // Cells: what this one tells others of itself, and how long its own work will wait.
-#include "cells_terms.hpp"
+#include "federation_limits.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/cells.cpp
+++ b/src/core/federation/cell_federation.cpp
@@ -1,5 +1,5 @@
 // Cells: the frames between them, time and events. What it does as home and as borrower is in files of its own.
-#include "cells_terms.hpp"
+#include "federation_limits.hpp"
 
 #include <algorithm>
 
--- a/src/cells/membership.cpp
+++ b/src/core/federation/cell_membership.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/cells/membership.hpp"
+#include "loftrouter/core/federation/cell_membership.hpp"
 
 #include <algorithm>
 
--- a/src/cells/plan.cpp
+++ b/src/core/federation/delegation_plan.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/cells/plan.hpp"
+#include "loftrouter/core/federation/delegation_plan.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/cells/handover.cpp
+++ b/src/core/federation/delegation_protocol.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/cells/handover.hpp"
+#include "loftrouter/core/federation/delegation_protocol.hpp"
 
 #include <algorithm>
 
--- a/src/core/cells_borrower.cpp
+++ b/src/core/federation/delegations_in.cpp
@@ -1,5 +1,5 @@
 // Cells, as the borrower: what is taken, kept confirmed, told of and given back.
-#include "cells_terms.hpp"
+#include "federation_limits.hpp"
 
 #include <algorithm>
 
--- a/src/core/cells_home.cpp
+++ b/src/core/federation/delegations_out.cpp
@@ -1,5 +1,5 @@
 // Cells, as the home of jobs: what is lent, to whom, and how each loan goes on and ends.
-#include "cells_terms.hpp"
+#include "federation_limits.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/cells_terms.hpp
+++ b/src/core/federation/federation_limits.hpp
@@ -1,7 +1,7 @@
 // Bounds and intervals of the work that cells lend to each other, for the sources of `CellFederation` alone.
 #pragma once
 
-#include "loftrouter/core/cells.hpp"
+#include "loftrouter/core/federation/cell_federation.hpp"
 
 namespace loftrouter::core::lending {
 
--- a/src/core/quota_exchange.cpp
+++ b/src/core/federation/quota_exchange.cpp
@@ -1,8 +1,8 @@
-#include "loftrouter/core/quota_exchange.hpp"
+#include "loftrouter/core/federation/quota_exchange.hpp"
 
 #include <charconv>
 
-#include "loftrouter/cells/shares.hpp"
+#include "loftrouter/core/quotas/quota_shares.hpp"
 
 namespace loftrouter::core {
 
--- a/src/core/relay.cpp
+++ b/src/core/heartbeats/heartbeat_forwarding.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/relay.hpp"
+#include "loftrouter/core/heartbeats/heartbeat_forwarding.hpp"
 
 namespace loftrouter::core {
 
--- a/src/core/reports.cpp
+++ b/src/core/heartbeats/heartbeat_handler.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/reports.hpp"
+#include "loftrouter/core/heartbeats/heartbeat_handler.hpp"
 
 #include <algorithm>
 
--- a/src/core/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/dependencies.hpp"
+#include "loftrouter/core/jobs/dependencies.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/core/judge.cpp
+++ b/src/core/jobs/failure_attribution.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/judge.hpp"
+#include "loftrouter/core/jobs/failure_attribution.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/wishes.cpp
+++ b/src/core/jobs/job_objectives.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/wishes.hpp"
+#include "loftrouter/core/jobs/job_objectives.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/jobs.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/jobs.hpp"
+#include "loftrouter/core/jobs/job_table.hpp"
 
 #include <algorithm>
 #include <cassert>
--- a/src/core/reasons.cpp
+++ b/src/core/jobs/pending_reasons.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/reasons.hpp"
+#include "loftrouter/core/jobs/pending_reasons.hpp"
 
 #include <fmt/format.h>
 
--- a/src/core/silence.cpp
+++ b/src/core/liveness/failure_detector.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/silence.hpp"
+#include "loftrouter/core/liveness/failure_detector.hpp"
 
 #include <algorithm>
 
--- a/src/core/quota_changes.cpp
+++ b/src/core/quotas/quota_changes.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/quota_changes.hpp"
+#include "loftrouter/core/quotas/quota_changes.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -6,7 +6,7 @@
 
 #include <fmt/format.h>
 
-#include "loftrouter/cells/shares.hpp"
+#include "loftrouter/core/quotas/quota_shares.hpp"
 
 namespace loftrouter::core {
 
--- a/src/cells/shares.cpp
+++ b/src/core/quotas/quota_shares.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/cells/shares.hpp"
+#include "loftrouter/core/quotas/quota_shares.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/core/quotas.cpp
+++ b/src/core/quotas/quotas.cpp
@@ -1,10 +1,10 @@
-#include "loftrouter/core/quotas.hpp"
+#include "loftrouter/core/quotas/quotas.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-#include "loftrouter/cells/shares.hpp"
+#include "loftrouter/core/quotas/quota_shares.hpp"
 
 namespace loftrouter::core {
 
--- a/src/core/log.cpp
+++ b/src/core/runtime/log.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/log.hpp"
+#include "loftrouter/core/runtime/log.hpp"
 
 #include <algorithm>
 
--- a/src/core/port.cpp
+++ b/src/core/runtime/runtime.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/port.hpp"
+#include "loftrouter/core/runtime/runtime.hpp"
 
 #include <algorithm>
 
--- a/src/core/budget.cpp
+++ b/src/core/runtime/state_service_limits.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/budget.hpp"
+#include "loftrouter/core/runtime/state_service_limits.hpp"
 
 #include <algorithm>
 
--- a/src/core/util.cpp
+++ b/src/core/runtime/util.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/util.hpp"
+#include "loftrouter/core/runtime/util.hpp"
 
 namespace loftrouter::core {
 
--- a/src/core/placement.cpp
+++ b/src/core/scheduling/placement.cpp
@@ -1,10 +1,10 @@
-#include "loftrouter/core/placement.hpp"
+#include "loftrouter/core/scheduling/placement.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-#include "loftrouter/core/util.hpp"
+#include "loftrouter/core/runtime/util.hpp"
 
 namespace loftrouter::core {
 
--- a/src/core/placer.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/placer.hpp"
+#include "loftrouter/core/scheduling/scheduler.hpp"
 
 #include <algorithm>
 #include <cassert>
--- a/src/core/cancellations.cpp
+++ b/src/core/state/cancellations.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/cancellations.hpp"
+#include "loftrouter/core/state/cancellations.hpp"
 
 #include <algorithm>
 
--- a/src/core/watch.cpp
+++ b/src/core/state/state_watch.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/watch.hpp"
+#include "loftrouter/core/state/state_watch.hpp"
 
 #include <algorithm>
 #include <set>
--- a/src/core/recorder.cpp
+++ b/src/core/state/state_writer.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/recorder.hpp"
+#include "loftrouter/core/state/state_writer.hpp"
 
 #include <algorithm>
 
--- a/src/core/ledger.cpp
+++ b/src/core/state/usage_ledger.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/ledger.hpp"
+#include "loftrouter/core/state/usage_ledger.hpp"
 
 #include <algorithm>
 #include <cassert>
--- a/src/core/fleet.cpp
+++ b/src/core/workers/worker_registry.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/fleet.hpp"
+#include "loftrouter/core/workers/worker_registry.hpp"
 
 #include <algorithm>
 #include <cassert>
--- a/src/net/couriers.cpp
+++ b/src/net/outbound_request_pool.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/net/couriers.hpp"
+#include "loftrouter/net/outbound_request_pool.hpp"
 
 #include <algorithm>
 
--- a/tests/cells_plan_test.cpp
+++ b/tests/cells_plan_test.cpp
@@ -4,8 +4,8 @@
 #include <cmath>
 #include <random>
 
-#include "loftrouter/cells/membership.hpp"
-#include "loftrouter/cells/plan.hpp"
+#include "loftrouter/core/federation/cell_membership.hpp"
+#include "loftrouter/core/federation/delegation_plan.hpp"
 
 using namespace loftrouter;
 using namespace loftrouter::cells;
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -7,7 +7,7 @@
 #include <random>
 
 #include "federation.hpp"
-#include "loftrouter/cells/shares.hpp"
+#include "loftrouter/core/quotas/quota_shares.hpp"
 #include "loftrouter/wire/admin_configuration.hpp"
 #include "scenario.hpp"
 
--- a/tests/fingerprint/effects_hash.hpp
+++ b/tests/fingerprint/effects_hash.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "loftrouter/core/effects.hpp"
+#include "loftrouter/core/runtime/effects.hpp"
 
 namespace loftrouter::fingerprint {
 
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -11,7 +11,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "loftrouter/cells/handover.hpp"
+#include "loftrouter/core/federation/delegation_protocol.hpp"
 
 using namespace loftrouter::cells;
 
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -3,7 +3,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "loftrouter/core/log.hpp"
+#include "loftrouter/core/runtime/log.hpp"
 
 using namespace loftrouter::core;
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <random>
 
-#include "loftrouter/core/placement.hpp"
-#include "loftrouter/core/util.hpp"
+#include "loftrouter/core/runtime/util.hpp"
+#include "loftrouter/core/scheduling/placement.hpp"
 
 using namespace loftrouter;
 using namespace loftrouter::core;
