--- a/tests/daemon_test.cpp
+++ b/tests/daemon_test.cpp
@@ -201,7 +201,7 @@
 // What the client prints, and its exit code.
 std::pair<std::string, int> run_client(const std::string &arguments) {
   std::string out;
-  FILE *p = ::popen((std::string(LOFT) + " " + arguments + " 2>&1").c_str(), "r");
+  FILE *p = ::popen((std::string(LOFTROUTERCTL) + " " + arguments + " 2>&1").c_str(), "r");
   char part[512];
   for (std::size_t n; (n = std::fread(part, 1, sizeof part, p)) > 0;)
     out.append(part, n);
