--- a/include/loftrouter/core/api/job_api_handler.hpp
+++ b/include/loftrouter/core/api/job_api_handler.hpp
@@ -14,7 +14,7 @@
 #include <unordered_map>
 
 #include "loftrouter/core/api/status_reporter.hpp"
-#include "loftrouter/core/heartbeats/heartbeat_forwarding.hpp"
+#include "loftrouter/core/runtime/forwarded_requests.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/connectivity/connectivity_monitor.hpp
+++ b/include/loftrouter/core/connectivity/connectivity_monitor.hpp
@@ -13,7 +13,6 @@
 #include <vector>
 
 #include "loftrouter/core/connectivity/replicas.hpp"
-#include "loftrouter/core/heartbeats/heartbeat_forwarding.hpp"
 #include "loftrouter/core/liveness/failure_detector.hpp"
 
 namespace loftrouter::core {
--- a/include/loftrouter/core/federation/cell_federation.hpp
+++ b/include/loftrouter/core/federation/cell_federation.hpp
@@ -22,7 +22,7 @@
 #include "loftrouter/core/federation/cell_membership.hpp"
 #include "loftrouter/core/federation/delegation_plan.hpp"
 #include "loftrouter/core/federation/delegation_protocol.hpp"
-#include "loftrouter/core/heartbeats/heartbeat_forwarding.hpp"
+#include "loftrouter/core/runtime/forwarded_requests.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/heartbeats/heartbeat_forwarding.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_forwarding.hpp
@@ -14,53 +14,11 @@
 #include <utility>
 #include <vector>
 
+#include "loftrouter/core/runtime/forwarded_requests.hpp"
 #include "loftrouter/core/runtime/util.hpp"
 
 namespace loftrouter::core {
 
-using RequestId = std::uint64_t;
-
-// Requests passed on to a sibling, each under a number of its own that is never used again. Owns them until they are
-// answered or given up. `T`: what is kept beside a request.
-template <class T> class ForwardedRequests {
-public:
-  struct Item {
-    RequestId req;
-    double give_up_at;
-    T kept;
-  };
-  // `first`: begins at random, so that no answer to a former self's request is taken for one of this process.
-  ForwardedRequests(std::size_t most, std::uint64_t first) : most_(most), nonce_(first) {}
-
-  bool full() const { return waiting_.size() >= most_; }
-  std::uint64_t take(RequestId req, double give_up_at, T kept) {
-    waiting_.emplace(++nonce_, Item{req, give_up_at, std::move(kept)});
-    order_.emplace(give_up_at, nonce_);
-    return nonce_;
-  }
-  // The request that this is the answer to: once for each number, never after it was given up.
-  std::optional<Item> answered(std::uint64_t nonce) {
-    auto it = waiting_.find(nonce);
-    if (it == waiting_.end()) return std::nullopt;
-    Item out = std::move(it->second);
-    order_.erase({out.give_up_at, nonce});
-    waiting_.erase(it);
-    return out;
-  }
-  std::vector<Item> give_up(double now) {
-    std::vector<Item> out;
-    while (!order_.empty() && order_.begin()->first <= now)
-      out.push_back(*answered(order_.begin()->second));
-    return out;
-  }
-
-private:
-  std::size_t most_;
-  std::uint64_t nonce_;
-  std::unordered_map<std::uint64_t, Item> waiting_;
-  std::set<std::pair<double, std::uint64_t>> order_; // by when they are given up
-};
-
 // Of a node that does not lead: the reports under way, and the workers that come here. Owns both.
 class HeartbeatForwarder {
 public:
--- a/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "loftrouter/core/connectivity/connectivity_monitor.hpp"
+#include "loftrouter/core/heartbeats/heartbeat_forwarding.hpp"
 #include "loftrouter/core/workers/worker_registry.hpp"
 
 namespace loftrouter::core {
--- a/src/core/api/job_api_handler.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -87,7 +87,7 @@
     return false;
   wire::PeerMessage m;
   m.kind = wire::PeerMessage::Kind::Ask;
-  m.nonce = passed_.take(req, until,
+  m.nonce = passed_.add(req, until,
                          {verb, id, body.size() <= kKeptBody ? body : std::string(), asked,
                           tried | std::uint64_t(1) << to | (body.size() <= kKeptBody ? 0 : ~std::uint64_t(0)), waits});
   m.term = leadership_.highest_term();
@@ -122,24 +122,24 @@
 
 // What a sibling read after the user had asked. What this node has learnt since is newer, and is told instead.
 void JobApiHandler::take_told(const wire::PeerMessage &m) {
-  const auto item = passed_.answered(m.nonce);
+  const auto item = passed_.complete(m.nonce);
   if (!item) return; // given up
-  const auto &[verb, id, body, asked, tried, waits] = item->kept;
+  const auto &[verb, id, body, asked, tried, waits] = item->context;
   // It may have been cut off at the same moment as this node, and not have known yet.
-  if (m.status == 503 && pass_on(item->req, verb, id, asked, body, tried, waits)) return;
+  if (m.status == 503 && pass_on(item->request, verb, id, asked, body, tried, waits)) return;
   if (m.status == 200) {
     const bool brief = verb != Verb::Look;
-    if (const auto *end = ended_.find(id)) return answer_end(item->req, id, *end, brief);
+    if (const auto *end = ended_.find(id)) return answer_end(item->request, id, *end, brief);
     if (const auto it = known_open_.find(id);
         it != known_open_.end() && (it->second.cancelled || !cancelled_name(id).empty()))
-      return tell_open({item->req, id, brief, runtime_.now()}, true);
+      return tell_open({item->request, id, brief, runtime_.now()}, true);
   }
-  runtime_.reply(item->req, m.status, m.body, m.retry_s ? std::optional<int>(m.retry_s) : std::nullopt);
+  runtime_.reply(item->request, m.status, m.body, m.retry_s ? std::optional<int>(m.retry_s) : std::nullopt);
 }
 
 void JobApiHandler::tick() {
-  for (const auto &item : passed_.give_up(runtime_.now()))
-    runtime_.refuse(item.req, "neither the state service nor a sibling has answered");
+  for (const auto &item : passed_.expire(runtime_.now()))
+    runtime_.refuse(item.request, "neither the state service nor a sibling has answered");
 }
 
 struct JobApiHandler::Submission {
--- a/src/core/federation/cell_federation.cpp
+++ b/src/core/federation/cell_federation.cpp
@@ -98,7 +98,7 @@
   if (to < 0 || passed_.full()) return; // it asks again, elsewhere
   wire::PeerMessage p;
   p.kind = wire::PeerMessage::Kind::CellAsk;
-  p.nonce = passed_.take(0, runtime_.now() + 3, cmd.link);
+  p.nonce = passed_.add(0, runtime_.now() + 3, cmd.link);
   p.term = leadership_.highest_term();
   p.sender = replicas_.self();
   p.body = wire::encode_cell(cmd.message);
@@ -115,10 +115,10 @@
 }
 
 void CellFederation::take_back(const wire::PeerMessage &p) {
-  const auto item = passed_.answered(p.nonce);
+  const auto item = passed_.complete(p.nonce);
   std::string_view rest = p.body;
   wire::CellMessage m;
-  if (item && wire::read_cell(rest, m) == wire::PeerRead::Frame) runtime_.send(CellSend{-1, item->kept, std::move(m)});
+  if (item && wire::read_cell(rest, m) == wire::PeerRead::Frame) runtime_.send(CellSend{-1, item->context, std::move(m)});
 }
 
 void CellFederation::handle(const Route &from, int node, wire::CellMessage &&m) {
@@ -244,7 +244,7 @@
 
 void CellFederation::tick() {
   if (!on()) return;
-  for (const auto &item : passed_.give_up(runtime_.now()))
+  for (const auto &item : passed_.expire(runtime_.now()))
     (void)item; // whoever asked asks again
   if (!leadership_.active() || runtime_.now() < next_tick_) return;
   next_tick_ = runtime_.now() + kTick;
--- a/src/core/heartbeats/heartbeat_forwarding.cpp
+++ b/src/core/heartbeats/heartbeat_forwarding.cpp
@@ -16,21 +16,21 @@
   }
   if (passed_.full() || (known_.size() >= most_ && !known_.contains(machine))) return std::nullopt;
   known_[machine] = now;
-  return passed_.take(req, now + kPatience, machine);
+  return passed_.add(req, now + kPatience, machine);
 }
 
 std::optional<RequestId> HeartbeatForwarder::answered(std::uint64_t nonce, bool stays) {
-  const auto item = passed_.answered(nonce);
+  const auto item = passed_.complete(nonce);
   if (!item) return std::nullopt;
-  if (!stays) left(item->kept);
-  return item->req;
+  if (!stays) left(item->context);
+  return item->request;
 }
 
 std::vector<RequestId> HeartbeatForwarder::give_up(double now) {
   std::vector<RequestId> out;
-  for (const auto &item : passed_.give_up(now)) {
-    out.push_back(item.req);
-    left(item.kept);
+  for (const auto &item : passed_.expire(now)) {
+    out.push_back(item.request);
+    left(item.context);
   }
   if (!out.empty()) broken_until_ = now + kBrokenFor;
   return out;
