--- a/include/loftrouter/accounts/usage.hpp
+++ b/include/loftrouter/accounts/usage.hpp
@@ -56,7 +56,7 @@
 using Usage = Row<kUsageColumns>; // ms
 using Sums = Row<kSumColumns>;    // thousandths of a CPU (GPU, GB) times ms
 
-Sums sums_of(const Usage &u, const Resources &need);
+Sums sums_of(const Usage &usage, const Resources &need);
 constexpr double kSumsAnHour = 1000.0 * 3'600'000.0; // CPU hours are sums divided by this
 
 // Numbers to base 36, joined by points, zeros at the end left out.
--- a/include/loftrouter/client/render.hpp
+++ b/include/loftrouter/client/render.hpp
@@ -21,8 +21,8 @@
 Table configuration_table(const nlohmann::json &configuration); // of /admin/v1/configuration
 Table history_table(const nlohmann::json &history);             // of /admin/v1/configuration/history/quota/<team>
 
-std::string to_text(const Table &t); // columns in line; control characters shown as such
-std::string to_csv(const Table &t);  // quoted where needed; what a spreadsheet would take for a formula is not one
+std::string to_text(const Table &table); // columns in line; control characters shown as such
+std::string to_csv(const Table &table);  // quoted where needed; what a spreadsheet would take for a formula is not one
 
 // `statement` with all pages of its jobs, `open`: those that are not over. `plot`: SVG, or empty.
 std::string report_html(const nlohmann::json &statement, const nlohmann::json &open, const std::string &plot);
--- a/include/loftrouter/core/api/administration_api_handler.hpp
+++ b/include/loftrouter/core/api/administration_api_handler.hpp
@@ -34,11 +34,11 @@
 
 private:
   void status(RequestId req, const wire::AdminRequest &ask);
-  std::vector<std::string> troubles(const wire::AdminStatus &s, int silent, int ordered) const;
+  std::vector<std::string> troubles(const wire::AdminStatus &status, int silent, int ordered) const;
   void jobs(RequestId req, const wire::AdminRequest &ask, bool foreseen);
   void report(RequestId req, const wire::AdminRequest &ask);
   void statement(RequestId req, const wire::AdminRequest &ask);
-  void statement_jobs(RequestId req, const wire::AdminRequest &ask, wire::AdminStatement s);
+  void statement_jobs(RequestId req, const wire::AdminRequest &ask, wire::AdminStatement statement);
   void fail(RequestId req, int status, std::string_view text);
 
   Runtime &runtime_;
--- a/include/loftrouter/core/api/event_log.hpp
+++ b/include/loftrouter/core/api/event_log.hpp
@@ -11,16 +11,16 @@
   EventLog(Runtime &runtime, const JobTable &jobs, const WorkerRegistry &workers)
       : runtime_(runtime), jobs_(jobs), workers_(workers) {}
 
-  void on(const LeaderElected &e);
-  void on(const TermStarted &e);
-  void on(const TermEnded &e);
-  void on(const JobSuspected &e);
-  void on(const TaskRunning &e);
-  void on(const TaskExited &e);
-  void on(const TasksAbandoned &e);
-  void on(const MachineLost &e);
-  void on(const MachineQuarantined &e);
-  void on(const MachineRemoved &e);
+  void on(const LeaderElected &event);
+  void on(const TermStarted &event);
+  void on(const TermEnded &event);
+  void on(const JobSuspected &event);
+  void on(const TaskRunning &event);
+  void on(const TaskExited &event);
+  void on(const TasksAbandoned &event);
+  void on(const MachineLost &event);
+  void on(const MachineQuarantined &event);
+  void on(const MachineRemoved &event);
 
 private:
   Runtime &runtime_;
--- a/include/loftrouter/core/api/job_api_handler.hpp
+++ b/include/loftrouter/core/api/job_api_handler.hpp
@@ -31,12 +31,12 @@
   void take(CmdSubmit &&cmd);
   void take(CmdLookup &&cmd);
   void take(CmdCancel &&cmd);
-  void confirm();                             // at the end of each batch
-  void tick();                                // gives up what a sibling has not answered
-  void take_asked(const CmdPeer &cmd);        // by a sibling, for a user of its own
-  void take_told(const wire::PeerMessage &m); // by a sibling, about what was passed on to it
-  bool can_answer() const;                    // here, or by way of a sibling
-  void on(const JobEndLearned &e) { known_open_.erase(e.id); }
+  void confirm();                                   // at the end of each batch
+  void tick();                                      // gives up what a sibling has not answered
+  void take_asked(const CmdPeer &cmd);              // by a sibling, for a user of its own
+  void take_told(const wire::PeerMessage &message); // by a sibling, about what was passed on to it
+  bool can_answer() const;                          // here, or by way of a sibling
+  void on(const JobEndLearned &event) { known_open_.erase(event.id); }
 
 private:
   static constexpr std::size_t kMaxPassed = 512;
@@ -74,30 +74,30 @@
   struct Submission; // one that names others, while they are looked up
   enum class Verdict : std::uint8_t { Ok, Never, Unknown };
   Verdict judge(const JobSpec &spec, std::string &why) const;
-  void answer_state(const Question &q);
+  void answer_state(const Question &question);
   void answer_end(RequestId req, const std::string &id, const EndRecord &end, bool brief);
-  void tell_open(const Question &q, bool cancelled);
+  void tell_open(const Question &question, bool cancelled);
   void note_open(const OpenRecord &record, std::uint64_t mod_revision, bool cancelled);
   const KnownOpen *known_open(const std::string &id);
   Named known(const std::string &id);
   void learn(const std::string &id, std::function<void(Named)> then);
   void check_names(std::shared_ptr<Submission> s);
   void names_checked(const std::shared_ptr<Submission> &s);
-  void accept(const Question &q, OpenRecord record);
-  void refuse_for_ever(const Question &q, const JobSpec &spec, const std::string &why);
-  void abort(const Question &q);
+  void accept(const Question &question, OpenRecord record);
+  void refuse_for_ever(const Question &question, const JobSpec &spec, const std::string &why);
+  void abort(const Question &question);
   std::size_t max_guards() const { return static_cast<std::size_t>(4 * settings_.state_txn_ops); } // of a comparison
-  std::optional<Compared> compare(Question q, StoreCommit &commit);
+  std::optional<Compared> compare(Question question, StoreCommit &commit);
   std::string cancelled_name(const std::string &id);
-  void read_open(const Question &q);
-  void want_id(const Question &q, std::uint64_t mod_revision, OpenRecord record);
-  void read_end(const Question &q, bool as_abort);
+  void read_open(const Question &question);
+  void want_id(const Question &question, std::uint64_t mod_revision, OpenRecord record);
+  void read_end(const Question &question, bool as_abort);
   int helper(std::uint64_t tried = 0, bool knows_dependencies = false) const; // the sibling to pass on to, or -1
   bool pass_on(RequestId req, Verb verb, const std::string &id, double asked, std::string body = {},
                std::uint64_t tried = 0, bool waits = false);
   // The state service has not answered: somebody else may.
-  void no_answer(const Question &q, Verb verb, std::string_view why, std::string body = {}, bool waits = false);
-  void no_answer(const Question &q, const JobSpec &spec, std::string_view why); // to its submission
+  void no_answer(const Question &question, Verb verb, std::string_view why, std::string body = {}, bool waits = false);
+  void no_answer(const Question &question, const JobSpec &spec, std::string_view why); // to its submission
 
   Runtime &runtime_;
   const Settings &settings_;
--- a/include/loftrouter/core/api/service_level_counters.hpp
+++ b/include/loftrouter/core/api/service_level_counters.hpp
@@ -22,9 +22,9 @@
   std::vector<wire::AdminStatus::ServiceLevel> rows() const;
   void tick(); // a line each minute for whoever has work waiting
 
-  void on(const JobAccepted &e);
-  void on(const TaskRunning &e);
-  void on(const JobFinalized &e);
+  void on(const JobAccepted &event);
+  void on(const TaskRunning &event);
+  void on(const JobFinalized &event);
   void on(const TermStarted &);
   void on(const TermEnded &);
 
@@ -45,7 +45,7 @@
   static int place(NameIndex &names, const std::string &name) {
     return names.find(name) >= 0 || names.size() < kMaxNames ? names.get(name) : names.get("others");
   }
-  template <class Fn> void each_count(const Entry &e, Fn &&fn);
+  template <class Fn> void each_count(const Entry &entry, Fn &&fn);
 
   Runtime &runtime_;
   const JobTable &jobs_;
--- a/include/loftrouter/core/api/status_reporter.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -32,15 +32,15 @@
 
   // What a user is shown of a job that the state service has just said is open.
   JobView view(const std::string &id, bool cancelled) const;
-  bool foreseen_late(int j) const;
+  bool foreseen_late(int job_index) const;
   bool foreseen_late(const std::string &id) const; // on any node
   std::size_t foreseen_late_count() const;
   void log_summary(); // every few seconds
 
   void publish_to_replicas();
-  void take_digest(const wire::PeerMessage &m);
-  void on(const JobAccepted &e) { grown(told_, e.job) = {}; }
-  void on(const JobEndLearned &e) { news_.erase(e.id); }
+  void take_digest(const wire::PeerMessage &message);
+  void on(const JobAccepted &event) { grown(told_, event.job) = {}; }
+  void on(const JobEndLearned &event) { news_.erase(event.id); }
   void on(const TermStarted &);
 
 private:
@@ -60,14 +60,14 @@
   // When each open job is expected to be able to start, and to be done, by estimates and the queue.
   static constexpr double kOutlookEvery = 0.5; // s
   const Dependencies::Path &outlook() const;
-  std::string at_risk(int j) const;
+  std::string at_risk(int job_index) const;
   Supplies supplies() const;
-  std::string why(int j, const Supplies &supply) const;
-  std::string why_waiting(int j, const Supplies &supply) const;
-  std::string why_held(const Job &n) const;
-  std::string why_limited(const Job &n) const; // by its team's limit; empty: it is not
-  std::string why_not_ready(int j) const;
-  bool any_running(int j) const;
+  std::string why(int job_index, const Supplies &supply) const;
+  std::string why_waiting(int job_index, const Supplies &supply) const;
+  std::string why_held(const Job &job) const;
+  std::string why_limited(const Job &job) const; // by its team's limit; empty: it is not
+  std::string why_not_ready(int job_index) const;
+  bool any_running(int job_index) const;
 
   Runtime &runtime_;
   const Settings &settings_;
--- a/include/loftrouter/core/autoscaling/autoscaler.hpp
+++ b/include/loftrouter/core/autoscaling/autoscaler.hpp
@@ -36,11 +36,11 @@
   };
   void load_types();
   void list(std::string from);
-  void merge(const wire::CloudReply &r);
+  void merge(const wire::CloudReply &reply);
   std::vector<double> ready_soon() const;
   void scale();
   void drain_surplus(double waiting_cpus);
-  void rent(const Wanted &w);
+  void rent(const Wanted &wanted);
   void send_rent(CloudScaleOut call, MachineKind kind, int tries);
   std::vector<std::string> names_to_return();
   void return_machines();
--- a/include/loftrouter/core/catalog/instance_type_catalog.hpp
+++ b/include/loftrouter/core/catalog/instance_type_catalog.hpp
@@ -25,7 +25,7 @@
   const std::string &type_name(int t) const { return type_names_.name(t); }
   int zone(const std::string &name) { return zone_names_.get(name); }
   int find_zone(const std::string &name) const { return zone_names_.find(name); }
-  const std::string &zone_name(int z) const { return zone_names_.name(z); }
+  const std::string &zone_name(int zone_index) const { return zone_names_.name(zone_index); }
 
   // Of a CPU, an hour.
   static double cpu_price(const MachineType &type, bool spot) {
--- a/include/loftrouter/core/configuration/operator_settings.hpp
+++ b/include/loftrouter/core/configuration/operator_settings.hpp
@@ -22,7 +22,7 @@
   Operators(Runtime &runtime, Events &events, const Configuration &configuration)
       : runtime_(runtime), events_(events), configuration_(configuration) {}
 
-  void on(const ConfigurationChanged &e);
+  void on(const ConfigurationChanged &event);
   const wire::Tunables &tunables() const { return tunables_; }
   const wire::Budgets &budgets() const { return budgets_; }
   const wire::CellRules &cell_rules() const { return cell_rules_; }
--- a/include/loftrouter/core/connectivity/connectivity_monitor.hpp
+++ b/include/loftrouter/core/connectivity/connectivity_monitor.hpp
@@ -54,7 +54,7 @@
   double last_report_at() const { return last_report_at_; }
   const ConnectivityRecord &own() const { return own_; }
   // Workers report to a sibling that can pass their reports on here.
-  bool carried(const ConnectivityRecord &w) const { return w.carried_s < heard_.window_s(); }
+  bool carried(const ConnectivityRecord &connectivity) const { return connectivity.carried_s < heard_.window_s(); }
   std::optional<Word> word(std::size_t replica) const;                  // nothing: no fresh one
   std::vector<std::pair<std::string, double>> machines_by_zone() const; // about so many report here
   bool probe_wanted() const; // whether the cloud answers this node is of interest: the leader gets no answer
@@ -70,7 +70,7 @@
   void write_word();
   void read_words();
   void make_room();
-  double rank(const ConnectivityRecord &w) const;
+  double rank(const ConnectivityRecord &connectivity) const;
   bool some_link_down() const;
   void step_down(std::string_view why, std::size_t replica, const Word &w);
 
--- a/include/loftrouter/core/connectivity/replicas.hpp
+++ b/include/loftrouter/core/connectivity/replicas.hpp
@@ -49,7 +49,7 @@
   void ping();
   void answer_ping(const CmdPeer &cmd, const Standing &standing);
   bool take_pong(const CmdPeer &cmd); // false: not the answer to the last question
-  void tell_all(const wire::PeerMessage &m);
+  void tell_all(const wire::PeerMessage &message);
 
   void say(const ConnectivityRecord &own) { own_ = own; } // with every answer from now on
 
--- a/include/loftrouter/core/federation/cell_federation.hpp
+++ b/include/loftrouter/core/federation/cell_federation.hpp
@@ -27,7 +27,7 @@
 namespace loftrouter::core {
 
 // This cell's settings with a team for each other cell, so that borrowed work has its own queue and account.
-Settings with_cell_teams(Settings s);
+Settings with_cell_teams(Settings settings);
 
 class CellFederation {
 public:
@@ -49,26 +49,26 @@
   void expire(); // before anything else of a batch: what is not confirmed any more stops
   void tick();
   void take(CmdCell &&cmd);
-  void take_passed(const CmdPeer &cmd);       // on the leader: a frame that came to a sibling
-  void take_back(const wire::PeerMessage &m); // on that sibling: the answer
+  void take_passed(const CmdPeer &cmd);             // on the leader: a frame that came to a sibling
+  void take_back(const wire::PeerMessage &message); // on that sibling: the answer
   // The worker holds borrowed work of which this leader does not know yet whether it is confirmed.
-  bool unsure_of(const Heartbeat &r) const;
+  bool unsure_of(const Heartbeat &heartbeat) const;
   bool may_leave(const JobSpec &spec) const; // by the operators' settings
   // Frames about quotas are for another part, which sends its own the same way.
-  using TakeQuota = std::function<void(int cell, wire::CellMessage &&m)>;
+  using TakeQuota = std::function<void(int cell, wire::CellMessage &&message)>;
   void take_quotas(TakeQuota take) { take_quota_ = std::move(take); }
   wire::CellMessage message(wire::CellMessage::Kind kind, int cell) const;
-  bool tell_quota(int cell, wire::CellMessage m); // false: that cell is not reached now, or does not know them
+  bool tell_quota(int cell, wire::CellMessage message); // false: that cell is not reached now, or does not know them
   int count() const { return static_cast<int>(cells_.size()); } // other cells
   const std::string &name(int cell) const { return cells_[static_cast<std::size_t>(cell)].name; }
   int by_name(const std::string &cell) const; // -1: none
   std::vector<State> states() const;
 
-  void on(const DelegationRecorded &e);
-  void on(const DelegationRemoved &e);
-  void on(const JobAccepted &e);
-  void on(const JobCancelled &e);
-  void on(const JobFinalized &e);
+  void on(const DelegationRecorded &event);
+  void on(const DelegationRemoved &event);
+  void on(const JobAccepted &event);
+  void on(const JobCancelled &event);
+  void on(const JobFinalized &event);
   void on(const TermStarted &);
   void on(const TermEnded &);
 
@@ -121,33 +121,33 @@
     bool refused = false;
   };
 
-  bool send(int cell, wire::CellMessage m);
-  void reply(const Route &to, wire::CellMessage m);
-  void handle(const Route &from, int node, wire::CellMessage &&m);
+  bool send(int cell, wire::CellMessage message);
+  void reply(const Route &to, wire::CellMessage message);
+  void handle(const Route &from, int node, wire::CellMessage &&message);
   // As home.
   double grant_s(double lease_s) const; // 0: the settings leave no room for one
   cells::Terms terms(double lease_s) const;
-  bool may_confirm(const cells::Terms &t) const;
+  bool may_confirm(const cells::Terms &terms) const;
   void survey();
   void decide();
-  std::uint32_t team_allows(int j) const;
-  void want(int j, int cell, const cells::Work &work, std::uint32_t tasks);
-  void delegate(const Wanted &w, std::uint64_t ticket, std::uint32_t tasks);
+  std::uint32_t team_allows(int job_index) const;
+  void want(int job_index, int cell, const cells::Work &work, std::uint32_t tasks);
+  void delegate(const Wanted &wanted, std::uint64_t ticket, std::uint32_t tasks);
   void tend_outbound();
   OutboundDelegation *delegation(std::uint64_t generation, int &job);
-  void drop(int j, OutboundDelegation &l);
-  void told(const Route &from, int cell, const wire::CellMessage &m);
-  wire::CellMessage offer(int j, const OutboundDelegation &l) const;
-  cells::Work work_of(int j) const;
+  void drop(int job_index, OutboundDelegation &delegation);
+  void told(const Route &from, int cell, const wire::CellMessage &message);
+  wire::CellMessage offer(int job_index, const OutboundDelegation &delegation) const;
+  cells::Work work_of(int job_index) const;
   // As borrower.
-  void offered(const Route &from, int cell, wire::CellMessage &&m);
+  void offered(const Route &from, int cell, wire::CellMessage &&message);
   double spare_cpus(const cells::Work &work) const;
-  bool may_use(const cells::Work &work, const Lot &l) const;
+  bool may_use(const cells::Work &work, const Lot &lot) const;
   void tend_inbound();
   void renew(int origin);
-  void close(int j, InboundDelegation &d);
+  void close(int job_index, InboundDelegation &inbound);
   InboundDelegation *inbound(std::uint64_t generation, int origin, int &job);
-  void summarize(wire::CellMessage &m) const;
+  void summarize(wire::CellMessage &message) const;
 
   Runtime &runtime_;
   Events &events_;
--- a/include/loftrouter/core/federation/delegation_protocol.hpp
+++ b/include/loftrouter/core/federation/delegation_protocol.hpp
@@ -31,14 +31,14 @@
   // Its record is being written by the leader of this term.
   DelegationAtOrigin(Generation g, std::uint64_t term) : generation_(g), term_(term) {}
   // Read from the record of an earlier leader, which may have confirmed it up to now.
-  static DelegationAtOrigin restored(Generation g, std::uint64_t term, double now, const Terms &t);
+  static DelegationAtOrigin restored(Generation g, std::uint64_t term, double now, const Terms &terms);
 
   Generation generation() const { return generation_; }
   void recorded(); // the state service has it: from now on it may be offered
   bool offers() const { return phase_ == Phase::DelegationSource; }
   // The borrower's leader of this term asks on. False: it has to stop. A loan that is not recorded is never confirmed,
   // as a next leader would not know of it.
-  bool confirm(double now, std::uint64_t remote_term, const Terms &t);
+  bool confirm(double now, std::uint64_t remote_term, const Terms &terms);
   void close(); // is not confirmed any more
   bool closing() const { return phase_ == Phase::Closing; }
   // The borrower's leader of this term, to the leader of `origin_term`: nothing of it runs there, nor will. False: a
@@ -68,7 +68,7 @@
 
   // In answer to the question of this number, which named it. One asked before this leader knew of it was about an
   // earlier hand-over of the same generation, which has ended since: an offer may come twice.
-  void granted(std::uint64_t question, double asked_at, const Terms &t);
+  void granted(std::uint64_t question, double asked_at, const Terms &terms);
   void close() { closed_ = true; } // home refused it, or it is given back
   bool closed() const { return closed_; }
   bool granted_once() const { return until_ != kNever; }
--- a/include/loftrouter/core/federation/quota_exchange.hpp
+++ b/include/loftrouter/core/federation/quota_exchange.hpp
@@ -36,11 +36,11 @@
     std::uint64_t version = 0;
     double next = 0;
   };
-  void take(int cell, wire::CellMessage &&m);
-  void take_record(int cell, const wire::CellMessage &m);
-  void take_acknowledgement(int cell, const wire::CellMessage &m);
-  void take_change(int cell, const wire::CellMessage &m);
-  void take_outcome(const wire::CellMessage &m);
+  void take(int cell, wire::CellMessage &&message);
+  void take_record(int cell, const wire::CellMessage &message);
+  void take_acknowledgement(int cell, const wire::CellMessage &message);
+  void take_change(int cell, const wire::CellMessage &message);
+  void take_outcome(const wire::CellMessage &message);
   bool offer(int cell, const std::string &team, const wire::QuotaRecord &record); // true: it was sent
   void step(const std::string &team, wire::QuotaRecord record, std::uint64_t revision);
   void pass_changes_on();
--- a/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
@@ -42,10 +42,10 @@
   std::optional<Pending> take(CmdHeartbeat &&cmd);
   std::optional<Pending> take_passed(const CmdPeer &cmd);
   void answer(Pending &&p);
-  void take_orders(const wire::PeerMessage &m);
+  void take_orders(const wire::PeerMessage &message);
   void tick(); // gives up what has waited too long
   void count_rates();
-  void pong_taken(const wire::PeerMessage &m);
+  void pong_taken(const wire::PeerMessage &message);
 
   Replicas::Standing standing() const;
   Load load() const;
@@ -54,16 +54,16 @@
   std::size_t kept() const { return relay_.workers(); } // workers whose reports this node passes on
   void on(const TermStarted &) { spread_.begin(spread_known_); }
   void on(const TermEnded &) { sent_away_.clear(); }
-  void on(const MachineRemoved &e);
+  void on(const MachineRemoved &event);
 
 private:
-  std::optional<Pending> hear(const Asker &from, const Heartbeat &r);
+  std::optional<Pending> hear(const Asker &from, const Heartbeat &heartbeat);
   void pass_on(CmdHeartbeat &&cmd);
   void tell(const Asker &from, int status, const std::vector<TaskCommand> &orders = {}, std::string_view why = "");
   void send_elsewhere(RequestId req);
   int leading_replica() const;
   int relay_to() const;
-  int keeper_for(const Heartbeat &r);
+  int keeper_for(const Heartbeat &heartbeat);
   std::string_view leader_by_word() const;
 
   Runtime &runtime_;
--- a/include/loftrouter/core/jobs/dependencies.hpp
+++ b/include/loftrouter/core/jobs/dependencies.hpp
@@ -31,21 +31,23 @@
       : runtime_(runtime), settings_(settings), state_limits_(state_limits), leadership_(leadership), jobs_(jobs),
         ended_(ended) {}
 
-  bool ready(int j) const { return at(j).known && at(j).waits == 0 && at(j).stopped_with.empty(); }
+  bool ready(int job_index) const {
+    return at(job_index).known && at(job_index).waits == 0 && at(job_index).stopped_with.empty();
+  }
   // When it became so: its submission, or the end of the last job that it needs. Of a job that is not ready, so far.
-  double ready_wall(int j) const { return at(j).ready_wall; }
+  double ready_wall(int job_index) const { return at(job_index).ready_wall; }
   // The highest of its own and of those that need it, directly or through others.
-  Urgency urgency(int j) const;
+  Urgency urgency(int job_index) const;
   // Seconds after `ready_wall`: by its own deadline, and so that every job that needs it can still meet its own.
-  std::optional<double> deadline(int j) const;
+  std::optional<double> deadline(int job_index) const;
   // By its own alone.
-  std::optional<double> own_deadline(int j) const;
+  std::optional<double> own_deadline(int job_index) const;
   // The jobs that it still waits for, those known to be open; and of the others how many are being looked up.
-  const std::vector<int> &waits_for(int j) const { return at(j).needs; }
-  std::size_t unknown(int j) const { return at(j).waits - at(j).needs.size(); }
-  const std::vector<int> &needed_by(int j) const { return at(j).dependants; }
+  const std::vector<int> &waits_for(int job_index) const { return at(job_index).needs; }
+  std::size_t unknown(int job_index) const { return at(job_index).waits - at(job_index).needs.size(); }
+  const std::vector<int> &needed_by(int job_index) const { return at(job_index).dependants; }
   // The job with which it was cancelled; empty: none.
-  const std::string &stopped_with(int j) const { return at(j).stopped_with; }
+  const std::string &stopped_with(int job_index) const { return at(job_index).stopped_with; }
   // Every open job once, each after all open ones that it needs.
   const std::vector<int> &in_order() const;
   // By job: seconds until it can start and until it is done, if each that can start takes `left` more; and of those
@@ -57,10 +59,10 @@
   Path along(const std::function<double(int)> &left) const;
 
   void tick(); // looks names up
-  void on(const JobAccepted &e);
-  void on(const JobCancelled &e);
-  void on(const JobEndLearned &e);
-  void on(const JobFinalized &e);
+  void on(const JobAccepted &event);
+  void on(const JobCancelled &event);
+  void on(const JobEndLearned &event);
+  void on(const JobFinalized &event);
   void on(const TermEnded &);
 
 private:
@@ -78,17 +80,17 @@
     double next_read = 0;
   };
   static constexpr std::size_t kMaxReads = 8;
-  const Node &at(int j) const {
+  const Node &at(int job_index) const {
     static const Node none;
-    return static_cast<std::size_t>(j) < nodes_.size() ? nodes_[static_cast<std::size_t>(j)] : none;
+    return static_cast<std::size_t>(job_index) < nodes_.size() ? nodes_[static_cast<std::size_t>(job_index)] : none;
   }
-  Node &at(int j) { return nodes_[static_cast<std::size_t>(j)]; }
-  void link(int j, int needed);
-  void done(int j, double end_wall);
-  void stop(int j, const std::string &with);
+  Node &at(int job_index) { return nodes_[static_cast<std::size_t>(job_index)]; }
+  void link(int job_index, int needed);
+  void done(int job_index, double end_wall);
+  void stop(int job_index, const std::string &with);
   void settle(const std::vector<int> &dependants, const std::string &id, const EndRecord &end);
   void read(const std::string &name);
-  double lead_time(int j) const;
+  double lead_time(int job_index) const;
   void recompute() const;
 
   Runtime &runtime_;
--- a/include/loftrouter/core/jobs/failure_attribution.hpp
+++ b/include/loftrouter/core/jobs/failure_attribution.hpp
@@ -20,18 +20,18 @@
       : runtime_(runtime), events_(events), jobs_(jobs), operators_(operators) {}
 
   // Has failed wherever it was tried: more likely a mistake in the job than several sick machines.
-  bool suspect(int j) const { return jobs_[j].done == 0 && failed_on(j) >= 2; }
+  bool suspect(int job_index) const { return jobs_[job_index].done == 0 && failed_on(job_index) >= 2; }
   // Machines in a row, none of its tasks having succeeded since.
-  std::uint32_t failed_on(int j) const;
-  double retry_at(int j) const;         // a suspect is held off until then
-  std::vector<int> barred(int j) const; // machines on which it has failed lately
-  bool failed_lately(int j) const { return failed_on(j) > 0; }
+  std::uint32_t failed_on(int job_index) const;
+  double retry_at(int job_index) const;         // a suspect is held off until then
+  std::vector<int> barred(int job_index) const; // machines on which it has failed lately
+  bool failed_lately(int job_index) const { return failed_on(job_index) > 0; }
 
-  void restore(int j, std::uint32_t failed_on); // from an earlier leader's record
-  void on(const TaskExited &e);
-  void on(const JobCancelled &e);
-  void on(const JobFinalized &e) { grown(jobs_at_, e.job) = {}; }
-  void on(const MachineRemoved &e);
+  void restore(int job_index, std::uint32_t failed_on); // from an earlier leader's record
+  void on(const TaskExited &event);
+  void on(const JobCancelled &event);
+  void on(const JobFinalized &event) { grown(jobs_at_, event.job) = {}; }
+  void on(const MachineRemoved &event);
   void on(const TermEnded &);
 
 private:
@@ -55,10 +55,10 @@
     double failing_since = -1, last_good_start = -1;
     bool quarantined = false;
   };
-  void failed(const TaskExited &e);
-  void succeeded(const TaskExited &e);
-  void blame(int m, int j, double at_s);
-  void absolve(int j);
+  void failed(const TaskExited &event);
+  void succeeded(const TaskExited &event);
+  void blame(int machine_index, int job_index, double at_s);
+  void absolve(int job_index);
 
   Runtime &runtime_;
   Events &events_;
--- a/include/loftrouter/core/jobs/job_table.hpp
+++ b/include/loftrouter/core/jobs/job_table.hpp
@@ -59,8 +59,10 @@
 
   std::size_t index_limit() const { return jobs_.size(); } // indices are below this
   std::size_t open() const { return index_.size(); }
-  const Job *find(int j) const { return jobs_[static_cast<std::size_t>(j)].get(); } // null: no job there
-  const Job &operator[](int j) const { return *jobs_[static_cast<std::size_t>(j)]; }
+  const Job *find(int job_index) const {
+    return jobs_[static_cast<std::size_t>(job_index)].get();
+  } // null: no job there
+  const Job &operator[](int job_index) const { return *jobs_[static_cast<std::size_t>(job_index)]; }
   int index(const std::string &id) const;
   template <class Fn> void each(Fn &&fn) const { // fn(index, job)
     for (std::size_t j = 0; j < jobs_.size(); ++j)
@@ -70,36 +72,36 @@
 
   int add(OpenRecord record, std::uint64_t mod_revision);
   // What the records of earlier leaders say. Before any of its tasks is placed.
-  void restore(int j, const ProgressRecord &progress);
-  void remove(int j); // over; its index is free once everybody has heard
-  void on(const JobFinalized &e) { free_.push_back(e.job); }
-  void on(const LeaderElected &e) { unaccounted_until_ = e.unaccounted_until; }
+  void restore(int job_index, const ProgressRecord &progress);
+  void remove(int job_index); // over; its index is free once everybody has heard
+  void on(const JobFinalized &event) { free_.push_back(event.job); }
+  void on(const LeaderElected &event) { unaccounted_until_ = event.unaccounted_until; }
   void on(const TermEnded &);
 
-  void cancel(int j);
-  bool update_mod_revision(int j, std::uint64_t mod_revision); // false: older than what is known
-  void set_ending(int j, bool ending);
-  void changed(int j, bool urgent); // its record has to follow
+  void cancel(int job_index);
+  bool update_mod_revision(int job_index, std::uint64_t mod_revision); // false: older than what is known
+  void set_ending(int job_index, bool ending);
+  void changed(int job_index, bool urgent); // its record has to follow
 
-  void place(int j, std::uint32_t i, int machine, int zone);
-  void finish(int j, std::uint32_t i);
+  void place(int job_index, std::uint32_t i, int machine, int zone);
+  void finish(int job_index, std::uint32_t i);
   // The attempt on `machine` is over. `unaccounted`: an older or a later one may still be alive somewhere.
-  void release(int j, std::uint32_t i, int machine, bool unaccounted);
+  void release(int job_index, std::uint32_t i, int machine, bool unaccounted);
 
-  std::uint64_t next_gang_attempt(int j, std::uint64_t fresh);
-  void adopt_gang_attempt(int j, std::uint64_t attempt);
-  void close_gang(int j, bool closed);
+  std::uint64_t next_gang_attempt(int job_index, std::uint64_t fresh);
+  void adopt_gang_attempt(int job_index, std::uint64_t attempt);
+  void close_gang(int job_index, bool closed);
 
   // Work that another cell runs. Its tasks wait for nobody here until the loan has lapsed or is dropped; those that are
   // done there are finished as any other.
-  void delegate(int j, DelegationRecord delegation);
-  void charge_delegation(int j, std::uint64_t generation, const accounts::Usage &charged);
-  void set_delegated_running(int j, std::uint32_t tasks) { at(j).delegated_running = tasks; }
-  void expire_delegation(int j, std::uint64_t generation);
-  void remove_delegation(int j, std::uint64_t generation);
-  void pause(int j, bool paused);
-  void readied(int j); // what it waited for is done (Dependencies)
-  void settle(int j);  // borrowed: home knows how it ended
+  void delegate(int job_index, DelegationRecord delegation);
+  void charge_delegation(int job_index, std::uint64_t generation, const accounts::Usage &charged);
+  void set_delegated_running(int job_index, std::uint32_t tasks) { at(job_index).delegated_running = tasks; }
+  void expire_delegation(int job_index, std::uint64_t generation);
+  void remove_delegation(int job_index, std::uint64_t generation);
+  void pause(int job_index, bool paused);
+  void readied(int job_index); // what it waited for is done (Dependencies)
+  void settle(int job_index);  // borrowed: home knows how it ended
 
   // Mono, when every lease that an earlier leader may have kept alive has run out; 0: nothing is waited for.
   double unaccounted_until() const { return unaccounted_until_; }
@@ -108,12 +110,12 @@
 
   // Grows whenever a job comes or a task becomes free to be placed.
   std::uint64_t arrivals() const { return arrivals_; }
-  bool consistent(int j) const; // counts agree with states; for asserts and tests
+  bool consistent(int job_index) const; // counts agree with states; for asserts and tests
 
 private:
-  void set(int j, std::uint32_t i, TaskState state, int machine = -1, int zone = -1);
-  void free_delegated(int j, const Ranges &tasks);
-  Job &at(int j) { return *jobs_[static_cast<std::size_t>(j)]; }
+  void set(int job_index, std::uint32_t i, TaskState state, int machine = -1, int zone = -1);
+  void free_delegated(int job_index, const Ranges &tasks);
+  Job &at(int job_index) { return *jobs_[static_cast<std::size_t>(job_index)]; }
 
   Runtime &runtime_;
   Events &events_;
--- a/include/loftrouter/core/jobs/pending_reasons.hpp
+++ b/include/loftrouter/core/jobs/pending_reasons.hpp
@@ -22,17 +22,17 @@
       : runtime_(runtime), jobs_(jobs), dependencies_(dependencies), failure_attribution_(failure_attribution),
         objectives_(objectives) {}
 
-  const std::string &of(int j) const; // empty: nothing
-  EndRecord end_record(int j) const;
+  const std::string &of(int job_index) const; // empty: nothing
+  EndRecord end_record(int job_index) const;
 
-  void on(const JobAccepted &e) { grown(last_, e.job).clear(); }
-  void on(const TaskRetried &e);
-  void on(const TaskLost &e);
-  void on(const TaskPreempted &e);
-  void on(const TasksStoppedByBudget &e);
+  void on(const JobAccepted &event) { grown(last_, event.job).clear(); }
+  void on(const TaskRetried &event);
+  void on(const TaskLost &event);
+  void on(const TaskPreempted &event);
+  void on(const TasksStoppedByBudget &event);
 
 private:
-  void set(int j, std::string_view what);
+  void set(int job_index, std::string_view what);
 
   Runtime &runtime_;
   const JobTable &jobs_;
--- a/include/loftrouter/core/liveness/failure_detector.hpp
+++ b/include/loftrouter/core/liveness/failure_detector.hpp
@@ -15,8 +15,8 @@
 namespace loftrouter::core {
 
 // Seconds after a report until the next one is late: workers report within 1.25 of their interval.
-inline double late_after(const Settings &s) {
-  return 1.25 * s.heartbeat_interval_s + 1.5;
+inline double late_after(const Settings &settings) {
+  return 1.25 * settings.heartbeat_interval_s + 1.5;
 }
 
 class FailureDetector {
@@ -26,9 +26,9 @@
     std::size_t known = 0, late = 0;
     static constexpr std::size_t kMin = 4; // with fewer, chance explains it as well
     bool silent() const { return known >= kMin && late * 100 >= known * 95; }
-    void add(const Count &o) {
-      known += o.known;
-      late += o.late;
+    void add(const Count &count) {
+      known += count.known;
+      late += count.late;
     }
   };
 
@@ -37,9 +37,9 @@
       : runtime_(runtime), settings_(settings), catalog_(catalog), leadership_(leadership), workers_(workers) {}
 
   void tick(); // counts anew, a few times a second
-  Cause cause(int m) const;
-  bool awaited(int m) const;  // it is not to be given back
-  bool expected(int m) const; // nor to be replaced
+  Cause cause(int machine_index) const;
+  bool awaited(int machine_index) const;  // it is not to be given back
+  bool expected(int machine_index) const; // nor to be replaced
   const Count &all() const { return all_; }
   // Nothing is heard of anybody: what is rented now would not be either, unless all are gone. For as long as waiting
   // costs no more than renting anew.
@@ -49,11 +49,11 @@
   void on(const TermEnded &);
 
   // What renting such a machine anew costs at least, in seconds of its price: the minimum charge and its boot.
-  double hold_s(const Machine &m) const;
+  double hold_s(const Machine &machine) const;
 
 private:
-  std::optional<double> late_from(const Machine &m) const; // mono; nothing: heard in time, or never expected yet
-  std::size_t way(const Machine &m) const;
+  std::optional<double> late_from(const Machine &machine) const; // mono; nothing: heard in time, or never expected yet
+  std::size_t way(const Machine &machine) const;
   void tell(bool now_in_part, const std::string &what);
 
   Runtime &runtime_;
@@ -67,7 +67,7 @@
     Count count;
     double silent_at = -1e9;
   };
-  bool silent(const Group &g) const { return runtime_.now() - g.silent_at < late_after(settings_); }
+  bool silent(const Group &group) const { return runtime_.now() - group.silent_at < late_after(settings_); }
   std::vector<Group> ways_, zones_;
   Count all_;
   double all_silent_at_ = -1e9;
--- a/include/loftrouter/core/quotas/quota_changes.hpp
+++ b/include/loftrouter/core/quotas/quota_changes.hpp
@@ -37,7 +37,7 @@
   bool owns(const std::string &team) const;
   std::string owner(const std::string &team) const;
   void tick(); // gives up requests that have waited too long
-  void on(const ConfigurationChanged &e);
+  void on(const ConfigurationChanged &event);
 
 private:
   struct Waiting { // for another cell's answer
--- a/include/loftrouter/core/quotas/quotas.hpp
+++ b/include/loftrouter/core/quotas/quotas.hpp
@@ -42,7 +42,7 @@
   int find_team(const std::string &name) const;
 
   void tick(); // stops what is beyond a lowered limit and has had its time
-  void on(const ConfigurationChanged &e);
+  void on(const ConfigurationChanged &event);
   void on(const LeaderElected &) { elected_at_ = runtime_.now(); }
   void on(const TermStarted &);
 
--- a/include/loftrouter/core/runtime/util.hpp
+++ b/include/loftrouter/core/runtime/util.hpp
@@ -81,8 +81,8 @@
   return out;
 }
 // At most `max` ranges covering at least what `r` covers (closes the smallest gaps).
-Ranges widen(Ranges r, std::size_t max);
+Ranges widen(Ranges ranges, std::size_t max);
 // At most `max` ranges covering at most what `r` covers (keeps the longest).
-Ranges narrow(Ranges r, std::size_t max);
+Ranges narrow(Ranges ranges, std::size_t max);
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/scheduling/placement.hpp
+++ b/include/loftrouter/core/scheduling/placement.hpp
@@ -65,10 +65,10 @@
 };
 
 // What a task of `job` scores on `m`; nothing where it may not go or does not fit.
-bool allowed(const PlaceJob &job, const PlaceMachine &m);
-bool has_room(const PlaceJob &job, const PlaceMachine &m);
-double fit_score(const PlaceJob &job, const PlaceMachine &m); // F of the paper
-double place_score(const PlaceJob &job, const PlaceMachine &m, const PlaceOptions &o);
+bool allowed(const PlaceJob &job, const PlaceMachine &machine);
+bool has_room(const PlaceJob &job, const PlaceMachine &machine);
+double fit_score(const PlaceJob &job, const PlaceMachine &machine); // F of the paper
+double place_score(const PlaceJob &job, const PlaceMachine &machine, const PlaceOptions &options);
 
 // Rounds until nothing more fits. `team_room` (CPUs and GPUs left under each team's limit, or
 // negative for none) is used up along the way. `reserved`: which machines a job that has waited too long keeps for
--- a/include/loftrouter/core/scheduling/scheduler.hpp
+++ b/include/loftrouter/core/scheduling/scheduler.hpp
@@ -37,23 +37,25 @@
   void settle(); // a round if something has come up, at the end of each batch
   // A round for one machine alone, which has just reported: it lets the next start leave with the very answer, if
   // the task is recorded ahead. Otherwise the machine would stay empty for a whole report interval.
-  void offer(int m);
+  void offer(int machine_index);
   void plan_ahead();
 
-  PlaceJob place_job(int j) const;
+  PlaceJob place_job(int job_index) const;
   // The machines that may take tasks, or the one asked for if it may; `silent_too`: with those that are not heard at
   // present and of which it holds.
   std::vector<PlaceMachine> snapshot(std::vector<int> &index, int only,
                                      const std::function<bool(int)> &silent_too = {}) const;
-  bool deferrable(int j) const;
-  bool passed_over(int j) const; // none of its waiting tasks has got a place for long
-  double age(int j) const { return runtime_.wall() - dependencies_.ready_wall(j); } // since it could start
-  double up_cpus() const { return up_cpus_; }                                       // at the last round
-  const LargeTaskReservation *kept(int type, double within_s) const;                // wanted within so many seconds
+  bool deferrable(int job_index) const;
+  bool passed_over(int job_index) const; // none of its waiting tasks has got a place for long
+  double age(int job_index) const {
+    return runtime_.wall() - dependencies_.ready_wall(job_index);
+  }                                                                  // since it could start
+  double up_cpus() const { return up_cpus_; }                        // at the last round
+  const LargeTaskReservation *kept(int type, double within_s) const; // wanted within so many seconds
 
-  void on(const JobAccepted &e);
+  void on(const JobAccepted &event);
   void on(const TaskExited &) { room_ = true; }
-  void on(const MachineRemoved &e);
+  void on(const MachineRemoved &event);
   void on(const TermStarted &);
   void on(const TermEnded &);
 
@@ -68,7 +70,7 @@
     double since = 0, seen = -1e9; // it came, or one of them was placed; the last round
   };
   struct Offer;
-  PlaceJob candidate(int j) const;
+  PlaceJob candidate(int job_index) const;
   bool wanted() const { return room_ || jobs_.arrivals() != seen_; }
   void seen() {
     room_ = false;
@@ -77,14 +79,16 @@
   void round();
   std::vector<std::uint32_t> carry_out(const std::vector<Assignment> &plan, const std::vector<int> &order,
                                        const std::vector<int> &index);
-  void place(int j, std::uint32_t i, int m);
-  std::vector<Offer> seek_places(const PlaceJob &p, const std::vector<PlaceMachine> &machines,
+  void place(int job_index, std::uint32_t i, int machine_index);
+  std::vector<Offer> seek_places(const PlaceJob &job, const std::vector<PlaceMachine> &machines,
                                  const std::vector<int> &index, int zone) const;
   void preempt(std::vector<int> starved);
   void stop_spent();
   PlaceOptions options() const;
-  const Nomination *held(int m) const {
-    return static_cast<std::size_t>(m) < nominations_.size() ? &nominations_[static_cast<std::size_t>(m)] : nullptr;
+  const Nomination *held(int machine_index) const {
+    return static_cast<std::size_t>(machine_index) < nominations_.size()
+               ? &nominations_[static_cast<std::size_t>(machine_index)]
+               : nullptr;
   }
 
   Runtime &runtime_;
--- a/include/loftrouter/core/state/state_writer.hpp
+++ b/include/loftrouter/core/state/state_writer.hpp
@@ -34,25 +34,25 @@
         pending_reasons_(pending_reasons), objectives_(objectives), ledger_(ledger) {}
 
   // A task may be on a machine from now on, or may have been. Never taken back.
-  void start(int j, std::uint32_t i) { marks(j)[i] |= kStarted; }
+  void start(int job_index, std::uint32_t i) { marks(job_index)[i] |= kStarted; }
   // The state service says that it may have been started: its start may be sent.
-  bool recorded(int j, std::uint32_t i) const { return marks(j)[i] & kRecorded; }
+  bool recorded(int job_index, std::uint32_t i) const { return marks(job_index)[i] & kRecorded; }
   // The state service says that it is done: its worker may forget it.
-  bool done_recorded(int j, std::uint32_t i) const { return marks(j)[i] & kDoneRecorded; }
+  bool done_recorded(int job_index, std::uint32_t i) const { return marks(job_index)[i] & kDoneRecorded; }
   // How many of a job's waiting tasks are to count as started before they are placed, so that their starts need no
   // write of their own.
-  void set_ahead(int j, std::uint32_t tasks);
+  void set_ahead(int job_index, std::uint32_t tasks);
 
   // Records read before this node leads, progress first; and open records whenever there is news of them. False: a
   // progress record cannot be read, and what it may have said was started is not known.
-  bool load_progress(const wire::KeyValue &e);
-  void load_end(const wire::KeyValue &e); // an open record that says how its job ended, not yet moved
+  bool load_progress(const wire::KeyValue &record);
+  void load_end(const wire::KeyValue &record); // an open record that says how its job ended, not yet moved
   void take_open(const std::string &key, const wire::Json &value, std::uint64_t mod_revision);
 
   // An audit's: whether an open record says something that has been missed, in words, which is then taken in; and jobs
   // that are open here and whose records are not among those read (keys after `from`, up to `to` or all), which are
   // then looked up.
-  std::string compare(const wire::KeyValue &e);
+  std::string compare(const wire::KeyValue &record);
   std::vector<std::string> not_there(const std::string &from, const std::string &to, const std::set<std::string> &there,
                                      std::uint64_t revision);
 
@@ -61,7 +61,7 @@
   void on(const LeaderElected &);
   void on(const TermStarted &);
   void on(const TermEnded &);
-  void on(const JobChanged &e) { mark(e.job, e.ends, e.urgent); }
+  void on(const JobChanged &event) { mark(event.job, event.ends, event.urgent); }
 
 private:
   // One record that holds the progress of many jobs, since writes are what is scarce.
@@ -105,35 +105,37 @@
   };
   struct Transaction;
 
-  std::vector<std::uint8_t> &marks(int j) { return entry(j).marks; }
-  const std::vector<std::uint8_t> &marks(int j) const { return entries_[static_cast<std::size_t>(j)].marks; }
-  Entry &entry(int j) { return entries_[static_cast<std::size_t>(j)]; }
-  void mark(int j, bool ends, bool urgent);
-  void mark_again(int j);
+  std::vector<std::uint8_t> &marks(int job_index) { return entry(job_index).marks; }
+  const std::vector<std::uint8_t> &marks(int job_index) const {
+    return entries_[static_cast<std::size_t>(job_index)].marks;
+  }
+  Entry &entry(int job_index) { return entries_[static_cast<std::size_t>(job_index)]; }
+  void mark(int job_index, bool ends, bool urgent);
+  void mark_again(int job_index);
   void mark_shard(std::size_t s, bool urgent);
   std::size_t set_chars() const;
   std::size_t max_chars() const;
-  bool has_room(std::size_t s, int j) const;
-  std::size_t entry_chars(const Job &n) const;
+  bool has_room(std::size_t s, int job_index) const;
+  std::size_t entry_chars(const Job &job) const;
   std::size_t fresh_shard(char series);
-  void put_in(int j, std::size_t s);
-  void move(int j, std::size_t from);
-  void move_on(const Transaction &t);
-  bool blocked(const Shard &s) const;
-  void refused(const Transaction &t);
+  void put_in(int job_index, std::size_t s);
+  void move(int job_index, std::size_t from);
+  void move_on(const Transaction &transaction);
+  bool blocked(const Shard &shard) const;
+  void refused(const Transaction &transaction);
   void accept(OpenRecord record, std::uint64_t mod_revision);
-  void assign_shard(int j);
-  void remove(int j);
-  void record_ahead(int j);
-  void add_end(int j, Transaction &t, bool in_place);
-  void add_moves(Transaction &t, double budget, std::size_t most);
-  void write_entry(int j, Transaction &t);
-  void add_shard(std::size_t s, Transaction &t, const std::string &without_period = "");
-  void commit(Transaction &&t);
-  void flushed(const Transaction &t, const wire::StoreReply &r);
-  void delegations_recorded(int j);
-  void ended(int j, EndRecord end);
-  void resync(int j);
+  void assign_shard(int job_index);
+  void remove(int job_index);
+  void record_ahead(int job_index);
+  void add_end(int job_index, Transaction &transaction, bool in_place);
+  void add_moves(Transaction &transaction, double budget, std::size_t most);
+  void write_entry(int job_index, Transaction &transaction);
+  void add_shard(std::size_t s, Transaction &transaction, const std::string &without_period = "");
+  void commit(Transaction &&transaction);
+  void flushed(const Transaction &transaction, const wire::StoreReply &reply);
+  void delegations_recorded(int job_index);
+  void ended(int job_index, EndRecord end);
+  void resync(int job_index);
   void resync_shard(std::size_t s);
   void settle_ghosts();
   void settled(std::size_t s, const std::string &id, const std::optional<EndRecord> &end);
--- a/include/loftrouter/core/state/usage_ledger.hpp
+++ b/include/loftrouter/core/state/usage_ledger.hpp
@@ -26,21 +26,21 @@
   bool on() const { return settings_.accounts; }
 
   // A job's account, in the progress record with this number; and what an earlier leader has written of it.
-  void open(int j, int record);
-  void restore(int j, const ProgressRecord &written);
+  void open(int job_index, int record);
+  void restore(int job_index, const ProgressRecord &written);
   // What its end says. While that is being written nothing more is charged; what comes up then is charged if the end
   // was not written after all, and otherwise belongs to nobody.
-  accounts::Usage usage(int j);
+  accounts::Usage usage(int job_index);
   // What another cell has used for it.
-  void add(int j, const accounts::Usage &used) {
-    if (on()) charge(j, used);
+  void add(int job_index, const accounts::Usage &used) {
+    if (on()) charge(job_index, used);
   }
   // Charged since it was last written: the record that holds its sums must then hold it anew as well.
-  bool changed(int j) const { return accounts_[static_cast<std::size_t>(j)].changed; }
+  bool changed(int job_index) const { return accounts_[static_cast<std::size_t>(job_index)].changed; }
   // Its end turns out to be written, with less than has been charged since: the sums follow what it says.
-  void correct(int j, const accounts::Usage &written);
+  void correct(int job_index, const accounts::Usage &written);
   // What is to be written of it now. What is unaccounted for is charged up to now, as the record's time moves on.
-  void write(int j, ProgressRecord &out);
+  void write(int job_index, ProgressRecord &out);
 
   const SumsByTeam &sums(std::size_t record) const;
   void load_sums(std::size_t record, SumsByTeam sums);
@@ -57,9 +57,9 @@
   const wire::TeamBudget *budget(int team) const;
   void tick();
 
-  void on(const TaskAllocated &e);
-  void on(const TaskReleased &e);
-  void on(const TasksAbandoned &e);
+  void on(const TaskAllocated &event);
+  void on(const TaskReleased &event);
+  void on(const TasksAbandoned &event);
   void on(const TermEnded &);
 
 private:
@@ -71,13 +71,15 @@
     bool changed = false;                     // since then
   };
   static std::int64_t ms(double s) { return static_cast<std::int64_t>(s * 1000); }
-  std::int64_t under_way(const Account &a) const { return a.in_flight * ms(runtime_.now()) - a.since_ms; }
-  std::int64_t since_record(const Account &a) const;
-  Account &at(int j) { return accounts_[static_cast<std::size_t>(j)]; }
+  std::int64_t under_way(const Account &account) const {
+    return account.in_flight * ms(runtime_.now()) - account.since_ms;
+  }
+  std::int64_t since_record(const Account &account) const;
+  Account &at(int job_index) { return accounts_[static_cast<std::size_t>(job_index)]; }
   SumsByTeam &sums_at(std::size_t record);
   const std::string &period();
-  void charge(int j, accounts::Usage u);
-  std::int64_t cost(const TaskReleased &e, std::int64_t held_ms) const;
+  void charge(int job_index, accounts::Usage usage);
+  std::int64_t cost(const TaskReleased &event, std::int64_t held_ms) const;
 
   Runtime &runtime_;
   const Settings &settings_;
--- a/include/loftrouter/core/workers/worker_registry.hpp
+++ b/include/loftrouter/core/workers/worker_registry.hpp
@@ -81,9 +81,11 @@
       : runtime_(runtime), events_(events), settings_(settings), catalog_(catalog), operators_(operators),
         leadership_(leadership), jobs_(jobs), state_writer_(state_writer) {}
 
-  std::size_t index_limit() const { return machines_.size(); }                              // indices are below this
-  const Machine *find(int m) const { return machines_[static_cast<std::size_t>(m)].get(); } // null: none there
-  const Machine &operator[](int m) const { return *machines_[static_cast<std::size_t>(m)]; }
+  std::size_t index_limit() const { return machines_.size(); } // indices are below this
+  const Machine *find(int machine_index) const {
+    return machines_[static_cast<std::size_t>(machine_index)].get();
+  } // null: none there
+  const Machine &operator[](int machine_index) const { return *machines_[static_cast<std::size_t>(machine_index)]; }
   int index(const std::string &name) const;      // -1: not known
   template <class Fn> void each(Fn &&fn) const { // fn(index, machine)
     for (std::size_t m = 0; m < machines_.size(); ++m)
@@ -94,55 +96,55 @@
   // When the cloud took it back; nothing if it did not, or that is forgotten.
   std::optional<double> gone(const std::string &name) const;
   std::vector<std::uint32_t> running_counts() const; // by job; tasks unaccounted for most likely run too
-  std::uint32_t running(int j) const;
+  std::uint32_t running(int job_index) const;
 
   // What it says of a machine that is not known makes it known.
   int add(const std::string &name, const std::string &type, const std::string &zone, bool spot);
-  void set_rented_at(int m, double at);
-  void set_verified(int m); // rented by this leader
-  void give_back(int m);    // takes no new tasks from here on
-  void set_draining(int m, bool draining);
-  void listed_failed(int m); // it stopped on its own
-  void listed_running(int m);
+  void set_rented_at(int machine_index, double at);
+  void set_verified(int machine_index); // rented by this leader
+  void give_back(int machine_index);    // takes no new tasks from here on
+  void set_draining(int machine_index, bool draining);
+  void listed_failed(int machine_index); // it stopped on its own
+  void listed_running(int machine_index);
   void listed_again(const std::string &name) { gone_.erase(name); }
-  void remove(int m); // the cloud has taken it back
+  void remove(int machine_index); // the cloud has taken it back
   void forget_gone(double older_s);
 
   // A report, in two steps: what it says, and, once others have listened to that, its answer.
   enum class Heard : std::uint8_t { Late, Failed, Taken };
-  Heard hear(int m, const Heartbeat &r, int forwarding_replica);
-  void take_tasks(int m, const Heartbeat &r, std::vector<TaskCommand> &orders);
-  void answer(int m, bool may_start, std::vector<TaskCommand> &orders);
+  Heard hear(int machine_index, const Heartbeat &heartbeat, int forwarding_replica);
+  void take_tasks(int machine_index, const Heartbeat &heartbeat, std::vector<TaskCommand> &orders);
+  void answer(int machine_index, bool may_start, std::vector<TaskCommand> &orders);
 
-  void put(int m, int j, std::uint32_t i, std::uint64_t attempt); // a task's slot
+  void put(int machine_index, int job_index, std::uint32_t i, std::uint64_t attempt); // a task's slot
   // The task goes: at once if its start was never sent, otherwise when the worker shows it gone.
-  void stop(int m, std::size_t allocation, double grace_s);
-  bool stop_all(int j, double grace_s); // of a job; false: all were told already
-  void withdraw(int j);                 // its tasks whose start was never sent
+  void stop(int machine_index, std::size_t allocation, double grace_s);
+  bool stop_all(int job_index, double grace_s); // of a job; false: all were told already
+  void withdraw(int job_index);                 // its tasks whose start was never sent
   // A gang that can no longer complete its attempt is stopped whole; the next attempt starts when every task of this
   // one is gone.
-  void tend_gang(int j);
+  void tend_gang(int job_index);
 
   void tick();       // leases and notices
   void send_stops(); // at the end of each batch
-  void on(const JobCancelled &e) { stop_all(e.job, 0); }
-  void on(const JobFinalized &e);
-  void on(const MachineQuarantined &e) { give_back(e.machine); }
+  void on(const JobCancelled &event) { stop_all(event.job, 0); }
+  void on(const JobFinalized &event);
+  void on(const MachineQuarantined &event) { give_back(event.machine); }
   void on(const MachineAdminStatesChanged &e);
   void on(const TermStarted &) { gone_.clear(); }
   void on(const TermEnded &);
-  bool consistent(int m) const; // for asserts and tests
+  bool consistent(int machine_index) const; // for asserts and tests
 
 private:
-  Machine &at(int m) { return *machines_[static_cast<std::size_t>(m)]; }
-  void exited(int m, Allocation &allocation, const TaskStatus &t);
-  void update_downlink_state(Machine &n, bool heeded, bool missed);
-  void adopt(int m, int j, const TaskStatus &t, std::vector<TaskCommand> &orders);
-  void drop(int m, std::size_t s);
-  void freed(int m, const Allocation &allocation, bool done);
-  void order_stop(int m, Allocation &allocation, double grace_s);
-  void lose(int m, std::string_view why);
-  void touch_image(Machine &m, int image, double gb);
+  Machine &at(int machine_index) { return *machines_[static_cast<std::size_t>(machine_index)]; }
+  void exited(int machine_index, Allocation &allocation, const TaskStatus &task);
+  void update_downlink_state(Machine &machine, bool heeded, bool missed);
+  void adopt(int machine_index, int job_index, const TaskStatus &task, std::vector<TaskCommand> &orders);
+  void drop(int machine_index, std::size_t s);
+  void freed(int machine_index, const Allocation &allocation, bool done);
+  void order_stop(int machine_index, Allocation &allocation, double grace_s);
+  void lose(int machine_index, std::string_view why);
+  void touch_image(Machine &machine, int image, double gb);
 
   Runtime &runtime_;
   Events &events_;
--- a/include/loftrouter/model/types.hpp
+++ b/include/loftrouter/model/types.hpp
@@ -24,10 +24,10 @@
     constexpr double eps = 1e-6;
     return cpus <= free.cpus + eps && gpus <= free.gpus + eps && memory <= free.memory + eps;
   }
-  void add(const Resources &o, double times = 1) {
-    cpus += o.cpus * times;
-    gpus += o.gpus * times;
-    memory += o.memory * times;
+  void add(const Resources &resources, double times = 1) {
+    cpus += resources.cpus * times;
+    gpus += resources.gpus * times;
+    memory += resources.memory * times;
   }
 };
 
--- a/include/loftrouter/net/client.hpp
+++ b/include/loftrouter/net/client.hpp
@@ -36,10 +36,10 @@
     double deadline;
     Callback done;
   };
-  void start(Conn &c, Pending p);
+  void start(Conn &connection, Pending p);
   void pump();
-  void on_io(Conn &c, int events);
-  void finish(Conn &c, int status, std::string body, bool reuse);
+  void on_io(Conn &connection, int events);
+  void finish(Conn &connection, int status, std::string body, bool reuse);
   void sweep();
 
   Loop &loop_;
--- a/include/loftrouter/net/loop.hpp
+++ b/include/loftrouter/net/loop.hpp
@@ -92,8 +92,8 @@
 public:
   Fd() = default;
   explicit Fd(int fd) : fd_(fd) {}
-  Fd(Fd &&o) noexcept : fd_(std::exchange(o.fd_, -1)) {}
-  Fd &operator=(Fd &&o) noexcept;
+  Fd(Fd &&descriptor) noexcept : fd_(std::exchange(descriptor.fd_, -1)) {}
+  Fd &operator=(Fd &&descriptor) noexcept;
   ~Fd() { reset(); }
   int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
--- a/include/loftrouter/net/outbound_request_pool.hpp
+++ b/include/loftrouter/net/outbound_request_pool.hpp
@@ -16,7 +16,7 @@
 
   explicit OutboundRequestPool(Loop &loop);
   ~OutboundRequestPool();
-  void post(const Address &to, std::string_view target, std::string_view body);
+  void post(const Address &address, std::string_view target, std::string_view body);
 
 private:
   struct OutboundRequest;
--- a/include/loftrouter/net/peers.hpp
+++ b/include/loftrouter/net/peers.hpp
@@ -30,9 +30,9 @@
   struct Link;
   void accept_ready();
   Link *open(Fd fd, int replica);
-  void on_io(Link &l, int events);
-  void flush(Link &l);
-  void close(Link &l);
+  void on_io(Link &link, int events);
+  void flush(Link &link);
+  void close(Link &link);
   void sweep();
 
   Loop &loop_;
--- a/include/loftrouter/net/server.hpp
+++ b/include/loftrouter/net/server.hpp
@@ -35,9 +35,9 @@
 private:
   struct Conn;
   void accept_ready();
-  void on_io(Conn &c, int events);
-  void drive(Conn &c);
-  void flush(Conn &c);
+  void on_io(Conn &connection, int events);
+  void drive(Conn &connection);
+  void flush(Conn &connection);
   void close(ConnId id);
   void sweep();
   void make_room();
--- a/include/loftrouter/wire/admin.hpp
+++ b/include/loftrouter/wire/admin.hpp
@@ -84,20 +84,20 @@
 std::variant<AdminRequest, AdminError> read_admin(std::string_view method, std::string_view target,
                                                   std::string_view body);
 
-Json to_json(const Tunables &t);
+Json to_json(const Tunables &tunables);
 // What of `j` is known and within its range goes into `t`; otherwise what is wrong, naming the field.
-std::optional<std::string> apply_tunables(const Json &j, Tunables &t);
-Json to_json(const Budgets &b);
+std::optional<std::string> apply_tunables(const Json &json, Tunables &tunables);
+Json to_json(const Budgets &budgets);
 // What of `j` is known and in its range goes into `b`: the clock, and teams one by one (null: none); otherwise what is
 // wrong, naming the field.
-std::optional<std::string> apply_budgets(const Json &j, Budgets &b);
-Json to_json(const CellRules &r);
-std::optional<std::string> apply_cell_rules(const Json &j, CellRules &r);
-std::string encode_cell_rules(const CellRules &r);
+std::optional<std::string> apply_budgets(const Json &json, Budgets &budgets);
+Json to_json(const CellRules &rules);
+std::optional<std::string> apply_cell_rules(const Json &json, CellRules &rules);
+std::string encode_cell_rules(const CellRules &rules);
 Json to_json(MachineAdminState order);
 Json to_json(const MachineAdminStates &orders);
-MachineAdminStates machine_admin_states_from_json(const Json &j);
-std::optional<MachineAdminState> machine_admin_state_from_json(const Json &j);
+MachineAdminStates machine_admin_states_from_json(const Json &json);
+std::optional<MachineAdminState> machine_admin_state_from_json(const Json &json);
 
 struct AdminStatus {
   std::string node, role, leader;
@@ -158,7 +158,7 @@
   double round_p50 = 0, round_p99 = 0, queue_p50 = 0, queue_p99 = 0;
   std::vector<std::string> troubles; // in plain words
 };
-std::string encode_status(const AdminStatus &s);
+std::string encode_status(const AdminStatus &status);
 
 struct AdminJob {
   std::string id, job_class, team, outcome, reason;
@@ -185,12 +185,12 @@
   std::vector<Job> jobs;
   std::string next; // where to go on; empty: this is all
 };
-std::string encode_statement(const AdminStatement &s);
-std::string encode_budgets(const Budgets &b);
+std::string encode_statement(const AdminStatement &statement);
+std::string encode_budgets(const Budgets &budgets);
 // Bytes that an order takes in `encode_settings`, at the most.
 std::size_t listed_bytes(const std::string &machine);
 // `next`: where to go on, if there are more orders.
-std::string encode_settings(const Tunables &t, const MachineAdminStates &orders, std::string_view next);
+std::string encode_settings(const Tunables &tunables, const MachineAdminStates &orders, std::string_view next);
 std::string encode_admin_error(std::string_view text);
 
 std::string clock_time(double wall); // "02:14:05Z"
--- a/include/loftrouter/wire/cell.hpp
+++ b/include/loftrouter/wire/cell.hpp
@@ -75,7 +75,7 @@
 constexpr std::uint64_t kKnowsQuotas = 1ULL << 63;
 constexpr std::size_t kCellMaxBody = 64 * 1024, kCellMaxKinds = 64, kCellMaxGenerations = 400, kCellMaxRanges = 400;
 
-std::string encode_cell(const CellMessage &m);
+std::string encode_cell(const CellMessage &message);
 PeerRead read_cell(std::string_view &buffer, CellMessage &out);
 // Whether a buffer begins like a frame between cells; false also while that is not clear.
 bool looks_like_cell(std::string_view buffer);
--- a/include/loftrouter/wire/configuration.hpp
+++ b/include/loftrouter/wire/configuration.hpp
@@ -56,7 +56,7 @@
   std::vector<Change> history; // the newest last
 };
 Json to_json(const QuotaRecord &record);
-std::optional<QuotaRecord> quota_from_json(const Json &j);
+std::optional<QuotaRecord> quota_from_json(const Json &json);
 
 // What an operator asks for. Nothing: stays as it is.
 struct QuotaChange {
@@ -66,7 +66,7 @@
   std::optional<std::uint64_t> version; // that the operator has seen; another one: conflict
 };
 // Or what is wrong, naming the field.
-std::variant<QuotaChange, std::string> read_quota_change(std::string_view team, const Json &j);
+std::variant<QuotaChange, std::string> read_quota_change(std::string_view team, const Json &json);
 Json to_json(const QuotaChange &change);
 
 // A change that a node of another cell was asked for: `config-change/<number>`. Its answer, once the owner has given
@@ -78,7 +78,7 @@
   std::string text;
 };
 Json to_json(const ForwardedChange &forwarded);
-std::optional<ForwardedChange> forwarded_from_json(const Json &j);
+std::optional<ForwardedChange> forwarded_from_json(const Json &json);
 
 // `config-applied/<node>`
 struct AppliedRecord {
@@ -86,6 +86,6 @@
   double wall = 0;            // since then
 };
 Json to_json(const AppliedRecord &applied);
-std::optional<AppliedRecord> applied_from_json(const Json &j);
+std::optional<AppliedRecord> applied_from_json(const Json &json);
 
 } // namespace loftrouter::wire
--- a/include/loftrouter/wire/messages.hpp
+++ b/include/loftrouter/wire/messages.hpp
@@ -36,26 +36,26 @@
 
 // State service: records.
 Json to_json(const JobSpec &spec);
-std::optional<JobSpec> job_from_json(const Json &j, std::string &problem);
-Json to_json(const OpenRecord &r);
-Json to_json(const EndRecord &r);
-Json to_json(const ProgressRecord &r);
+std::optional<JobSpec> job_from_json(const Json &json, std::string &problem);
+Json to_json(const OpenRecord &record);
+Json to_json(const EndRecord &end);
+Json to_json(const ProgressRecord &progress);
 Json progress_shard(std::vector<std::pair<std::string, Json>> jobs, const SumsByTeam &sums = {}); // of the above
 Json to_json(const SumsByTeam &sums);
-std::optional<SumsByTeam> sums_from_json(const Json &j);
-Json to_json(const LeaderRecord &r);
+std::optional<SumsByTeam> sums_from_json(const Json &json);
+Json to_json(const LeaderRecord &record);
 Json to_json(const StoredConnectivityRecord &r);
 Json to_json(const std::vector<MachineType> &types);
-std::optional<OpenRecord> open_from_json(const Json &j);
-std::optional<EndRecord> end_from_json(const Json &j);
+std::optional<OpenRecord> open_from_json(const Json &json);
+std::optional<EndRecord> end_from_json(const Json &json);
 // An open record whose job is over, until it is moved.
-Json final_json(const EndRecord &r);
-std::optional<EndRecord> final_from_json(const Json &j);
+Json final_json(const EndRecord &end);
+std::optional<EndRecord> final_from_json(const Json &json);
 // A shard's jobs. `key` names the job of a record that is of one job alone, as earlier versions wrote them.
-std::optional<ProgressShard> progress_from_json(std::string_view key, const Json &j);
-std::optional<LeaderRecord> leader_from_json(const Json &j);
-std::optional<StoredConnectivityRecord> connectivity_from_json(const Json &j);
-std::optional<std::vector<MachineType>> types_from_json(const Json &j);
+std::optional<ProgressShard> progress_from_json(std::string_view key, const Json &json);
+std::optional<LeaderRecord> leader_from_json(const Json &json);
+std::optional<StoredConnectivityRecord> connectivity_from_json(const Json &json);
+std::optional<std::vector<MachineType>> types_from_json(const Json &json);
 
 // State service: requests and answers.
 struct Precondition {
--- a/include/loftrouter/wire/packed.hpp
+++ b/include/loftrouter/wire/packed.hpp
@@ -49,11 +49,11 @@
   put(out, static_cast<std::uint32_t>(body.size()));
   out += body;
 }
-inline bool get_body(Reader &r, std::string &to) {
-  const auto n = r.get<std::uint32_t>();
-  if (!r.ok || n != r.in.size()) return r.ok = false;
-  to = r.in;
-  r.in = {};
+inline bool get_body(Reader &reader, std::string &to) {
+  const auto n = reader.get<std::uint32_t>();
+  if (!reader.ok || n != reader.in.size()) return reader.ok = false;
+  to = reader.in;
+  reader.in = {};
   return true;
 }
 
--- a/include/loftrouter/wire/peer.hpp
+++ b/include/loftrouter/wire/peer.hpp
@@ -67,7 +67,7 @@
 // What one job's news takes of a frame's body.
 std::size_t peer_news_size(const PeerMessage::JobNews &n);
 
-std::string encode_peer(const PeerMessage &m);
+std::string encode_peer(const PeerMessage &message);
 enum class PeerRead { NeedMore, Frame, Garbage };
 // Takes one frame off the front of `buffer`.
 PeerRead read_peer(std::string_view &buffer, PeerMessage &out);
--- a/src/accounts/usage.cpp
+++ b/src/accounts/usage.cpp
@@ -11,16 +11,16 @@
 constexpr std::int64_t kMax = 1'000'000'000'000'000'000; // of one number that is read: several add up without overflow
 } // namespace
 
-Sums sums_of(const Usage &u, const Resources &need) {
+Sums sums_of(const Usage &usage, const Resources &need) {
   const std::int64_t cpu = std::llround(need.cpus * 1000), memory = std::llround(need.memory * 1000),
                      gpu = std::llround(need.gpus * 1000);
   Sums out;
   for (std::size_t c = Useful; c <= Uncertain; ++c)
-    out[c] = u[c] * cpu;
+    out[c] = usage[c] * cpu;
   for (std::size_t c : {Attempts, Retries, Cost})
-    out[c] = u[c];
-  out[Memory] = u.held() * memory;
-  out[Gpu] = u.held() * gpu;
+    out[c] = usage[c];
+  out[Memory] = usage.held() * memory;
+  out[Gpu] = usage.held() * gpu;
   return out;
 }
 
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -25,34 +25,34 @@
 
 bool log_as_json = false;
 
-void write_line(const core::LogLine &l) {
-  const auto level = l.level == core::LogLevel::Error  ? spdlog::level::err
-                     : l.level == core::LogLevel::Info ? spdlog::level::info
-                                                       : spdlog::level::debug;
-  spdlog::log(level, "{}", log_as_json ? core::log_json(l) : core::log_text(l));
+void write_line(const core::LogLine &line) {
+  const auto level = line.level == core::LogLevel::Error  ? spdlog::level::err
+                     : line.level == core::LogLevel::Info ? spdlog::level::info
+                                                          : spdlog::level::debug;
+  spdlog::log(level, "{}", log_as_json ? core::log_json(line) : core::log_text(line));
 }
 
 // Reports passed on to the leader leave together, so often: a packet costs a node more than reading a report does.
 // Small beside the time between two reports, which is what a worker waits for its next task.
-double pass_on_every(const Settings &s) {
-  return std::min(0.05, s.heartbeat_interval_s / 100);
+double pass_on_every(const Settings &settings) {
+  return std::min(0.05, settings.heartbeat_interval_s / 100);
 }
 
 class Daemon {
 public:
-  Daemon(const Settings &s, net::Fd api, net::Fd peers)
-      : core_(s, std::random_device{}()),
-        server_(loop_, std::move(api), server_options(s),
+  Daemon(const Settings &settings, net::Fd api, net::Fd peers)
+      : core_(settings, std::random_device{}()),
+        server_(loop_, std::move(api), server_options(settings),
                 [this](net::ConnId id, net::HttpMessage &&m) { on_request(id, std::move(m)); }),
-        store_(loop_, *net::parse_address(s.state_address),
-               [this](core::OpId op, wire::StoreReply &&r) {
-                 push(core::CmdStoreReply{op, std::move(r)});
+        store_(loop_, *net::parse_address(settings.state_address),
+               [this](core::OpId op, wire::StoreReply &&reply) {
+                 push(core::CmdStoreReply{op, std::move(reply)});
                }),
-        cloud_(loop_, *net::parse_address(s.cloud_address),
-               [this](core::OpId op, wire::CloudReply &&r) {
-                 push(core::CmdCloudReply{op, std::move(r)});
+        cloud_(loop_, *net::parse_address(settings.cloud_address),
+               [this](core::OpId op, wire::CloudReply &&reply) {
+                 push(core::CmdCloudReply{op, std::move(reply)});
                }),
-        peers_(loop_, std::move(peers), replica_addresses(s),
+        peers_(loop_, std::move(peers), replica_addresses(settings),
                [this](net::LinkId link, int replica, std::string &buffer) { return on_peer(link, replica, buffer); }),
         tick_(loop_,
               [this] {
@@ -63,7 +63,8 @@
               [this] {
                 if (!queue_.empty()) drain();
               }),
-        replicas_(s.replicas.size()), cells_(s.cells.others), pass_on_every_(pass_on_every(s)), pass_on_(loop_, [this] {
+        replicas_(settings.replicas.size()), cells_(settings.cells.others), pass_on_every_(pass_on_every(settings)),
+        pass_on_(loop_, [this] {
           passing_on_ = false;
           peers_.send_all();
         }) {}
@@ -77,19 +78,19 @@
   }
 
 private:
-  static net::HttpServer::Options server_options(const Settings &s) {
+  static net::HttpServer::Options server_options(const Settings &settings) {
     net::HttpServer::Options o;
     // The rest is for this node's own connections: state service, cloud, siblings, workers told at once, log.
-    o.max_connections =
-        static_cast<std::size_t>(std::max(8, s.fd_limit - 60 - static_cast<int>(net::OutboundRequestPool::kMax)));
+    o.max_connections = static_cast<std::size_t>(
+        std::max(8, settings.fd_limit - 60 - static_cast<int>(net::OutboundRequestPool::kMax)));
     return o;
   }
 
-  static std::vector<net::Address> replica_addresses(const Settings &s) {
+  static std::vector<net::Address> replica_addresses(const Settings &settings) {
     std::vector<net::Address> out;
-    for (const auto &x : s.replicas)
+    for (const auto &x : settings.replicas)
       out.push_back(*net::parse_address(x.address));
-    for (const auto &c : s.cells.others)
+    for (const auto &c : settings.cells.others)
       for (const auto &node : c.nodes)
         out.push_back(*net::parse_address(node));
     return out;
@@ -97,12 +98,12 @@
 
   // Frames of another cell are taken from its configured addresses alone.
   bool on_cell(net::LinkId link, int node, std::string_view &rest) {
-    wire::CellMessage m;
-    const auto got = wire::read_cell(rest, m);
+    wire::CellMessage message;
+    const auto got = wire::read_cell(rest, message);
     if (got != wire::PeerRead::Frame) return got == wire::PeerRead::NeedMore;
     const auto ip = peers_.remote_ip(link);
     const bool known = std::any_of(cells_.begin(), cells_.end(), [&](const auto &c) {
-      return c.name == m.from && std::any_of(c.nodes.begin(), c.nodes.end(), [ip](const std::string &address) {
+      return c.name == message.from && std::any_of(c.nodes.begin(), c.nodes.end(), [ip](const std::string &address) {
                return net::parse_address(address)->ip == ip;
              });
     });
@@ -110,10 +111,10 @@
       if (!std::exchange(told_stranger_, true))
         write_log({core::LogLevel::Error,
                    "cell_refused",
-                   {{"from", m.from.substr(0, 60)}, {"why", "not from an address of the features file"}}});
+                   {{"from", message.from.substr(0, 60)}, {"why", "not from an address of the features file"}}});
       return false;
     }
-    push(core::CmdCell{node, link, std::move(m)});
+    push(core::CmdCell{node, link, std::move(message)});
     return true;
   }
 
@@ -129,10 +130,10 @@
         return true;
       }
       if (node >= 0 && rest.size() >= 4) return false; // from another cell, and no frame of one
-      wire::PeerMessage m;
-      const auto got = wire::read_peer(rest, m);
+      wire::PeerMessage message;
+      const auto got = wire::read_peer(rest, message);
       if (got == wire::PeerRead::Frame) {
-        push(core::CmdPeer{replica, link, std::move(m)});
+        push(core::CmdPeer{replica, link, std::move(message)});
         continue;
       }
       buffer.erase(0, buffer.size() - rest.size());
@@ -186,17 +187,17 @@
     pass_on_.once(pass_on_every_);
   }
 
-  void write_log(const core::LogLine &l) {
+  void write_log(const core::LogLine &line) {
     double t = net::mono_now();
     log_level_ = std::min(kLogBurst, log_level_ + (t - log_at_) * kLogRate);
     log_at_ = t;
-    if (log_level_ < 1 && l.level != core::LogLevel::Error) {
+    if (log_level_ < 1 && line.level != core::LogLevel::Error) {
       ++log_dropped_;
       return;
     }
     log_level_ -= 1;
     if (log_dropped_) write_line({core::LogLevel::Info, "lines_left_out", {{"lines", std::exchange(log_dropped_, 0)}}});
-    write_line(l);
+    write_line(line);
   }
 
   void on_request(net::ConnId id, net::HttpMessage &&m) {
@@ -294,13 +295,13 @@
   spdlog::set_default_logger(logger);
 }
 
-std::string run_daemon(const Settings &s) {
+std::string run_daemon(const Settings &settings) {
   std::string error;
-  auto api = net::listen_on(*net::parse_address(s.listen), error);
+  auto api = net::listen_on(*net::parse_address(settings.listen), error);
   if (!api) return "api_addr: cannot listen: " + error;
-  auto peers = net::listen_on(*net::parse_address(s.peer_listen), error);
+  auto peers = net::listen_on(*net::parse_address(settings.peer_listen), error);
   if (!peers) return "peer_listen: cannot listen: " + error;
-  Daemon(s, std::move(api), std::move(peers)).run();
+  Daemon(settings, std::move(api), std::move(peers)).run();
   return {};
 }
 
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -56,75 +56,76 @@
 };
 
 Settings read(const At &root) {
-  Settings s;
-  s.node = root["node_name"].text();
-  s.zone = root["site"].text();
-  s.listen = root["api_addr"].address();
-  s.peer_listen = root["peer_listen"].address();
+  Settings settings;
+  settings.node = root["node_name"].text();
+  settings.zone = root["site"].text();
+  settings.listen = root["api_addr"].address();
+  settings.peer_listen = root["peer_listen"].address();
   root["siblings"].each([&](At a) {
-    s.replicas.push_back({a["node_name"].text(), a["site"].text(), a["address"].address()});
+    settings.replicas.push_back({a["node_name"].text(), a["site"].text(), a["address"].address()});
   });
-  s.cloud_address = root["outside"]["cloud"].address();
-  s.state_address = root["outside"]["state"].address();
+  settings.cloud_address = root["outside"]["cloud"].address();
+  settings.state_address = root["outside"]["state"].address();
   auto set = root["settings"];
-  set["zones"].each([&](At a) { s.zones.push_back(a.text()); });
+  set["zones"].each([&](At a) { settings.zones.push_back(a.text()); });
   set["teams"].each([&](At a) {
-    Team t;
-    t.name = a["name"].text();
-    t.cpus = a["cpus"].number(0, 1e9);
-    t.cpus_max = a["cpus_max"].number(0, 1e9);
-    t.gpus = a["gpus"].number(0, 1e9);
-    t.gpus_max = a["gpus_max"].number(0, 1e9);
-    s.teams.push_back(std::move(t));
+    Team team;
+    team.name = a["name"].text();
+    team.cpus = a["cpus"].number(0, 1e9);
+    team.cpus_max = a["cpus_max"].number(0, 1e9);
+    team.gpus = a["gpus"].number(0, 1e9);
+    team.gpus_max = a["gpus_max"].number(0, 1e9);
+    settings.teams.push_back(std::move(team));
   });
   if (set.has("objectives"))
     set["objectives"].each([&](At a) {
-      Objective o;
-      o.kind = a["kind"].text();
-      if (a.has("class")) o.job_class = a["class"].text();
-      if (a.has("within_s")) o.within_s = a["within_s"].number(0, 1e9);
-      if (a.has("share")) o.share = a["share"].number(0, 1);
-      if (a.has("times")) o.times = a["times"].number(0, 1e6);
-      s.objectives.push_back(std::move(o));
+      Objective objective;
+      objective.kind = a["kind"].text();
+      if (a.has("class")) objective.job_class = a["class"].text();
+      if (a.has("within_s")) objective.within_s = a["within_s"].number(0, 1e9);
+      if (a.has("share")) objective.share = a["share"].number(0, 1);
+      if (a.has("times")) objective.times = a["times"].number(0, 1e6);
+      settings.objectives.push_back(std::move(objective));
     });
   auto w = set["workers"];
-  s.heartbeat_interval_s = w["report_s"].number(0.01, 3600);
-  s.lease_s = w["lease_s"].number(0.1, 86400);
-  s.gang_wait_s = w["gang_wait_s"].number(0, 86400);
-  s.gang_peer_s = w["gang_peer_s"].number(0, 86400);
-  s.cancel_s = w["cancel_s"].number(0, 86400);
+  settings.heartbeat_interval_s = w["report_s"].number(0.01, 3600);
+  settings.lease_s = w["lease_s"].number(0.1, 86400);
+  settings.gang_wait_s = w["gang_wait_s"].number(0, 86400);
+  settings.gang_peer_s = w["gang_peer_s"].number(0, 86400);
+  settings.cancel_s = w["cancel_s"].number(0, 86400);
   auto st = set["state"];
-  s.state_rps = st["rps"].number(1, 1e7);
-  s.state_write_rps = st["write_rps"].number(0.5, 1e7);
-  s.state_value_kb = st["value_kb"].number(1, 1e6);
-  s.state_txn_ops = static_cast<int>(st["txn_ops"].number(2, 10000));
+  settings.state_rps = st["rps"].number(1, 1e7);
+  settings.state_write_rps = st["write_rps"].number(0.5, 1e7);
+  settings.state_value_kb = st["value_kb"].number(1, 1e6);
+  settings.state_txn_ops = static_cast<int>(st["txn_ops"].number(2, 10000));
   if (st.has("next")) {
     auto next = st["next"];
     if (!next.j.is_object()) throw Bad("settings.state.next: must be a map");
-    if (next.has("value_kb")) s.state_value_kb = std::min(s.state_value_kb, next["value_kb"].number(1, 1e6));
+    if (next.has("value_kb"))
+      settings.state_value_kb = std::min(settings.state_value_kb, next["value_kb"].number(1, 1e6));
     if (next.has("txn_ops"))
-      s.state_txn_ops = std::min(s.state_txn_ops, static_cast<int>(next["txn_ops"].number(2, 10000)));
-    if (next.has("rps")) s.state_next_rps = next["rps"].number(1, 1e7);
-    if (next.has("write_rps")) s.state_next_write_rps = next["write_rps"].number(0.5, 1e7);
+      settings.state_txn_ops = std::min(settings.state_txn_ops, static_cast<int>(next["txn_ops"].number(2, 10000)));
+    if (next.has("rps")) settings.state_next_rps = next["rps"].number(1, 1e7);
+    if (next.has("write_rps")) settings.state_next_write_rps = next["write_rps"].number(0.5, 1e7);
   }
   auto c = set["cloud"];
-  s.cloud_rps = c["rps"].number(0.1, 1e6);
-  s.cloud_list_lag_s = c["list_lag_s"].number(0, 3600);
+  settings.cloud_rps = c["rps"].number(0.1, 1e6);
+  settings.cloud_list_lag_s = c["list_lag_s"].number(0, 3600);
   auto l = set["limits"];
-  s.cpu_share = l["cpu_share"].number(0, 1e4);
-  s.memory_mb = l["memory_mb"].number(1, 1e7);
-  s.fd_limit = static_cast<int>(l["fd_limit"].number(32, 1e7));
-  if (set.has("time_bound_ms")) s.clock_bound_ms = set["time_bound_ms"].number(0, 1e7);
-  return s;
+  settings.cpu_share = l["cpu_share"].number(0, 1e4);
+  settings.memory_mb = l["memory_mb"].number(1, 1e7);
+  settings.fd_limit = static_cast<int>(l["fd_limit"].number(32, 1e7));
+  if (set.has("time_bound_ms")) settings.clock_bound_ms = set["time_bound_ms"].number(0, 1e7);
+  return settings;
 }
 
 } // namespace
 
 std::variant<Settings, std::string> parse_settings(const std::string &text) {
-  Json j = Json::parse(text, nullptr, false);
-  if (j.is_discarded()) return std::string("the file is not JSON");
+  Json json = Json::parse(text, nullptr, false);
+  if (json.is_discarded()) return std::string("the file is not JSON");
   try {
-    return read(At{j, ""});
+    return read(At{json, ""});
   } catch (const Bad &e) {
     return std::string(e.what());
   }
--- a/src/client/render.cpp
+++ b/src/client/render.cpp
@@ -16,29 +16,29 @@
 using Json = nlohmann::json;
 
 namespace {
-std::string text(const Json &j, const char *name) {
-  auto it = j.is_object() ? j.find(name) : j.end();
-  if (!j.is_object() || it == j.end() || it->is_null()) return "";
+std::string text(const Json &json, const char *name) {
+  auto it = json.is_object() ? json.find(name) : json.end();
+  if (!json.is_object() || it == json.end() || it->is_null()) return "";
   if (it->is_string()) return it->get<std::string>();
   if (it->is_boolean()) return it->get<bool>() ? "yes" : "no";
   if (it->is_number_float()) return fmt::format("{:.3f}", it->get<double>());
   return it->dump();
 }
 
-const Json &list(const Json &j, const char *name) {
+const Json &list(const Json &json, const char *name) {
   static const Json none = Json::array();
-  auto it = j.is_object() ? j.find(name) : j.end();
-  return j.is_object() && it != j.end() && it->is_array() ? *it : none;
+  auto it = json.is_object() ? json.find(name) : json.end();
+  return json.is_object() && it != json.end() && it->is_array() ? *it : none;
 }
 
-std::string hours(const Json &j, const char *kind) {
-  return j.is_object() && j.contains("cpu_hours") ? text(j["cpu_hours"], kind) : "";
+std::string hours(const Json &json, const char *kind) {
+  return json.is_object() && json.contains("cpu_hours") ? text(json["cpu_hours"], kind) : "";
 }
 
-std::vector<std::string> used(const Json &x) {
-  return {hours(x, "held"),    hours(x, "useful"),   hours(x, "fetch"),     hours(x, "gang_wait"),
-          hours(x, "lost"),    hours(x, "unsorted"), hours(x, "uncertain"), text(x, "gb_hours"),
-          text(x, "attempts"), text(x, "retries"),   text(x, "cost")};
+std::vector<std::string> used(const Json &json) {
+  return {hours(json, "held"),    hours(json, "useful"),   hours(json, "fetch"),     hours(json, "gang_wait"),
+          hours(json, "lost"),    hours(json, "unsorted"), hours(json, "uncertain"), text(json, "gb_hours"),
+          text(json, "attempts"), text(json, "retries"),   text(json, "cost")};
 }
 const std::vector<std::string> kUsed = {"cpu_h",     "useful", "fetch",    "gang_wait", "lost", "unsorted",
                                         "uncertain", "gb_h",   "attempts", "retries",   "cost"};
@@ -91,61 +91,62 @@
 } // namespace
 
 Table jobs_table(const Json &jobs) {
-  Table t{{"job", "team", "class", "state", "done", "tasks", "late", "reason"}, {}};
+  Table table{{"job", "team", "class", "state", "done", "tasks", "late", "reason"}, {}};
   for (const auto &x : list(jobs, "jobs"))
-    t.rows.push_back({text(x, "id"), text(x, "team"), text(x, "class"), text(x, "outcome"), text(x, "done"),
-                      text(x, "tasks"), text(x, "late"), text(x, "reason")});
-  return t;
+    table.rows.push_back({text(x, "id"), text(x, "team"), text(x, "class"), text(x, "outcome"), text(x, "done"),
+                          text(x, "tasks"), text(x, "late"), text(x, "reason")});
+  return table;
 }
 
 Table teams_table(const Json &statement) {
-  Table t{{"team", "budget", "spent"}, {}};
-  append(t.head, kUsed);
+  Table table{{"team", "budget", "spent"}, {}};
+  append(table.head, kUsed);
   for (const auto &x : list(statement, "teams")) {
-    t.rows.push_back({text(x, "team"), text(x, "budget_cpu_hours"), text(x, "spent")});
-    append(t.rows.back(), used(x));
+    table.rows.push_back({text(x, "team"), text(x, "budget_cpu_hours"), text(x, "spent")});
+    append(table.rows.back(), used(x));
   }
-  return t;
+  return table;
 }
 
 Table used_table(const Json &statement) {
-  Table t{{"job", "team", "class", "outcome", "late", "retried"}, {}};
-  append(t.head, kUsed);
-  t.head.push_back("reason");
+  Table table{{"job", "team", "class", "outcome", "late", "retried"}, {}};
+  append(table.head, kUsed);
+  table.head.push_back("reason");
   for (const auto &x : list(statement, "jobs")) {
-    t.rows.push_back(
+    table.rows.push_back(
         {text(x, "id"), text(x, "team"), text(x, "class"), text(x, "outcome"), text(x, "late"), text(x, "retried")});
-    append(t.rows.back(), used(x));
-    t.rows.back().push_back(text(x, "reason"));
+    append(table.rows.back(), used(x));
+    table.rows.back().push_back(text(x, "reason"));
   }
-  return t;
+  return table;
 }
 
 Table budgets_table(const Json &budgets) {
-  Table t{{"team", "cpu_hours", "warn_share", "when_spent", "every", "starts", "utc_offset"}, {}};
+  Table table{{"team", "cpu_hours", "warn_share", "when_spent", "every", "starts", "utc_offset"}, {}};
   const Json teams = budgets.is_object() ? budgets.value("teams", Json::object()) : Json::object();
   for (const auto &[name, x] : teams.items())
-    t.rows.push_back({name, text(x, "cpu_hours"), text(x, "warn_share"), text(x, "when_spent"), text(budgets, "every"),
-                      text(budgets, "starts"), text(budgets, "utc_offset")});
-  return t;
+    table.rows.push_back({name, text(x, "cpu_hours"), text(x, "warn_share"), text(x, "when_spent"),
+                          text(budgets, "every"), text(budgets, "starts"), text(budgets, "utc_offset")});
+  return table;
 }
 
 Table quotas_table(const Json &quotas) {
-  Table t{{"team", "cpus", "cpus_max", "here_cpus_max", "gpus", "gpus_max", "version", "owner", "held_by_cells"}, {}};
+  Table table{{"team", "cpus", "cpus_max", "here_cpus_max", "gpus", "gpus_max", "version", "owner", "held_by_cells"},
+              {}};
   const Json teams = quotas.is_object() ? quotas.value("teams", Json::object()) : Json::object();
   for (const auto &[name, x] : teams.items()) {
     const Json here = x.value("here", Json::object()), by_cell = x.value("held", Json::object());
     std::string held;
     for (const auto &[cell, amounts] : by_cell.items())
       held += fmt::format("{}{}={}", held.empty() ? "" : " ", cell, text(amounts, "cpus"));
-    t.rows.push_back({name, text(x, "cpus"), text(x, "cpus_max"), text(here, "cpus_max"), text(x, "gpus"),
-                      text(x, "gpus_max"), text(x, "version"), text(x, "owner"), held});
+    table.rows.push_back({name, text(x, "cpus"), text(x, "cpus_max"), text(here, "cpus_max"), text(x, "gpus"),
+                          text(x, "gpus_max"), text(x, "version"), text(x, "owner"), held});
   }
-  return t;
+  return table;
 }
 
 Table configuration_table(const Json &configuration) {
-  Table t{{"record", "revision", "in_force_at", "not_in_force_at"}, {}};
+  Table table{{"record", "revision", "in_force_at", "not_in_force_at"}, {}};
   for (const auto &x : list(configuration, "records")) {
     const Json since_by_node = x.value("in_force_since", Json::object());
     std::string in_force, missing;
@@ -153,29 +154,29 @@
       in_force += fmt::format("{}{} since {}", in_force.empty() ? "" : ", ", node, since.get<std::string>());
     for (const auto &node : list(x, "not_in_force_at"))
       missing += fmt::format("{}{}", missing.empty() ? "" : ", ", node.get<std::string>());
-    t.rows.push_back({text(x, "record"), text(x, "revision"), in_force, missing});
+    table.rows.push_back({text(x, "record"), text(x, "revision"), in_force, missing});
   }
-  return t;
+  return table;
 }
 
 Table history_table(const Json &history) {
-  Table t{{"at", "cpus", "cpus_max", "gpus", "gpus_max"}, {}};
+  Table table{{"at", "cpus", "cpus_max", "gpus", "gpus_max"}, {}};
   for (const auto &x : list(history, "changes")) {
     const Json guaranteed = x.value("guaranteed", Json::object()), most = x.value("most", Json::object());
-    t.rows.push_back(
+    table.rows.push_back(
         {text(x, "at"), text(guaranteed, "cpus"), text(most, "cpus"), text(guaranteed, "gpus"), text(most, "gpus")});
   }
-  return t;
+  return table;
 }
 
-std::string to_text(const Table &t) {
-  std::vector<std::size_t> wide(t.head.size());
+std::string to_text(const Table &table) {
+  std::vector<std::size_t> wide(table.head.size());
   auto measure = [&](const std::vector<std::string> &row) {
     for (std::size_t c = 0; c < row.size() && c < wide.size(); ++c)
       wide[c] = std::max(wide[c], width(shown(row[c])));
   };
-  measure(t.head);
-  for (const auto &row : t.rows)
+  measure(table.head);
+  for (const auto &row : table.rows)
     measure(row);
   std::string out;
   auto put = [&](const std::vector<std::string> &row) {
@@ -186,13 +187,13 @@
     }
     out += line.substr(0, line.find_last_not_of(' ') + 1) + '\n';
   };
-  put(t.head);
-  for (const auto &row : t.rows)
+  put(table.head);
+  for (const auto &row : table.rows)
     put(row);
   return out;
 }
 
-std::string to_csv(const Table &t) {
+std::string to_csv(const Table &table) {
   std::string out;
   auto put = [&](const std::vector<std::string> &row) {
     for (std::size_t c = 0; c < row.size(); ++c) {
@@ -213,19 +214,19 @@
     }
     out += "\r\n";
   };
-  put(t.head);
-  for (const auto &row : t.rows)
+  put(table.head);
+  for (const auto &row : table.rows)
     put(row);
   return out;
 }
 
 std::string report_html(const Json &statement, const Json &open, const std::string &plot) {
   namespace m = kainjow::mustache;
-  auto row = [](const Json &x) {
+  auto row = [](const Json &json) {
     m::data d;
     for (const char *name : {"id", "class", "done", "tasks", "reason", "retries"})
-      d.set(name, text(x, name));
-    d.set("cpu", hours(x, "held"));
+      d.set(name, text(json, name));
+    d.set("cpu", hours(json, "held"));
     return d;
   };
   m::data teams{m::data::type::list};
@@ -247,16 +248,16 @@
       groups.push_back(g);
     };
     auto is = [](const char *field, const char *value) {
-      return [=](const Json &x) { return text(x, field) == value; };
+      return [=](const Json &json) { return text(json, field) == value; };
     };
-    auto held = [](const Json &x) { return text(x, "reason").find("held: ") == 0; };
+    auto held = [](const Json &json) { return text(json, "reason").find("held: ") == 0; };
     group("Held by the budget", list(open, "jobs"), held);
-    group("Not finished", list(open, "jobs"), [&](const Json &x) { return !held(x); });
+    group("Not finished", list(open, "jobs"), [&](const Json &json) { return !held(json); });
     group("Stopped", list(statement, "jobs"), is("outcome", "cancelled"));
     group("Finished late", list(statement, "jobs"),
-          [](const Json &x) { return text(x, "outcome") == "done" && text(x, "late") == "yes"; });
+          [](const Json &json) { return text(json, "outcome") == "done" && text(json, "late") == "yes"; });
     group("Finished", list(statement, "jobs"),
-          [](const Json &x) { return text(x, "outcome") == "done" && text(x, "late") != "yes"; });
+          [](const Json &json) { return text(json, "outcome") == "done" && text(json, "late") != "yes"; });
     m::data d;
     d.set("team", name);
     d.set("groups", groups);
--- a/src/client/verbs.cpp
+++ b/src/client/verbs.cpp
@@ -52,17 +52,17 @@
   }
 }
 
-json quota_change(const Verb &v) {
+json quota_change(const Verb &verb) {
   json change = json::object();
   auto put = [&change](const char *name, const std::optional<double> &value) {
     if (value) change[name] = *value;
   };
-  put("cpus", v.cpus);
-  put("cpus_max", v.cpus_max);
-  put("gpus", v.gpus);
-  put("gpus_max", v.gpus_max);
-  if (v.none) change = {{"cpus_max", nullptr}, {"gpus_max", nullptr}, {"shares", nullptr}};
-  for (const auto &share : v.shares) {
+  put("cpus", verb.cpus);
+  put("cpus_max", verb.cpus_max);
+  put("gpus", verb.gpus);
+  put("gpus_max", verb.gpus_max);
+  if (verb.none) change = {{"cpus_max", nullptr}, {"gpus_max", nullptr}, {"shares", nullptr}};
+  for (const auto &share : verb.shares) {
     const auto equals = share.find('=');
     std::size_t read = 0;
     double cpus = 0;
@@ -75,7 +75,7 @@
     change["shares"][share.substr(0, equals)] = {{"cpus", cpus}};
   }
   if (change.empty()) throw Stop{kUsage, "nothing to set; see loft quota set --help"};
-  if (v.version) change["version"] = *v.version;
+  if (verb.version) change["version"] = *verb.version;
   return change;
 }
 
@@ -88,69 +88,70 @@
 
 } // namespace
 
-int run(const Verb &v) {
+int run(const Verb &verb) {
   using Kind = Verb::Kind;
-  Service service(v.servers, v.timeout_s, curl_transport(), real_clock());
+  Service service(verb.servers, verb.timeout_s, curl_transport(), real_clock());
   auto show = [&](const json &answer, const Table &table) {
-    if (v.output == "json")
+    if (verb.output == "json")
       std::cout << answer.dump(2) << "\n";
     else
-      std::cout << (v.output == "csv" ? to_csv(table) : to_text(table));
+      std::cout << (verb.output == "csv" ? to_csv(table) : to_text(table));
   };
-  std::string of_team = v.team.empty() ? "" : "team=" + v.team;
-  const std::string of_period = v.period.empty() ? "" : "period=" + v.period;
+  std::string of_team = verb.team.empty() ? "" : "team=" + verb.team;
+  const std::string of_period = verb.period.empty() ? "" : "period=" + verb.period;
   try {
-    if (v.kind == Kind::Status) {
+    if (verb.kind == Kind::Status) {
       std::cout << ask(service, "GET", "/admin/v1/status").dump(2) << "\n";
-    } else if (v.kind == Kind::Jobs) {
+    } else if (verb.kind == Kind::Jobs) {
       const auto all = pages(service,
-                             v.ended  ? "/admin/v1/report"
-                             : v.late ? "/admin/v1/foreseen"
-                                      : "/admin/v1/jobs",
+                             verb.ended  ? "/admin/v1/report"
+                             : verb.late ? "/admin/v1/foreseen"
+                                         : "/admin/v1/jobs",
                              of_team);
       show(all, jobs_table(all));
-    } else if (v.kind == Kind::Statement) {
+    } else if (verb.kind == Kind::Statement) {
       const auto path = "/admin/v1/statement";
-      const auto all = v.by_job || v.output == "json" ? pages(service, path, joined(of_team, of_period))
-                                                      : ask(service, "GET", path + ("?" + joined(of_team, of_period)));
-      show(all, v.by_job ? used_table(all) : teams_table(all));
-    } else if (v.kind == Kind::BudgetGet) {
+      const auto all = verb.by_job || verb.output == "json"
+                           ? pages(service, path, joined(of_team, of_period))
+                           : ask(service, "GET", path + ("?" + joined(of_team, of_period)));
+      show(all, verb.by_job ? used_table(all) : teams_table(all));
+    } else if (verb.kind == Kind::BudgetGet) {
       const auto all = ask(service, "GET", "/admin/v1/budgets");
       show(all, budgets_table(all));
-    } else if (v.kind == Kind::BudgetSet) {
+    } else if (verb.kind == Kind::BudgetSet) {
       json change = json::object(), one = json::object();
-      if (v.cpu_hours) one["cpu_hours"] = *v.cpu_hours;
-      if (v.warn_share) one["warn_share"] = *v.warn_share;
-      if (!v.when_spent.empty()) one["when_spent"] = v.when_spent;
-      if (v.team.empty() && (v.none || !one.empty())) throw Stop{kUsage, "name the team whose budget this is"};
-      if (!v.team.empty() && !v.none && one.empty()) throw Stop{kUsage, "nothing to set for this team"};
-      if (!v.team.empty()) change["teams"][v.team] = v.none ? json() : one;
-      if (!v.every.empty()) change["every"] = v.every;
-      if (!v.starts.empty()) change["starts"] = v.starts;
-      if (!v.utc_offset.empty()) change["utc_offset"] = v.utc_offset;
+      if (verb.cpu_hours) one["cpu_hours"] = *verb.cpu_hours;
+      if (verb.warn_share) one["warn_share"] = *verb.warn_share;
+      if (!verb.when_spent.empty()) one["when_spent"] = verb.when_spent;
+      if (verb.team.empty() && (verb.none || !one.empty())) throw Stop{kUsage, "name the team whose budget this is"};
+      if (!verb.team.empty() && !verb.none && one.empty()) throw Stop{kUsage, "nothing to set for this team"};
+      if (!verb.team.empty()) change["teams"][verb.team] = verb.none ? json() : one;
+      if (!verb.every.empty()) change["every"] = verb.every;
+      if (!verb.starts.empty()) change["starts"] = verb.starts;
+      if (!verb.utc_offset.empty()) change["utc_offset"] = verb.utc_offset;
       if (change.empty()) throw Stop{kUsage, "nothing to set; see loft budget set --help"};
       const auto all = ask(service, "PUT", "/admin/v1/budgets", change);
       show(all, budgets_table(all));
-    } else if (v.kind == Kind::QuotaShow) {
-      const auto all = only_team(ask(service, "GET", "/admin/v1/quotas"), v.team);
+    } else if (verb.kind == Kind::QuotaShow) {
+      const auto all = only_team(ask(service, "GET", "/admin/v1/quotas"), verb.team);
       show(all, quotas_table(all));
-    } else if (v.kind == Kind::QuotaSet) {
-      const auto all = only_team(ask(service, "PUT", "/admin/v1/quotas/" + v.team, quota_change(v)), v.team);
+    } else if (verb.kind == Kind::QuotaSet) {
+      const auto all = only_team(ask(service, "PUT", "/admin/v1/quotas/" + verb.team, quota_change(verb)), verb.team);
       show(all, quotas_table(all));
-    } else if (v.kind == Kind::ConfigStatus) {
+    } else if (verb.kind == Kind::ConfigStatus) {
       const auto all = pages(service, "/admin/v1/configuration", "", "records");
       show(all, configuration_table(all));
-    } else if (v.kind == Kind::ConfigHistory) {
-      const auto all = ask(service, "GET", "/admin/v1/configuration/history/quota/" + v.team);
+    } else if (verb.kind == Kind::ConfigHistory) {
+      const auto all = ask(service, "GET", "/admin/v1/configuration/history/quota/" + verb.team);
       show(all, history_table(all));
-    } else if (v.kind == Kind::Report) {
+    } else if (verb.kind == Kind::Report) {
       const auto all = pages(service, "/admin/v1/statement", of_period);
       const auto plot = plot_by_hour(all);
-      std::ofstream file(v.html);
+      std::ofstream file(verb.html);
       file << report_html(all, pages(service, "/admin/v1/jobs", ""), plot);
-      if (!file.flush()) throw Stop{kUsage, v.html + ": cannot be written"};
+      if (!file.flush()) throw Stop{kUsage, verb.html + ": cannot be written"};
       if (plot.empty()) std::fprintf(stderr, "loft: no plot: nothing has ended, or gnuplot is not installed\n");
-      std::cout << v.html << "\n";
+      std::cout << verb.html << "\n";
     }
   } catch (const Stop &s) {
     std::fprintf(stderr, "loft: %s\n", s.why.c_str());
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -16,18 +16,18 @@
     to[key] += row;
 }
 
-wire::AdminJob ended_job(const std::string &id, const EndRecord &e) {
+wire::AdminJob ended_job(const std::string &id, const EndRecord &end) {
   return {id,
-          e.job_class,
-          e.team,
-          e.cancelled ? "cancelled" : "done",
-          e.reason,
-          e.tasks,
-          e.cancelled ? 0 : e.tasks,
+          end.job_class,
+          end.team,
+          end.cancelled ? "cancelled" : "done",
+          end.reason,
+          end.tasks,
+          end.cancelled ? 0 : end.tasks,
           0,
-          e.submit_wall,
-          e.end_wall,
-          e.late};
+          end.submit_wall,
+          end.end_wall,
+          end.late};
 }
 } // namespace
 
@@ -54,47 +54,48 @@
 }
 
 void AdministrationApiHandler::status(RequestId req, const wire::AdminRequest &ask) {
-  wire::AdminStatus s;
+  wire::AdminStatus status;
   const bool leads = leadership_.leading();
   auto ago = [this](double at) { return at < -1e8 ? -1.0 : runtime_.now() - at; };
-  s.node = settings_.node;
-  s.role = leads                                  ? (leadership_.active() ? "leading" : "leading, paused")
-           : leadership_.role() == Role::Follower ? "following"
-                                                  : "taking over";
-  s.leader = leads ? settings_.node : leadership_.leader_name();
-  s.term = leads ? leadership_.term() : leadership_.leader_term();
-  if (leads) s.leader_since = wire::clock_time(leadership_.leading_since_wall());
-  s.state_age_s = ago(runtime_.state_ok_at());
-  s.cloud_age_s = ago(runtime_.cloud_ok_at());
-  s.report_age_s = ago(connectivity_.last_report_at());
-  s.connectivity = {connectivity_.own(), connectivity_.machines_by_zone()};
+  status.node = settings_.node;
+  status.role = leads                                  ? (leadership_.active() ? "leading" : "leading, paused")
+                : leadership_.role() == Role::Follower ? "following"
+                                                       : "taking over";
+  status.leader = leads ? settings_.node : leadership_.leader_name();
+  status.term = leads ? leadership_.term() : leadership_.leader_term();
+  if (leads) status.leader_since = wire::clock_time(leadership_.leading_since_wall());
+  status.state_age_s = ago(runtime_.state_ok_at());
+  status.cloud_age_s = ago(runtime_.cloud_ok_at());
+  status.report_age_s = ago(connectivity_.last_report_at());
+  status.connectivity = {connectivity_.own(), connectivity_.machines_by_zone()};
   for (std::size_t i = 0; i < replicas_.count(); ++i) {
     const auto &x = replicas_[i];
     const auto word = connectivity_.word(i);
-    s.replicas.push_back({replicas_.name(i), ago(x.stated_at), x.cut_off, x.passes,
-                          leads ? workers_.kept_by(static_cast<int>(i)) : 0, word ? word->says : ConnectivityRecord{},
-                          !word           ? "nothing"
-                          : word->by_link ? "link"
-                                          : "state service",
-                          x.asked_at < -1e8      ? "unknown"
-                          : x.knows_dependencies ? "this or later"
-                                                 : "earlier"});
+    status.replicas.push_back({replicas_.name(i), ago(x.stated_at), x.cut_off, x.passes,
+                               leads ? workers_.kept_by(static_cast<int>(i)) : 0,
+                               word ? word->says : ConnectivityRecord{},
+                               !word           ? "nothing"
+                               : word->by_link ? "link"
+                                               : "state service",
+                               x.asked_at < -1e8      ? "unknown"
+                               : x.knows_dependencies ? "this or later"
+                                                      : "earlier"});
   }
   const auto load = heartbeats_.load();
-  s.load = {load.reports, load.max_reports, load.passed,     load.workers,       load.max_workers,
-            load.spreads, ask.cpu_s,        runtime_.up_s(), settings_.cpu_share};
+  status.load = {load.reports, load.max_reports, load.passed,     load.workers,       load.max_workers,
+                 load.spreads, ask.cpu_s,        runtime_.up_s(), settings_.cpu_share};
   std::map<MachineKind, wire::AdminStatus::Kind> kinds;
   int silent = 0, ordered = 0;
-  workers_.each([&](int, const Machine &m) {
-    if (m.type < 0) return;
-    auto &k = kinds[{m.type, m.zone, m.spot}];
-    const bool quiet = m.heard && m.silent(runtime_.now(), settings_.heartbeat_interval_s);
-    ++(quiet ? k.silent : m.heard ? k.up : k.starting);
+  workers_.each([&](int, const Machine &machine) {
+    if (machine.type < 0) return;
+    auto &k = kinds[{machine.type, machine.zone, machine.spot}];
+    const bool quiet = machine.heard && machine.silent(runtime_.now(), settings_.heartbeat_interval_s);
+    ++(quiet ? k.silent : machine.heard ? k.up : k.starting);
     silent += quiet;
-    ordered += m.order.has_value();
-    if (!m.heard || quiet) return;
-    k.cpus += m.size.cpus;
-    k.used += m.used.cpus;
+    ordered += machine.order.has_value();
+    if (!machine.heard || quiet) return;
+    k.cpus += machine.size.cpus;
+    k.used += machine.used.cpus;
   });
   for (const auto &kind : autoscaler_.refused_kinds())
     kinds[kind].refused = true;
@@ -103,37 +104,38 @@
     k.type = catalog_.type_name(type);
     k.zone = catalog_.zone_name(zone);
     k.spot = spot;
-    s.fleet.push_back(k);
+    status.fleet.push_back(k);
   }
-  if (leads) s.served = service_levels_.rows();
-  s.cell = settings_.cells.name;
+  if (leads) status.served = service_levels_.rows();
+  status.cell = settings_.cells.name;
   if (leads)
     for (const auto &c : federation_.states())
-      s.cells.push_back({c.name, c.heard_s, c.delegates, c.delegated_out_tasks, c.delegated_in_tasks});
+      status.cells.push_back({c.name, c.heard_s, c.delegates, c.delegated_out_tasks, c.delegated_in_tasks});
   if (leads) { // only the leader knows
     for (const auto &t : settings_.teams)
-      s.queues.push_back({.team = t.name});
-    jobs_.each([&](int i, const Job &j) {
-      if (j.cancelled || j.team < 0) return;
-      auto &q = s.queues[static_cast<std::size_t>(j.team)];
+      status.queues.push_back({.team = t.name});
+    jobs_.each([&](int i, const Job &job) {
+      if (job.cancelled || job.team < 0) return;
+      auto &q = status.queues[static_cast<std::size_t>(job.team)];
       ++q.jobs;
-      q.waiting += j.pending();
-      q.running += j.placed + j.unaccounted;
+      q.waiting += job.pending();
+      q.running += job.placed + job.unaccounted;
       if (!dependencies_.ready(i))
         ++q.waiting_for_others;
-      else if (j.pending())
+      else if (job.pending())
         q.oldest_s = std::max(q.oldest_s, runtime_.wall() - dependencies_.ready_wall(i));
     });
   }
-  s.troubles = troubles(s, silent, ordered);
-  s.round_p50 = ask.round_p50;
-  s.round_p99 = ask.round_p99;
-  s.queue_p50 = ask.queue_p50;
-  s.queue_p99 = ask.queue_p99;
-  runtime_.reply_json(req, 200, wire::encode_status(s));
+  status.troubles = troubles(status, silent, ordered);
+  status.round_p50 = ask.round_p50;
+  status.round_p99 = ask.round_p99;
+  status.queue_p50 = ask.queue_p50;
+  status.queue_p99 = ask.queue_p99;
+  runtime_.reply_json(req, 200, wire::encode_status(status));
 }
 
-std::vector<std::string> AdministrationApiHandler::troubles(const wire::AdminStatus &s, int silent, int ordered) const {
+std::vector<std::string> AdministrationApiHandler::troubles(const wire::AdminStatus &status, int silent,
+                                                            int ordered) const {
   std::vector<std::string> out;
   const bool leads = leadership_.leading();
   if (replicas_.cut_off())
@@ -142,7 +144,7 @@
                                     wire::clock_time(runtime_.state_ok_wall()),
                                     replicas_.common_outage() ? ", nor do its siblings" : "")
                       : "this node has had no answer from the state service yet");
-  if (s.leader.empty())
+  if (status.leader.empty())
     out.push_back(leadership_.leaderless_since_wall() > 0
                       ? fmt::format("no leader since {}", wire::clock_time(leadership_.leaderless_since_wall()))
                       : "no leader is known yet");
@@ -153,19 +155,19 @@
                               wire::clock_time(cancellations_.known_until_wall())));
   std::uint64_t unaccounted = 0;
   std::size_t suspects = 0;
-  jobs_.each([&](int j, const Job &n) {
-    unaccounted += n.unaccounted;
-    suspects += !n.cancelled && n.team >= 0 && failure_attribution_.suspect(j);
+  jobs_.each([&](int job_index, const Job &job) {
+    unaccounted += job.unaccounted;
+    suspects += !job.cancelled && job.team >= 0 && failure_attribution_.suspect(job_index);
   });
   if (leads && unaccounted && jobs_.unaccounted_until() > runtime_.now())
     out.push_back(fmt::format("took over at {}: tasks not found again by {} are started anew",
                               wire::clock_time(leadership_.leading_since_wall()),
                               wire::clock_time(runtime_.wall() + jobs_.unaccounted_until() - runtime_.now())));
-  for (const auto &x : s.replicas)
+  for (const auto &x : status.replicas)
     if (x.heard_s < 0 || x.heard_s > 3) out.push_back(fmt::format("sibling {} does not answer", x.node));
-  if (leads && s.cloud_age_s > 15) out.push_back("the cloud does not answer: nothing is rented or given back");
+  if (leads && status.cloud_age_s > 15) out.push_back("the cloud does not answer: nothing is rented or given back");
   std::string refused;
-  for (const auto &k : s.fleet)
+  for (const auto &k : status.fleet)
     if (k.refused)
       refused += fmt::format("{}{}{} in {}", refused.empty() ? "" : ", ", k.spot ? "spot " : "", k.type, k.zone);
   if (!refused.empty()) out.push_back("the cloud has none to give of: " + refused);
@@ -188,11 +190,11 @@
 void AdministrationApiHandler::jobs(RequestId req, const wire::AdminRequest &ask, bool foreseen) {
   if (!state_limits_.take_read(runtime_.now())) return fail(req, 503, "too many questions at once");
   runtime_.store(StoreList{"open/", ask.from.empty() ? "" : "open/" + ask.from}, kAdminDeadline,
-                 [this, req, ask, foreseen](const wire::StoreReply &r) {
-                   if (r.status != 200) return fail(req, 503, "the state service did not answer");
+                 [this, req, ask, foreseen](const wire::StoreReply &reply) {
+                   if (reply.status != 200) return fail(req, 503, "the state service did not answer");
                    std::vector<wire::AdminJob> out;
                    std::string next;
-                   for (const auto &e : r.entries) {
+                   for (const auto &e : reply.entries) {
                      auto open = wire::open_from_json(e.value);
                      if (!open) continue;
                      next = open->spec.id;
@@ -207,7 +209,7 @@
                                     view.reason, open->spec.tasks, view.done, view.running, open->submit_wall, 0,
                                     late});
                    }
-                   runtime_.reply_json(req, 200, wire::encode_jobs(out, r.more ? next : ""));
+                   runtime_.reply_json(req, 200, wire::encode_jobs(out, reply.more ? next : ""));
                  });
 }
 
@@ -215,11 +217,11 @@
 void AdministrationApiHandler::report(RequestId req, const wire::AdminRequest &ask) {
   if (!state_limits_.take_read(runtime_.now())) return fail(req, 503, "too many questions at once");
   runtime_.store(StoreList{"end/", ask.from.empty() ? "" : "end/" + ask.from}, kAdminDeadline,
-                 [this, req, ask](const wire::StoreReply &r) {
-                   if (r.status != 200) return fail(req, 503, "the state service did not answer");
+                 [this, req, ask](const wire::StoreReply &reply) {
+                   if (reply.status != 200) return fail(req, 503, "the state service did not answer");
                    std::vector<wire::AdminJob> out;
                    std::string next;
-                   for (const auto &e : r.entries) {
+                   for (const auto &e : reply.entries) {
                      next = e.key.substr(e.key.find('/') + 1);
                      auto end = wire::end_from_json(e.value);
                      if (!end || (!ask.team.empty() && ask.team != end->team) ||
@@ -227,7 +229,7 @@
                        continue;
                      out.push_back(ended_job(next, *end));
                    }
-                   runtime_.reply_json(req, 200, wire::encode_jobs(out, r.more ? next : ""));
+                   runtime_.reply_json(req, 200, wire::encode_jobs(out, reply.more ? next : ""));
                  });
 }
 
@@ -237,51 +239,54 @@
   if (!ledger_.on()) return fail(req, 409, kNoAccounts);
   if (!state_limits_.take_read(runtime_.now(), 3)) return fail(req, 503, "too many questions at once");
   const auto &clock = operators_.budgets().clock;
-  wire::AdminStatement s;
-  s.period = ask.period.empty() ? clock.name(runtime_.wall()) : ask.period;
-  for (double wall = runtime_.wall(); s.ends == 0 && wall > runtime_.wall() - 400 * 86400.0;
+  wire::AdminStatement statement;
+  statement.period = ask.period.empty() ? clock.name(runtime_.wall()) : ask.period;
+  for (double wall = runtime_.wall(); statement.ends == 0 && wall > runtime_.wall() - 400 * 86400.0;
        wall = clock.begin(wall) - 1)
-    if (clock.name(wall) == s.period) {
-      s.begins = clock.begin(wall);
-      s.ends = clock.end(wall);
+    if (clock.name(wall) == statement.period) {
+      statement.begins = clock.begin(wall);
+      statement.ends = clock.end(wall);
     }
-  if (s.ends == 0) return fail(req, 404, "no such period: the date of its beginning is wanted, within 400 days");
-  runtime_.store(StoreList{"progress/", ""}, kAdminDeadline, [this, req, ask, s](const wire::StoreReply &r) {
+  if (statement.ends == 0)
+    return fail(req, 404, "no such period: the date of its beginning is wanted, within 400 days");
+  runtime_.store(StoreList{"progress/", ""}, kAdminDeadline, [this, req, ask, statement](const wire::StoreReply &r) {
     if (r.status != 200 || r.more) return fail(req, 503, "the state service did not answer");
     SumsByTeam sums;
     for (const auto &e : r.entries)
       if (auto shard = wire::progress_from_json(e.key, e.value)) add(sums, shard->sums);
-    runtime_.store(StoreGet{"accounts/" + s.period}, kAdminDeadline,
-                   [this, req, ask, s, sums](const wire::StoreReply &a) mutable {
-                     if (a.status != 200 && a.status != 404) return fail(req, 503, "the state service did not answer");
-                     if (a.status == 200 && a.entries.size() == 1)
-                       if (auto kept = wire::sums_from_json(a.entries[0].value)) add(sums, *kept);
+    runtime_.store(StoreGet{"accounts/" + statement.period}, kAdminDeadline,
+                   [this, req, ask, statement, sums](const wire::StoreReply &reply) mutable {
+                     if (reply.status != 200 && reply.status != 404)
+                       return fail(req, 503, "the state service did not answer");
+                     if (reply.status == 200 && reply.entries.size() == 1)
+                       if (auto kept = wire::sums_from_json(reply.entries[0].value)) add(sums, *kept);
                      const auto &budgets = operators_.budgets().teams;
                      for (const auto &t : settings_.teams) {
                        if (!ask.team.empty() && ask.team != t.name) continue;
                        const auto b = budgets.find(t.name);
-                       s.teams.push_back({t.name, sums[{s.period, t.name}],
-                                          b == budgets.end() ? std::nullopt : std::optional(b->second)});
+                       statement.teams.push_back({t.name, sums[{statement.period, t.name}],
+                                                  b == budgets.end() ? std::nullopt : std::optional(b->second)});
                      }
-                     statement_jobs(req, ask, std::move(s));
+                     statement_jobs(req, ask, std::move(statement));
                    });
   });
 }
 
-void AdministrationApiHandler::statement_jobs(RequestId req, const wire::AdminRequest &ask, wire::AdminStatement s) {
+void AdministrationApiHandler::statement_jobs(RequestId req, const wire::AdminRequest &ask,
+                                              wire::AdminStatement statement) {
   runtime_.store(StoreList{"end/", ask.from.empty() ? "" : "end/" + ask.from}, kAdminDeadline,
-                 [this, req, ask, s = std::move(s)](const wire::StoreReply &r) mutable {
-                   if (r.status != 200) return fail(req, 503, "the state service did not answer");
+                 [this, req, ask, statement = std::move(statement)](const wire::StoreReply &reply) mutable {
+                   if (reply.status != 200) return fail(req, 503, "the state service did not answer");
                    std::string last;
-                   for (const auto &e : r.entries) {
+                   for (const auto &e : reply.entries) {
                      last = e.key.substr(e.key.find('/') + 1);
                      const auto end = wire::end_from_json(e.value);
                      if (!end || (!ask.team.empty() && ask.team != end->team)) continue;
-                     if (end->end_wall < s.begins || end->end_wall >= s.ends) continue;
-                     s.jobs.push_back({ended_job(last, *end), end->usage, end->need});
+                     if (end->end_wall < statement.begins || end->end_wall >= statement.ends) continue;
+                     statement.jobs.push_back({ended_job(last, *end), end->usage, end->need});
                    }
-                   if (r.more) s.next = last;
-                   runtime_.reply_json(req, 200, wire::encode_statement(s));
+                   if (reply.more) statement.next = last;
+                   runtime_.reply_json(req, 200, wire::encode_statement(statement));
                  });
 }
 
--- a/src/core/api/configuration_api_handler.cpp
+++ b/src/core/api/configuration_api_handler.cpp
@@ -128,8 +128,8 @@
   for (const auto &s : settings_.replicas)
     out.nodes.push_back(s.node);
   std::map<std::string, wire::AppliedRecord> applied;
-  configuration_.each(wire::kConfigApplied, [&applied](std::string_view node, const Configuration::Record &r) {
-    if (const auto a = wire::applied_from_json(r.value)) applied[std::string(node)] = *a;
+  configuration_.each(wire::kConfigApplied, [&applied](std::string_view node, const Configuration::Record &record) {
+    if (const auto a = wire::applied_from_json(record.value)) applied[std::string(node)] = *a;
   });
   std::size_t bytes = 0;
   configuration_.each(wire::kConfigRecords, [&](std::string_view key, const Configuration::Record &r) {
@@ -184,12 +184,12 @@
 void ConfigurationApiHandler::write(Change change) {
   if (!state_limits_.take_write(runtime_.now())) return fail(change.req, 503, "too many requests at once");
   const auto key = change.document;
-  runtime_.store(StoreGet{key}, kReadWithin, [this, change = std::move(change)](const wire::StoreReply &r) mutable {
-    if (r.status != 200 && r.status != 404) return fail(change.req, 503, "the state service did not answer");
-    const bool found = r.status == 200 && !r.entries.empty();
-    const auto before = found ? r.entries[0].value : wire::Json::object();
+  runtime_.store(StoreGet{key}, kReadWithin, [this, change = std::move(change)](const wire::StoreReply &reply) mutable {
+    if (reply.status != 200 && reply.status != 404) return fail(change.req, 503, "the state service did not answer");
+    const bool found = reply.status == 200 && !reply.entries.empty();
+    const auto before = found ? reply.entries[0].value : wire::Json::object();
     if (auto after = edited(change, before))
-      commit(std::move(change), before, std::move(*after), found ? r.entries[0].mod_revision : 0);
+      commit(std::move(change), before, std::move(*after), found ? reply.entries[0].mod_revision : 0);
   });
 }
 
@@ -203,17 +203,17 @@
     (void)wire::apply_cell_rules(ask.change, rules); // checked at the door
     after = wire::to_json(rules);
   } else if (ask.kind == Kind::Change) {
-    wire::Tunables t;
-    (void)wire::apply_tunables(before, t);
-    (void)wire::apply_tunables(ask.change, t); // checked at the door
-    after = wire::to_json(t);
+    wire::Tunables tunables;
+    (void)wire::apply_tunables(before, tunables);
+    (void)wire::apply_tunables(ask.change, tunables); // checked at the door
+    after = wire::to_json(tunables);
   } else if (ask.kind == Kind::ChangeBudgets) {
-    wire::Budgets b;
-    (void)wire::apply_budgets(before, b);
+    wire::Budgets budgets;
+    (void)wire::apply_budgets(before, budgets);
     auto fields = ask.change;
     if (settings_.configuration) fields.erase(kTeams);
-    (void)wire::apply_budgets(fields, b); // checked at the door
-    after = wire::to_json(b);
+    (void)wire::apply_budgets(fields, budgets); // checked at the door
+    after = wire::to_json(budgets);
   } else {
     auto orders = wire::machine_admin_states_from_json(before);
     if (!settings_.configuration) {
@@ -276,11 +276,13 @@
   if (!settings_.configuration || after != before) transaction.writes.push_back({change.document, after, 0});
   const auto writes = transaction.writes;
   runtime_.store(std::move(transaction), kCommitWithin,
-                 [this, change = std::move(change), writes](const wire::StoreReply &r) mutable {
-                   if (r.status == 409) return fail(change.req, 409, "somebody else has just changed it; ask again");
-                   if (r.status != 200) return fail(change.req, 503, "the state service did not confirm the change");
+                 [this, change = std::move(change), writes](const wire::StoreReply &reply) mutable {
+                   if (reply.status == 409)
+                     return fail(change.req, 409, "somebody else has just changed it; ask again");
+                   if (reply.status != 200)
+                     return fail(change.req, 503, "the state service did not confirm the change");
                    for (const auto &w : writes) {
-                     configuration_.learn(w.key, w.value, r.revision);
+                     configuration_.learn(w.key, w.value, reply.revision);
                      operators_.on(ConfigurationChanged{w.key}); // so that the answer has it
                    }
                    if (change.left.empty()) return answer(change.req, change.ask);
--- a/src/core/api/event_log.cpp
+++ b/src/core/api/event_log.cpp
@@ -27,68 +27,69 @@
 }
 } // namespace
 
-void EventLog::on(const LeaderElected &e) {
-  runtime_.log(LogLevel::Info, "leader_elected", {{"term", e.term}});
+void EventLog::on(const LeaderElected &event) {
+  runtime_.log(LogLevel::Info, "leader_elected", {{"term", event.term}});
 }
 
-void EventLog::on(const TermStarted &e) {
+void EventLog::on(const TermStarted &event) {
   std::uint64_t unaccounted = 0;
-  jobs_.each([&](int, const Job &n) { unaccounted += n.unaccounted; });
+  jobs_.each([&](int, const Job &job) { unaccounted += job.unaccounted; });
   runtime_.log(LogLevel::Info, "leadership_acquired",
-               {{"term", e.term}, {"jobs_open", jobs_.open()}, {"tasks_unaccounted", unaccounted}});
+               {{"term", event.term}, {"jobs_open", jobs_.open()}, {"tasks_unaccounted", unaccounted}});
 }
 
-void EventLog::on(const TermEnded &e) {
-  runtime_.log(LogLevel::Info, "term_ended", {{"term", e.term}, {"why", e.why}});
+void EventLog::on(const TermEnded &event) {
+  runtime_.log(LogLevel::Info, "term_ended", {{"term", event.term}, {"why", event.why}});
 }
 
-void EventLog::on(const JobSuspected &e) {
+void EventLog::on(const JobSuspected &event) {
   runtime_.log(LogLevel::Info, "job_suspected",
-               {{"job", jobs_[e.job].spec.id}, {"machines", e.machines}, {"then", "tried seldom from now on"}});
+               {{"job", jobs_[event.job].spec.id}, {"machines", event.machines}, {"then", "tried seldom from now on"}});
 }
 
-void EventLog::on(const TaskRunning &e) {
+void EventLog::on(const TaskRunning &event) {
   if (!runtime_.shows(LogLevel::Debug)) return;
   runtime_.log(LogLevel::Debug, "task_runs",
-               {{"job", jobs_[e.job].spec.id},
-                {"task", e.index},
-                {"machine", workers_[e.machine].name},
-                {"after_s", e.after_s}});
+               {{"job", jobs_[event.job].spec.id},
+                {"task", event.index},
+                {"machine", workers_[event.machine].name},
+                {"after_s", event.after_s}});
 }
 
-void EventLog::on(const TaskExited &e) {
+void EventLog::on(const TaskExited &event) {
   if (!runtime_.shows(LogLevel::Debug)) return;
   runtime_.log(LogLevel::Debug, "task_exited",
-               {{"job", jobs_[e.job].spec.id},
-                {"task", e.index},
-                {"machine", e.machine_name},
-                {"cause", name_of(e.cause)},
-                {"after_s", runtime_.now() - e.placed_at}});
+               {{"job", jobs_[event.job].spec.id},
+                {"task", event.index},
+                {"machine", event.machine_name},
+                {"cause", name_of(event.cause)},
+                {"after_s", runtime_.now() - event.placed_at}});
 }
 
-void EventLog::on(const TasksAbandoned &e) {
+void EventLog::on(const TasksAbandoned &event) {
   runtime_.log(LogLevel::Info, "tasks_abandoned",
-               {{"job", jobs_[e.job].spec.id}, {"tasks", e.tasks}, {"then", "they count as lost"}});
+               {{"job", jobs_[event.job].spec.id}, {"tasks", event.tasks}, {"then", "they count as lost"}});
 }
 
-void EventLog::on(const MachineLost &e) {
-  if (e.tasks) runtime_.log(LogLevel::Info, "machine_lost", {{"machine", e.name}, {"why", e.why}, {"tasks", e.tasks}});
+void EventLog::on(const MachineLost &event) {
+  if (event.tasks)
+    runtime_.log(LogLevel::Info, "machine_lost", {{"machine", event.name}, {"why", event.why}, {"tasks", event.tasks}});
 }
 
-void EventLog::on(const MachineQuarantined &e) {
+void EventLog::on(const MachineQuarantined &event) {
   runtime_.log(LogLevel::Info, "machine_quarantined",
-               {{"machine", workers_[e.machine].name}, {"of_jobs", e.jobs}, {"then", "given back"}});
+               {{"machine", workers_[event.machine].name}, {"of_jobs", event.jobs}, {"then", "given back"}});
 }
 
-void EventLog::on(const MachineRemoved &e) {
+void EventLog::on(const MachineRemoved &event) {
   runtime_.log(LogLevel::Info, "machine_removed",
-               {{"machine", e.name},
-                {"type", e.type},
-                {"zone", e.zone},
-                {"spot", e.spot},
-                {"lived_s", e.lived_s},
-                {"up_s", e.up_s},
-                {"cpu_used_percent", 100 * e.used_share}});
+               {{"machine", event.name},
+                {"type", event.type},
+                {"zone", event.zone},
+                {"spot", event.spot},
+                {"lived_s", event.lived_s},
+                {"up_s", event.up_s},
+                {"cpu_used_percent", 100 * event.used_share}});
 }
 
 } // namespace loftrouter::core
--- a/src/core/api/job_api_handler.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -31,11 +31,11 @@
     why = fmt::format("unknown team {}", spec.team);
     return Verdict::Never;
   }
-  const Team &t = quotas_.over_all_cells(team);
+  const Team &team_quota = quotas_.over_all_cells(team);
   double times = spec.shape == Shape::Array ? 1 : spec.tasks;
   constexpr double eps = 1e-6;
-  if ((t.cpus_max > 0 && spec.need.cpus * times > t.cpus_max + eps) ||
-      (t.gpus_max > 0 && spec.need.gpus * times > t.gpus_max + eps)) {
+  if ((team_quota.cpus_max > 0 && spec.need.cpus * times > team_quota.cpus_max + eps) ||
+      (team_quota.gpus_max > 0 && spec.need.gpus * times > team_quota.gpus_max + eps)) {
     why = fmt::format("needs more than the limit of team {}", spec.team);
     return Verdict::Never;
   }
@@ -85,26 +85,28 @@
   if (to < 0 || Runtime::is_proxied(req) || passed_.full() || runtime_.now() + kMinForReplica > until ||
       body.size() + 256 > wire::kPeerMaxRelayed)
     return false;
-  wire::PeerMessage m;
-  m.kind = wire::PeerMessage::Kind::Ask;
-  m.nonce = passed_.add(req, until,
-                         {verb, id, body.size() <= kKeptBody ? body : std::string(), asked,
-                          tried | std::uint64_t(1) << to | (body.size() <= kKeptBody ? 0 : ~std::uint64_t(0)), waits});
-  m.term = leadership_.highest_term();
-  m.sender = replicas_.self();
-  m.verb = verb;
-  m.id = id;
-  m.body = std::move(body);
-  runtime_.send({to, 0, std::move(m)});
+  wire::PeerMessage message;
+  message.kind = wire::PeerMessage::Kind::Ask;
+  message.nonce =
+      passed_.add(req, until,
+                  {verb, id, body.size() <= kKeptBody ? body : std::string(), asked,
+                   tried | std::uint64_t(1) << to | (body.size() <= kKeptBody ? 0 : ~std::uint64_t(0)), waits});
+  message.term = leadership_.highest_term();
+  message.sender = replicas_.self();
+  message.verb = verb;
+  message.id = id;
+  message.body = std::move(body);
+  runtime_.send({to, 0, std::move(message)});
   return true;
 }
 
-void JobApiHandler::no_answer(const Question &q, Verb verb, std::string_view why, std::string body, bool waits) {
-  if (!pass_on(q.req, verb, q.id, q.asked, std::move(body), 0, waits)) runtime_.refuse(q.req, why);
+void JobApiHandler::no_answer(const Question &question, Verb verb, std::string_view why, std::string body, bool waits) {
+  if (!pass_on(question.req, verb, question.id, question.asked, std::move(body), 0, waits))
+    runtime_.refuse(question.req, why);
 }
 
-void JobApiHandler::no_answer(const Question &q, const JobSpec &spec, std::string_view why) {
-  no_answer(q, Verb::Submit, why, wire::encode(wire::to_json(spec)), !spec.waits_for.empty());
+void JobApiHandler::no_answer(const Question &question, const JobSpec &spec, std::string_view why) {
+  no_answer(question, Verb::Submit, why, wire::encode(wire::to_json(spec)), !spec.waits_for.empty());
 }
 
 void JobApiHandler::take_asked(const CmdPeer &cmd) {
@@ -121,20 +123,21 @@
 }
 
 // What a sibling read after the user had asked. What this node has learnt since is newer, and is told instead.
-void JobApiHandler::take_told(const wire::PeerMessage &m) {
-  const auto item = passed_.complete(m.nonce);
+void JobApiHandler::take_told(const wire::PeerMessage &message) {
+  const auto item = passed_.complete(message.nonce);
   if (!item) return; // given up
   const auto &[verb, id, body, asked, tried, waits] = item->context;
   // It may have been cut off at the same moment as this node, and not have known yet.
-  if (m.status == 503 && pass_on(item->request, verb, id, asked, body, tried, waits)) return;
-  if (m.status == 200) {
+  if (message.status == 503 && pass_on(item->request, verb, id, asked, body, tried, waits)) return;
+  if (message.status == 200) {
     const bool brief = verb != Verb::Look;
     if (const auto *end = ended_.find(id)) return answer_end(item->request, id, *end, brief);
     if (const auto it = known_open_.find(id);
         it != known_open_.end() && (it->second.cancelled || !cancelled_name(id).empty()))
       return tell_open({item->request, id, brief, runtime_.now()}, true);
   }
-  runtime_.reply(item->request, m.status, m.body, m.retry_s ? std::optional<int>(m.retry_s) : std::nullopt);
+  runtime_.reply(item->request, message.status, message.body,
+                 message.retry_s ? std::optional<int>(message.retry_s) : std::nullopt);
 }
 
 void JobApiHandler::tick() {
@@ -173,58 +176,59 @@
 // ---- submissions ----
 
 void JobApiHandler::take(CmdSubmit &&cmd) {
-  const Question q{cmd.req, cmd.spec.id, true, runtime_.now()};
+  const Question question{cmd.req, cmd.spec.id, true, runtime_.now()};
   // Known, so accepted before: whatever would be said of it now, it stays so, and its state costs no write.
-  if (ended_.find(q.id) || known_open(q.id)) return answer_state(q);
+  if (ended_.find(question.id) || known_open(question.id)) return answer_state(question);
   const bool waits = !cmd.spec.waits_for.empty();
   std::string why;
   switch (judge(cmd.spec, why)) {
   case Verdict::Never:
-    return refuse_for_ever(q, cmd.spec, why);
+    return refuse_for_ever(question, cmd.spec, why);
   case Verdict::Unknown:
-    return no_answer(q, cmd.spec, "machine types are not known yet");
+    return no_answer(question, cmd.spec, "machine types are not known yet");
   case Verdict::Ok:
     break;
   }
   OpenRecord record{std::move(cmd.spec), runtime_.wall(), false, {}};
   if (!state_limits_.fits(wire::to_json(record), StateServiceLimits::kRoomForMark))
-    return refuse_for_ever(q, record.spec, "the job's description is too long to be kept");
+    return refuse_for_ever(question, record.spec, "the job's description is too long to be kept");
   // An earlier version would start it at once, whether it leads or has it passed on.
   if (waits && replicas_.earlier_version())
-    return runtime_.refuse(q.req, "jobs that wait for others are accepted once all nodes have this version", 2);
-  if (replicas_.cut_off()) return no_answer(q, record.spec, kCutOff);
-  if (!waits) return accept(q, std::move(record));
-  check_names(std::make_shared<Submission>(Submission{q, std::move(record)}));
+    return runtime_.refuse(question.req, "jobs that wait for others are accepted once all nodes have this version", 2);
+  if (replicas_.cut_off()) return no_answer(question, record.spec, kCutOff);
+  if (!waits) return accept(question, std::move(record));
+  check_names(std::make_shared<Submission>(Submission{question, std::move(record)}));
 }
 
 // Guards against an accepted job being called impossible when its submission is repeated: limits, types and sizes may
 // have been others when it was accepted. That nobody has accepted it, only reads made since can tell.
-void JobApiHandler::refuse_for_ever(const Question &q, const JobSpec &spec, const std::string &why) {
-  if (replicas_.cut_off()) return no_answer(q, spec, kCutOff);
-  learn(q.id, [this, q, spec, why](Named found) {
-    if (found == Named::Never) return runtime_.reply(q.req, 422, wire::encode_error(why));
-    if (found != Named::Unknown) return answer_state(q);
-    no_answer(q, spec, "whether this job was accepted before cannot be told at present");
+void JobApiHandler::refuse_for_ever(const Question &question, const JobSpec &spec, const std::string &why) {
+  if (replicas_.cut_off()) return no_answer(question, spec, kCutOff);
+  learn(question.id, [this, question, spec, why](Named found) {
+    if (found == Named::Never) return runtime_.reply(question.req, 422, wire::encode_error(why));
+    if (found != Named::Unknown) return answer_state(question);
+    no_answer(question, spec, "whether this job was accepted before cannot be told at present");
   });
 }
 
-void JobApiHandler::accept(const Question &q, OpenRecord record) {
+void JobApiHandler::accept(const Question &question, OpenRecord record) {
   if (under_way_ >= kMaxUserOps || !state_limits_.take_write(runtime_.now()))
-    return runtime_.refuse(q.req, "too many submissions at once");
+    return runtime_.refuse(question.req, "too many submissions at once");
   ++under_way_;
   auto value = wire::to_json(record);
-  runtime_.store(StoreCommit{{{"open/" + q.id, 0}, {"end/" + q.id, 0}}, {{"open/" + q.id, std::move(value), 0}}},
-                 kUserDeadline, [this, q, record = std::move(record)](const wire::StoreReply &r) {
+  runtime_.store(StoreCommit{{{"open/" + question.id, 0}, {"end/" + question.id, 0}},
+                             {{"open/" + question.id, std::move(value), 0}}},
+                 kUserDeadline, [this, question, record = std::move(record)](const wire::StoreReply &reply) {
                    --under_way_;
-                   if (r.status == 200) {
-                     note_open(record, r.revision, record.cancelled);
+                   if (reply.status == 200) {
+                     note_open(record, reply.revision, record.cancelled);
                      return runtime_.reply(
-                         q.req, 201,
-                         wire::encode_accepted(q.id, record.cancelled ? JobState::Cancelled : JobState::Queued));
+                         question.req, 201,
+                         wire::encode_accepted(question.id, record.cancelled ? JobState::Cancelled : JobState::Queued));
                    }
-                   if (r.status == 409) return answer_state(q);
+                   if (reply.status == 409) return answer_state(question);
                    // It may have been carried out, or may be yet: the same again is the same job.
-                   no_answer(q, record.spec, "the state service did not confirm the submission");
+                   no_answer(question, record.spec, "the state service did not confirm the submission");
                  });
 }
 
@@ -261,9 +265,11 @@
 const JobApiHandler::KnownOpen *JobApiHandler::known_open(const std::string &id) {
   if (const auto it = known_open_.find(id); it != known_open_.end()) return &it->second;
   // What this leader has cancelled along the graph is not recorded so yet.
-  const int j = leadership_.leading() ? jobs_.index(id) : -1;
-  if (j < 0 || jobs_[j].cancelled || jobs_[j].ending || jobs_[j].delegated_here) return nullptr;
-  note_open({jobs_[j].spec, jobs_[j].submit_wall, false, {}}, jobs_[j].open_mod_revision, false);
+  const int job_index = leadership_.leading() ? jobs_.index(id) : -1;
+  if (job_index < 0 || jobs_[job_index].cancelled || jobs_[job_index].ending || jobs_[job_index].delegated_here)
+    return nullptr;
+  note_open({jobs_[job_index].spec, jobs_[job_index].submit_wall, false, {}}, jobs_[job_index].open_mod_revision,
+            false);
   return &known_open_.find(id)->second;
 }
 
@@ -292,10 +298,11 @@
       return then(Named::Unknown);
     }
     ++under_way_;
-    runtime_.store(StoreGet{"end/" + id}, kUserDeadline / 2, [this, id, then](const wire::StoreReply &e) {
+    runtime_.store(StoreGet{"end/" + id}, kUserDeadline / 2, [this, id, then](const wire::StoreReply &reply) {
       --under_way_;
-      if (e.status == 404) return then(Named::Never);
-      auto end = e.status == 200 && e.entries.size() == 1 ? wire::end_from_json(e.entries[0].value) : std::nullopt;
+      if (reply.status == 404) return then(Named::Never);
+      auto end =
+          reply.status == 200 && reply.entries.size() == 1 ? wire::end_from_json(reply.entries[0].value) : std::nullopt;
       if (!end) return then(Named::Unknown);
       ended_.remember(id, std::move(*end));
       then(known(id));
@@ -310,37 +317,40 @@
   answer_state({cmd.req, cmd.id, false, runtime_.now()});
 }
 
-void JobApiHandler::answer_state(const Question &q) {
-  if (const auto *end = ended_.find(q.id)) return answer_end(q.req, q.id, *end, q.as_submit);
-  auto known = known_open_.find(q.id);
+void JobApiHandler::answer_state(const Question &question) {
+  if (const auto *end = ended_.find(question.id))
+    return answer_end(question.req, question.id, *end, question.as_submit);
+  auto known = known_open_.find(question.id);
   // Cancelled is for ever; that it is still open has to be confirmed.
-  if (known != known_open_.end() && known->second.cancelled) return tell_open(q, true);
-  if (replicas_.cut_off()) return no_answer(q, Verb::Look, kCutOff);
-  if (known == known_open_.end()) return read_open(q);
-  if (questions_.size() >= kMaxUserOps) return runtime_.refuse(q.req, "too many questions at once");
-  questions_.push_back(q);
+  if (known != known_open_.end() && known->second.cancelled) return tell_open(question, true);
+  if (replicas_.cut_off()) return no_answer(question, Verb::Look, kCutOff);
+  if (known == known_open_.end()) return read_open(question);
+  if (questions_.size() >= kMaxUserOps) return runtime_.refuse(question.req, "too many questions at once");
+  questions_.push_back(question);
 }
 
-void JobApiHandler::read_open(const Question &q) {
+void JobApiHandler::read_open(const Question &question) {
   if (under_way_ >= kMaxUserOps || !state_limits_.take_read(runtime_.now(), 1.3))
-    return runtime_.refuse(q.req, "too many questions at once");
+    return runtime_.refuse(question.req, "too many questions at once");
   ++under_way_;
-  runtime_.store(StoreGet{"open/" + q.id}, kUserDeadline / 2, [this, q](const wire::StoreReply &r) {
+  runtime_.store(StoreGet{"open/" + question.id}, kUserDeadline / 2, [this, question](const wire::StoreReply &reply) {
     --under_way_;
-    if (r.status == 404) return read_end(q, false);
-    if (auto end = r.entries.size() == 1 ? wire::final_from_json(r.entries[0].value) : std::nullopt) {
-      ended_.remember(q.id, *end);
-      return answer_end(q.req, q.id, *end, q.as_submit);
+    if (reply.status == 404) return read_end(question, false);
+    if (auto end = reply.entries.size() == 1 ? wire::final_from_json(reply.entries[0].value) : std::nullopt) {
+      ended_.remember(question.id, *end);
+      return answer_end(question.req, question.id, *end, question.as_submit);
     }
-    auto open = r.status == 200 && r.entries.size() == 1 ? wire::open_from_json(r.entries[0].value) : std::nullopt;
-    if (!open) return no_answer(q, Verb::Look, "the state service did not answer");
+    auto open =
+        reply.status == 200 && reply.entries.size() == 1 ? wire::open_from_json(reply.entries[0].value) : std::nullopt;
+    if (!open) return no_answer(question, Verb::Look, "the state service did not answer");
     if (open->delegated)
-      return q.as_submit ? want_id(q, r.entries[0].mod_revision, std::move(*open)) : read_end(q, false);
-    note_open(*open, r.entries[0].mod_revision, open->cancelled);
-    if (open->cancelled || open->spec.waits_for.empty()) return tell_open(q, open->cancelled);
-    Question names = q; // how those are that it waits for
+      return question.as_submit ? want_id(question, reply.entries[0].mod_revision, std::move(*open))
+                                : read_end(question, false);
+    note_open(*open, reply.entries[0].mod_revision, open->cancelled);
+    if (open->cancelled || open->spec.waits_for.empty()) return tell_open(question, open->cancelled);
+    Question names = question; // how those are that it waits for
     names.patience = kNamesPatience;
-    names.unchanged.push_back("open/" + q.id);
+    names.unchanged.push_back("open/" + question.id);
     questions_.push_back(std::move(names));
   });
 }
@@ -355,14 +365,16 @@
   return {};
 }
 
-void JobApiHandler::tell_open(const Question &q, bool cancelled) {
+void JobApiHandler::tell_open(const Question &question, bool cancelled) {
   // What this node has learnt while the question was under way is newer than what was found.
-  if (const auto *end = ended_.find(q.id)) return answer_end(q.req, q.id, *end, q.as_submit);
-  if (auto it = known_open_.find(q.id); it != known_open_.end()) cancelled |= it->second.cancelled;
-  const auto with = cancelled_name(q.id);
-  auto view = status_reporter_.view(q.id, cancelled || !with.empty());
+  if (const auto *end = ended_.find(question.id))
+    return answer_end(question.req, question.id, *end, question.as_submit);
+  if (auto it = known_open_.find(question.id); it != known_open_.end()) cancelled |= it->second.cancelled;
+  const auto with = cancelled_name(question.id);
+  auto view = status_reporter_.view(question.id, cancelled || !with.empty());
   if (!with.empty()) view.reason = stopped_with(with);
-  runtime_.reply(q.req, 200, q.as_submit ? wire::encode_accepted(q.id, view.state) : wire::encode_job_view(view));
+  runtime_.reply(question.req, 200,
+                 question.as_submit ? wire::encode_accepted(question.id, view.state) : wire::encode_job_view(view));
 }
 
 void JobApiHandler::note_open(const OpenRecord &record, std::uint64_t mod_revision, bool cancelled) {
@@ -386,29 +398,29 @@
 // What a question has to find unchanged: its job's record, and those of the jobs that it names and that are not known
 // to be done. A job that names a cancelled one is cancelled with it, for ever, and every node says so by the same
 // records: the leader writes it down, but nobody has to wait for that. Nothing: it has been seen to otherwise.
-std::optional<JobApiHandler::Compared> JobApiHandler::compare(Question q, StoreCommit &commit) {
+std::optional<JobApiHandler::Compared> JobApiHandler::compare(Question question, StoreCommit &commit) {
   std::vector<std::pair<std::string, std::uint64_t>> all;
-  const auto own = known_open_.find(q.id);
+  const auto own = known_open_.find(question.id);
   if (own == known_open_.end() || own->second.cancelled) { // ended, cancelled or pushed out meanwhile
-    answer_state(q);
+    answer_state(question);
     return std::nullopt;
   }
   Compared out;
-  all.emplace_back("open/" + q.id, own->second.mod_revision);
+  all.emplace_back("open/" + question.id, own->second.mod_revision);
   const auto names = own->second.waits_for; // what is learnt below may move the entry
   std::vector<std::string> done;
   for (const auto &name : names) {
     const Named found = known(name);
     if (found == Named::Cancelled) {
-      tell_open(q, true);
+      tell_open(question, true);
       return std::nullopt;
     }
     if (found == Named::Unknown) {
-      q.patience = kNamesPatience;
-      learn(name, [this, q](Named learnt) mutable {
+      question.patience = kNamesPatience;
+      learn(name, [this, question](Named learnt) mutable {
         if (learnt == Named::Never || learnt == Named::Unknown)
-          return no_answer(q, Verb::Look, "how the jobs are that it waits for cannot be told at present");
-        questions_.push_back(std::move(q));
+          return no_answer(question, Verb::Look, "how the jobs are that it waits for cannot be told at present");
+        questions_.push_back(std::move(question));
       });
       return std::nullopt;
     }
@@ -417,11 +429,11 @@
     else
       all.emplace_back("open/" + name, known_open_.find(name)->second.mod_revision);
   }
-  if (auto it = known_open_.find(q.id); it != known_open_.end() && !done.empty())
+  if (auto it = known_open_.find(question.id); it != known_open_.end() && !done.empty())
     std::erase_if(it->second.waits_for,
                   [&](const auto &n) { return std::find(done.begin(), done.end(), n) != done.end(); });
   for (auto &[key, mod_revision] : all) {
-    if (std::find(q.unchanged.begin(), q.unchanged.end(), key) != q.unchanged.end()) continue;
+    if (std::find(question.unchanged.begin(), question.unchanged.end(), key) != question.unchanged.end()) continue;
     if (std::none_of(commit.preconditions.begin(), commit.preconditions.end(),
                      [&k = key](const auto &g) { return g.key == k; })) {
       if (commit.preconditions.size() >= max_guards()) {
@@ -432,7 +444,7 @@
     }
     out.keys.push_back(key);
   }
-  out.question = std::move(q);
+  out.question = std::move(question);
   return out;
 }
 
@@ -443,12 +455,12 @@
   if (!questions_.empty() && now >= next_sweep_) {
     next_sweep_ = now + kSweepEvery;
     for (std::size_t k = questions_.size(); k-- > 0;) {
-      Question q = std::move(questions_.front());
+      Question question = std::move(questions_.front());
       questions_.pop_front();
-      if (now - q.asked > q.patience)
-        runtime_.refuse(q.req, "too many questions at once");
+      if (now - question.asked > question.patience)
+        runtime_.refuse(question.req, "too many questions at once");
       else
-        questions_.push_back(std::move(q));
+        questions_.push_back(std::move(question));
     }
   }
   if (confirming_ || questions_.empty() || now < next_confirm_ || !state_limits_.take_read(now)) return;
@@ -458,9 +470,9 @@
   std::vector<Compared> asked;
   const std::size_t most = max_guards();
   for (std::size_t k = questions_.size(); k-- > 0 && asked.size() < most && commit.preconditions.size() < most;) {
-    Question q = std::move(questions_.front());
+    Question question = std::move(questions_.front());
     questions_.pop_front();
-    auto c = compare(std::move(q), commit);
+    auto c = compare(std::move(question), commit);
     if (!c) continue;
     if (c->keys.empty() && c->whole)
       tell_open(c->question, false); // it has just been read, and all that it names is done
@@ -471,14 +483,14 @@
     confirming_ = false;
     return;
   }
-  runtime_.store(std::move(commit), kUserDeadline / 2, [this, asked = std::move(asked)](const wire::StoreReply &r) {
+  runtime_.store(std::move(commit), kUserDeadline / 2, [this, asked = std::move(asked)](const wire::StoreReply &reply) {
     confirming_ = false;
     auto failed = [&](const std::string &key) {
-      return std::find(r.failed.begin(), r.failed.end(), key) != r.failed.end();
+      return std::find(reply.failed.begin(), reply.failed.end(), key) != reply.failed.end();
     };
     for (auto c : asked) {
       auto &q = c.question;
-      if (r.status != 200 && r.status != 409) {
+      if (reply.status != 200 && reply.status != 409) {
         no_answer(q, Verb::Look, "the state service did not answer");
         continue;
       }
@@ -491,11 +503,11 @@
           known_open_.erase(key.substr(5));
           q.patience = kNamesPatience;
         }
-      if (r.status == 200 && c.whole) {
+      if (reply.status == 200 && c.whole) {
         tell_open(q, false);
         continue;
       }
-      if (r.status == 200) {
+      if (reply.status == 200) {
         q.patience = kNamesPatience;
         q.unchanged.insert(q.unchanged.end(), c.keys.begin(), c.keys.end());
       }
@@ -505,24 +517,28 @@
 }
 
 // A submission whose id another cell's work bears here, which is then given back: own users come first.
-void JobApiHandler::want_id(const Question &q, std::uint64_t mod_revision, OpenRecord record) {
+void JobApiHandler::want_id(const Question &question, std::uint64_t mod_revision, OpenRecord record) {
   const std::string why = "work of cell " + record.delegated->origin + " bears this id here; it is being given back";
   if (!std::exchange(record.cancelled, true) && state_limits_.take_write(runtime_.now()))
-    runtime_.store(StoreCommit{{{"open/" + q.id, mod_revision}}, {{"open/" + q.id, wire::to_json(record), 0}}},
-                   kUserDeadline, [](const wire::StoreReply &) {});
-  runtime_.refuse(q.req, why, 2);
+    runtime_.store(
+        StoreCommit{{{"open/" + question.id, mod_revision}}, {{"open/" + question.id, wire::to_json(record), 0}}},
+        kUserDeadline, [](const wire::StoreReply &) {});
+  runtime_.refuse(question.req, why, 2);
 }
 
-void JobApiHandler::read_end(const Question &q, bool as_abort) {
+void JobApiHandler::read_end(const Question &question, bool as_abort) {
   ++under_way_;
-  runtime_.store(StoreGet{"end/" + q.id}, kUserDeadline / 2, [this, q, as_abort](const wire::StoreReply &r) {
-    --under_way_;
-    if (r.status == 404 && !q.as_submit) return runtime_.reply(q.req, 404, wire::encode_error("no such job"));
-    auto end = r.status == 200 && r.entries.size() == 1 ? wire::end_from_json(r.entries[0].value) : std::nullopt;
-    if (!end) return no_answer(q, as_abort ? Verb::Abort : Verb::Look, "the state service did not answer");
-    ended_.remember(q.id, *end);
-    answer_end(q.req, q.id, *end, q.as_submit || as_abort);
-  });
+  runtime_.store(
+      StoreGet{"end/" + question.id}, kUserDeadline / 2, [this, question, as_abort](const wire::StoreReply &reply) {
+        --under_way_;
+        if (reply.status == 404 && !question.as_submit)
+          return runtime_.reply(question.req, 404, wire::encode_error("no such job"));
+        auto end = reply.status == 200 && reply.entries.size() == 1 ? wire::end_from_json(reply.entries[0].value)
+                                                                    : std::nullopt;
+        if (!end) return no_answer(question, as_abort ? Verb::Abort : Verb::Look, "the state service did not answer");
+        ended_.remember(question.id, *end);
+        answer_end(question.req, question.id, *end, question.as_submit || as_abort);
+      });
 }
 
 void JobApiHandler::answer_end(RequestId req, const std::string &id, const EndRecord &end, bool brief) {
@@ -536,28 +552,28 @@
   const auto &id = cmd.id;
   if (!wire::valid_job_id(id)) return runtime_.reply(cmd.req, 404, wire::encode_error("no such job"));
   if (const auto *end = ended_.find(id)) return answer_end(cmd.req, id, *end, true);
-  const Question q{cmd.req, id, false, runtime_.now()};
-  abort(q);
+  const Question question{cmd.req, id, false, runtime_.now()};
+  abort(question);
 }
 
-void JobApiHandler::abort(const Question &q) {
-  if (replicas_.cut_off()) return no_answer(q, Verb::Abort, kCutOff);
+void JobApiHandler::abort(const Question &question) {
+  if (replicas_.cut_off()) return no_answer(question, Verb::Abort, kCutOff);
   if (under_way_ >= kMaxUserOps || !state_limits_.take_write(runtime_.now()))
-    return runtime_.refuse(q.req, "too many requests at once");
+    return runtime_.refuse(question.req, "too many requests at once");
   ++under_way_;
-  runtime_.store(StoreGet{"open/" + q.id}, kUserDeadline / 2, [this, q](const wire::StoreReply &r) {
+  runtime_.store(StoreGet{"open/" + question.id}, kUserDeadline / 2, [this, question](const wire::StoreReply &r) {
     --under_way_;
-    if (r.status == 404) return read_end(q, true);
+    if (r.status == 404) return read_end(question, true);
     if (auto end = r.entries.size() == 1 ? wire::final_from_json(r.entries[0].value) : std::nullopt) {
-      ended_.remember(q.id, *end);
-      return answer_end(q.req, q.id, *end, true);
+      ended_.remember(question.id, *end);
+      return answer_end(question.req, question.id, *end, true);
     }
     auto open = r.status == 200 && r.entries.size() == 1 ? wire::open_from_json(r.entries[0].value) : std::nullopt;
-    if (!open) return no_answer(q, Verb::Abort, "the state service did not answer");
-    if (open->delegated) return read_end(q, true); // not a job of this cell's users
+    if (!open) return no_answer(question, Verb::Abort, "the state service did not answer");
+    if (open->delegated) return read_end(question, true); // not a job of this cell's users
     if (open->cancelled) {
       note_open(*open, r.entries[0].mod_revision, true);
-      return runtime_.reply(q.req, 200, wire::encode_accepted(q.id, JobState::Cancelled));
+      return runtime_.reply(question.req, 200, wire::encode_accepted(question.id, JobState::Cancelled));
     }
     open->cancelled = true;
     ++under_way_;
@@ -568,17 +584,19 @@
       shorter.spec.waits_for.clear();
       value = wire::to_json(shorter);
     }
-    runtime_.store(StoreCommit{{{"open/" + q.id, r.entries[0].mod_revision}}, {{"open/" + q.id, std::move(value), 0}}},
-                   kUserDeadline, [this, q, record = *open](const wire::StoreReply &c) {
+    runtime_.store(StoreCommit{{{"open/" + question.id, r.entries[0].mod_revision}},
+                               {{"open/" + question.id, std::move(value), 0}}},
+                   kUserDeadline, [this, question, record = *open](const wire::StoreReply &reply) {
                      --under_way_;
-                     if (c.status == 200) {
-                       note_open(record, c.revision, true);
-                       return runtime_.reply(q.req, 200, wire::encode_accepted(q.id, JobState::Cancelled));
+                     if (reply.status == 200) {
+                       note_open(record, reply.revision, true);
+                       return runtime_.reply(question.req, 200,
+                                             wire::encode_accepted(question.id, JobState::Cancelled));
                      }
                      // Its end, or another cancellation, came first: that is what the user is told.
-                     if (c.status == 409 && runtime_.now() - q.asked < kAbortAgain) return abort(q);
-                     if (c.status == 409) return runtime_.refuse(q.req, "the job keeps changing; ask again");
-                     no_answer(q, Verb::Abort, "the state service did not confirm the cancellation");
+                     if (reply.status == 409 && runtime_.now() - question.asked < kAbortAgain) return abort(question);
+                     if (reply.status == 409) return runtime_.refuse(question.req, "the job keeps changing; ask again");
+                     no_answer(question, Verb::Abort, "the state service did not confirm the cancellation");
                    });
   });
 }
--- a/src/core/api/service_level_counters.cpp
+++ b/src/core/api/service_level_counters.cpp
@@ -8,43 +8,43 @@
 constexpr double kLineEvery = 60.0; // s
 } // namespace
 
-template <class Fn> void ServiceLevelCounters::each_count(const Entry &e, Fn &&fn) {
-  if (e.job_class < 0) return;
-  Group &c = grown(classes_, e.job_class);
-  fn(c.all);
-  if (e.largest) fn(c.largest);
-  fn(grown(teams_, e.team).all);
+template <class Fn> void ServiceLevelCounters::each_count(const Entry &entry, Fn &&fn) {
+  if (entry.job_class < 0) return;
+  Group &group = grown(classes_, entry.job_class);
+  fn(group.all);
+  if (entry.largest) fn(group.largest);
+  fn(grown(teams_, entry.team).all);
 }
 
-void ServiceLevelCounters::on(const JobAccepted &e) {
-  const Job *n = jobs_.find(e.job);
-  if (!n || n->delegated_here) return;
-  Entry &x = grown(entries_, e.job);
-  x = {place(class_names_, n->spec.job_class), place(team_names_, n->spec.team), false,
-       n->placed + n->done + n->unaccounted > 0};
-  Group &c = grown(classes_, x.job_class);
-  const double cpus = n->spec.tasks * n->spec.need.cpus;
-  x.largest = cpus >= kLargest * c.max_cpus;
-  c.max_cpus = std::max(c.max_cpus, cpus);
-  each_count(x, [&](Count &count) {
+void ServiceLevelCounters::on(const JobAccepted &event) {
+  const Job *job = jobs_.find(event.job);
+  if (!job || job->delegated_here) return;
+  Entry &entry = grown(entries_, event.job);
+  entry = {place(class_names_, job->spec.job_class), place(team_names_, job->spec.team), false,
+           job->placed + job->done + job->unaccounted > 0};
+  Group &group = grown(classes_, entry.job_class);
+  const double cpus = job->spec.tasks * job->spec.need.cpus;
+  entry.largest = cpus >= kLargest * group.max_cpus;
+  group.max_cpus = std::max(group.max_cpus, cpus);
+  each_count(entry, [&](Count &count) {
     ++count.accepted;
-    count.begun += x.begun;
+    count.begun += entry.begun;
   });
 }
 
-void ServiceLevelCounters::on(const TaskRunning &e) {
-  Entry &x = grown(entries_, e.job);
-  if (x.job_class < 0 || std::exchange(x.begun, true)) return;
-  each_count(x, [](Count &count) { ++count.begun; });
+void ServiceLevelCounters::on(const TaskRunning &event) {
+  Entry &entry = grown(entries_, event.job);
+  if (entry.job_class < 0 || std::exchange(entry.begun, true)) return;
+  each_count(entry, [](Count &count) { ++count.begun; });
 }
 
-void ServiceLevelCounters::on(const JobFinalized &e) {
-  const Entry x = std::exchange(grown(entries_, e.job), {});
-  const auto *end = ended_.find(e.id);
-  each_count(x, [&](Count &count) {
+void ServiceLevelCounters::on(const JobFinalized &event) {
+  const Entry entry = std::exchange(grown(entries_, event.job), {});
+  const auto *end = ended_.find(event.id);
+  each_count(entry, [&](Count &count) {
     const bool cancelled = end && end->cancelled;
     ++(cancelled ? count.cancelled : count.done);
-    count.begun += !x.begun && !cancelled; // too short to have been seen running
+    count.begun += !entry.begun && !cancelled; // too short to have been seen running
   });
 }
 
@@ -61,8 +61,8 @@
 std::vector<wire::AdminStatus::ServiceLevel> ServiceLevelCounters::rows() const {
   std::vector<wire::AdminStatus::ServiceLevel> out;
   std::vector<std::size_t> of_class(classes_.size(), 0), of_largest(classes_.size(), 0), of_team(teams_.size(), 0);
-  auto row = [&](const char *of, const std::string &name, const Count &c) {
-    out.push_back({of, name, c.accepted, c.begun, c.done, c.cancelled, 0, 0});
+  auto row = [&](const char *of, const std::string &name, const Count &count) {
+    out.push_back({of, name, count.accepted, count.begun, count.done, count.cancelled, 0, 0});
     return out.size() - 1;
   };
   for (std::size_t i = 0; i < classes_.size(); ++i) {
@@ -71,18 +71,18 @@
   }
   for (std::size_t i = 0; i < teams_.size(); ++i)
     of_team[i] = row("team", team_names_.name(static_cast<int>(i)), teams_[i].all);
-  jobs_.each([&](int j, const Job &n) {
-    if (static_cast<std::size_t>(j) >= entries_.size()) return;
-    const Entry &x = entries_[static_cast<std::size_t>(j)];
-    if (x.job_class < 0 || x.begun || n.cancelled || !dependencies_.ready(j)) return;
-    const double waited = std::max(0.0, runtime_.wall() - dependencies_.ready_wall(j));
+  jobs_.each([&](int job_index, const Job &job) {
+    if (static_cast<std::size_t>(job_index) >= entries_.size()) return;
+    const Entry &entry = entries_[static_cast<std::size_t>(job_index)];
+    if (entry.job_class < 0 || entry.begun || job.cancelled || !dependencies_.ready(job_index)) return;
+    const double waited = std::max(0.0, runtime_.wall() - dependencies_.ready_wall(job_index));
     auto add = [&](std::size_t k) {
       ++out[k].waiting;
       out[k].longest_wait_s = std::max(out[k].longest_wait_s, waited);
     };
-    add(of_class[static_cast<std::size_t>(x.job_class)]);
-    if (x.largest) add(of_largest[static_cast<std::size_t>(x.job_class)]);
-    add(of_team[static_cast<std::size_t>(x.team)]);
+    add(of_class[static_cast<std::size_t>(entry.job_class)]);
+    if (entry.largest) add(of_largest[static_cast<std::size_t>(entry.job_class)]);
+    add(of_team[static_cast<std::size_t>(entry.team)]);
   });
   return out;
 }
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -20,38 +20,38 @@
 
 StatusReporter::Supplies StatusReporter::supplies() const {
   Supplies out;
-  workers_.each([&](int, const Machine &m) {
-    if (m.type < 0 || m.lost || m.returning || m.order) return;
-    auto &s = out[{m.type, m.zone, m.spot}];
-    ++(m.heard ? s.up : s.starting);
+  workers_.each([&](int, const Machine &machine) {
+    if (machine.type < 0 || machine.lost || machine.returning || machine.order) return;
+    auto &s = out[{machine.type, machine.zone, machine.spot}];
+    ++(machine.heard ? s.up : s.starting);
   });
   return out;
 }
 
-bool StatusReporter::any_running(int j) const {
-  for (const auto &t : jobs_[j].tasks)
+bool StatusReporter::any_running(int job_index) const {
+  for (const auto &t : jobs_[job_index].tasks)
     if (t.state == TaskState::Placed)
       for (const auto &s : workers_[t.machine].allocations)
-        if (s.job == j && s.phase == TaskPhase::Running) return true;
+        if (s.job == job_index && s.phase == TaskPhase::Running) return true;
   return false;
 }
 
 // Why the job's tasks wait, or what last happened to them, in words for its owner.
-std::string StatusReporter::why(int j, const Supplies &supply) const {
-  const Job &n = jobs_[j];
-  if (const auto &with = dependencies_.stopped_with(j); !with.empty()) return stopped_with(with);
-  if (n.cancelled) return "stopped: cancelled by its user";
-  if (!dependencies_.ready(j)) return why_not_ready(j);
-  if (n.done == n.spec.tasks) return "all tasks have completed; this is being recorded";
-  if (failure_attribution_.suspect(j)) {
-    if (n.placed)
+std::string StatusReporter::why(int job_index, const Supplies &supply) const {
+  const Job &job = jobs_[job_index];
+  if (const auto &with = dependencies_.stopped_with(job_index); !with.empty()) return stopped_with(with);
+  if (job.cancelled) return "stopped: cancelled by its user";
+  if (!dependencies_.ready(job_index)) return why_not_ready(job_index);
+  if (job.done == job.spec.tasks) return "all tasks have completed; this is being recorded";
+  if (failure_attribution_.suspect(job_index)) {
+    if (job.placed)
       return fmt::format("failed with an error on {} machines; being tried again: check the job",
-                         failure_attribution_.failed_on(j));
+                         failure_attribution_.failed_on(job_index));
     return fmt::format("failed with an error on {} machines; next try in {:.0f} s: check the job",
-                       failure_attribution_.failed_on(j),
-                       std::max(0.0, failure_attribution_.retry_at(j) - runtime_.now()));
+                       failure_attribution_.failed_on(job_index),
+                       std::max(0.0, failure_attribution_.retry_at(job_index) - runtime_.now()));
   }
-  const std::string &last = pending_reasons_.of(j);
+  const std::string &last = pending_reasons_.of(job_index);
   std::string wait;
   if (!leadership_.lease_valid())
     wait = fmt::format("nothing is started: the state service has not answered since {}",
@@ -59,83 +59,83 @@
   else if (!cancellations_.may_renew())
     wait = fmt::format("nothing is started: the state service has told of no cancellations since {}",
                        wire::clock_time(cancellations_.known_until_wall()));
-  else if (n.pending() && ledger_.spent(n.team))
-    wait = why_held(n);
-  else if (n.unaccounted)
+  else if (job.pending() && ledger_.spent(job.team))
+    wait = why_held(job);
+  else if (job.unaccounted)
     wait = fmt::format("{} started by an earlier leader {} looked for on the machines; what is not found by {} starts "
                        "again",
-                       plural(n.unaccounted, "task"), n.unaccounted == 1 ? "is" : "are",
+                       plural(job.unaccounted, "task"), job.unaccounted == 1 ? "is" : "are",
                        wire::clock_time(runtime_.wall() + std::max(0.0, jobs_.unaccounted_until() - runtime_.now())));
-  else if (n.pending())
-    wait = why_waiting(j, supply);
-  if (wait.empty() && n.placed && n.done == 0 && last.empty() && !any_running(j))
-    wait = n.placed == 1 ? "its task has a machine and fetches its image"
-                         : fmt::format("its {} tasks have machines and fetch their images", n.placed);
-  if (n.delegated) {
+  else if (job.pending())
+    wait = why_waiting(job_index, supply);
+  if (wait.empty() && job.placed && job.done == 0 && last.empty() && !any_running(job_index))
+    wait = job.placed == 1 ? "its task has a machine and fetches its image"
+                           : fmt::format("its {} tasks have machines and fetch their images", job.placed);
+  if (job.delegated) {
     std::string cells;
-    for (const auto &l : n.delegations)
+    for (const auto &l : job.delegations)
       if (!l.lapsed) cells += (cells.empty() ? "" : " and ") + l.cell;
     const auto where =
-        fmt::format("{} of it {} in cell {}", plural(n.delegated, "task"), n.delegated == 1 ? "is" : "are", cells);
+        fmt::format("{} of it {} in cell {}", plural(job.delegated, "task"), job.delegated == 1 ? "is" : "are", cells);
     wait = wait.empty() ? where : wait + "; " + where;
   }
   if (wait.empty()) return last;
   return last.empty() ? wait : wait + "; " + last;
 }
 
-std::string StatusReporter::why_not_ready(int j) const {
-  const auto &open = dependencies_.waits_for(j);
-  const std::size_t others = open.size() + dependencies_.unknown(j) - !open.empty();
+std::string StatusReporter::why_not_ready(int job_index) const {
+  const auto &open = dependencies_.waits_for(job_index);
+  const std::size_t others = open.size() + dependencies_.unknown(job_index) - !open.empty();
   if (open.empty()) return fmt::format("waits for {} that this leader is still looking up", plural(others, "job"));
   const Job &first = jobs_[open.front()];
   return fmt::format("waits for job {}, of which {} of {} tasks {} done{}", first.spec.id, first.done, first.spec.tasks,
                      first.spec.tasks == 1 ? "is" : "are",
                      others ? fmt::format(", and for {}", plural(others, "other job")) : "") +
-         at_risk(j);
+         at_risk(job_index);
 }
 
-std::string StatusReporter::why_held(const Job &n) const {
+std::string StatusReporter::why_held(const Job &job) const {
   const auto &clock = operators_.budgets().clock;
   return fmt::format("held: team {} has used its {:g} CPU hours of this {}, since {}; {} {} for {} or a larger budget",
-                     n.spec.team, ledger_.budget(n.team)->cpu_hours, clock.weekly ? "week" : "day",
-                     wire::clock_time(clock.begin(runtime_.wall())), plural(n.pending(), "task"),
-                     n.pending() == 1 ? "waits" : "wait", wire::clock_time(clock.end(runtime_.wall())));
+                     job.spec.team, ledger_.budget(job.team)->cpu_hours, clock.weekly ? "week" : "day",
+                     wire::clock_time(clock.begin(runtime_.wall())), plural(job.pending(), "task"),
+                     job.pending() == 1 ? "waits" : "wait", wire::clock_time(clock.end(runtime_.wall())));
 }
 
-std::string StatusReporter::why_limited(const Job &n) const {
-  if (n.team < 0) return "";
-  const Team &here = quotas_.here(n.team);
+std::string StatusReporter::why_limited(const Job &job) const {
+  if (job.team < 0) return "";
+  const Team &here = quotas_.here(job.team);
   if (here.cpus_max <= 0) return "";
   const bool shared = quotas_.cells().size() > 1;
   const std::string limit =
       fmt::format("{} of {:g} CPUs{}", shared ? "share" : "limit", here.cpus_max, shared ? " in this cell" : "");
-  const double at_once = n.spec.need.cpus * (n.spec.shape == Shape::Array ? 1 : n.spec.tasks);
+  const double at_once = job.spec.need.cpus * (job.spec.shape == Shape::Array ? 1 : job.spec.tasks);
   if (at_once > here.cpus_max) {
-    const double largest = quotas_.largest_share(n.team);
+    const double largest = quotas_.largest_share(job.team);
     const bool nowhere = shared && at_once > largest;
-    return fmt::format("its {:g} CPUs at once are more than team {}'s {}{}", at_once, n.spec.team, limit,
+    return fmt::format("its {:g} CPUs at once are more than team {}'s {}{}", at_once, job.spec.team, limit,
                        nowhere ? fmt::format("; no cell has a larger share than {:g}", largest) : "");
   }
-  if (quotas_.room()[static_cast<std::size_t>(n.team)].cpus >= n.spec.need.cpus) return "";
-  return fmt::format("team {} uses all of its {}", n.spec.team, limit);
+  if (quotas_.room()[static_cast<std::size_t>(job.team)].cpus >= job.spec.need.cpus) return "";
+  return fmt::format("team {} uses all of its {}", job.spec.team, limit);
 }
 
-std::string StatusReporter::why_waiting(int j, const Supplies &supply) const {
-  const Job &n = jobs_[j];
+std::string StatusReporter::why_waiting(int job_index, const Supplies &supply) const {
+  const Job &n = jobs_[job_index];
   int up = 0, starting = 0;
   bool refused = true;
-  PlaceJob p = scheduler_.place_job(j);
-  p.barred.clear();
+  PlaceJob job = scheduler_.place_job(job_index);
+  job.barred.clear();
   const auto &types = catalog_.types();
   for (std::size_t t = 0; t < types.size(); ++t)
     for (const auto &zone : types[t].zones)
       for (bool spot : {false, true}) {
-        PlaceMachine m;
-        m.type = static_cast<int>(t);
-        m.zone = catalog_.find_zone(zone);
-        m.spot = spot;
-        if (!allowed(p, m) || !p.need.fits(types[t].size)) continue;
-        const MachineKind kind(m.type, m.zone, spot);
+        PlaceMachine machine;
+        machine.type = static_cast<int>(t);
+        machine.zone = catalog_.find_zone(zone);
+        machine.spot = spot;
+        if (!allowed(job, machine) || !job.need.fits(types[t].size)) continue;
+        const MachineKind kind(machine.type, machine.zone, spot);
         if (auto s = supply.find(kind); s != supply.end()) {
           up += s->second.up;
           starting += s->second.starting;
@@ -147,7 +147,7 @@
   std::string wait;
   if (const auto limited = why_limited(n); !limited.empty())
     wait = limited;
-  else if (p.gang && n.placed)
+  else if (job.gang && n.placed)
     wait = "the tasks of its earlier attempt have to stop first";
   else if (up == 0 && starting == 0)
     wait = refused ? "the cloud has no machine to give with " + what : "no machine with " + what + " is up yet";
@@ -165,33 +165,34 @@
 const Dependencies::Path &StatusReporter::outlook() const {
   if (runtime_.now() - outlook_at_ < kOutlookEvery && outlook_.done_in.size() == jobs_.index_limit()) return outlook_;
   outlook_at_ = runtime_.now();
-  outlook_ = dependencies_.along([this](int j) {
-    const Job &n = jobs_[j];
-    const double queue = n.pending() * n.spec.need.cpus / std::max(1.0, scheduler_.up_cpus());
-    return n.pending() ? n.spec.estimate_s * (1 + queue)
-                       : std::max(0.0, n.spec.estimate_s - std::max(0.0, scheduler_.age(j)));
+  outlook_ = dependencies_.along([this](int job_index) {
+    const Job &job = jobs_[job_index];
+    const double queue = job.pending() * job.spec.need.cpus / std::max(1.0, scheduler_.up_cpus());
+    return job.pending() ? job.spec.estimate_s * (1 + queue)
+                         : std::max(0.0, job.spec.estimate_s - std::max(0.0, scheduler_.age(job_index)));
   });
   return outlook_;
 }
 
-bool StatusReporter::foreseen_late(int j) const {
-  const Job &n = jobs_[j];
-  const auto wanted = objectives_.wanted_after(n.spec, dependencies_.deadline(j));
-  if (!wanted || n.cancelled || n.done == n.spec.tasks) return false;
+bool StatusReporter::foreseen_late(int job_index) const {
+  const Job &job = jobs_[job_index];
+  const auto wanted = objectives_.wanted_after(job.spec, dependencies_.deadline(job_index));
+  if (!wanted || job.cancelled || job.done == job.spec.tasks) return false;
   const auto &o = outlook();
-  const auto at = static_cast<std::size_t>(j);
-  const double left = at >= o.done_in.size() ? 0 : n.pending() ? o.done_in[at] : o.begins_in[at];
-  return std::max(0.0, scheduler_.age(j)) + left > operators_.tunables().late_notice_share * *wanted;
+  const auto at = static_cast<std::size_t>(job_index);
+  const double left = at >= o.done_in.size() ? 0 : job.pending() ? o.done_in[at] : o.begins_in[at];
+  return std::max(0.0, scheduler_.age(job_index)) + left > operators_.tunables().late_notice_share * *wanted;
 }
 
 // Of a job that waits for others and has a deadline: which stage will make it late, and by how much.
-std::string StatusReporter::at_risk(int j) const {
-  const auto wanted = dependencies_.own_deadline(j);
+std::string StatusReporter::at_risk(int job_index) const {
+  const auto wanted = dependencies_.own_deadline(job_index);
   const auto &o = outlook();
-  if (!wanted || static_cast<std::size_t>(j) >= o.done_in.size()) return {};
-  const double late = std::max(0.0, scheduler_.age(j)) + o.done_in[static_cast<std::size_t>(j)] - *wanted;
+  if (!wanted || static_cast<std::size_t>(job_index) >= o.done_in.size()) return {};
+  const double late =
+      std::max(0.0, scheduler_.age(job_index)) + o.done_in[static_cast<std::size_t>(job_index)] - *wanted;
   if (late <= 0) return {};
-  int stage = j;
+  int stage = job_index;
   while (o.last[static_cast<std::size_t>(stage)] >= 0)
     stage = o.last[static_cast<std::size_t>(stage)];
   if (!jobs_.find(stage)) return {};
@@ -201,8 +202,8 @@
 
 bool StatusReporter::foreseen_late(const std::string &id) const {
   if (leadership_.leading()) {
-    const int j = jobs_.index(id);
-    return j >= 0 && foreseen_late(j);
+    const int job_index = jobs_.index(id);
+    return job_index >= 0 && foreseen_late(job_index);
   }
   auto it = news_.find(id);
   return it != news_.end() && it->second.late;
@@ -213,7 +214,8 @@
   if (!leadership_.leading())
     return static_cast<std::size_t>(
         std::count_if(news_.begin(), news_.end(), [](const auto &n) { return n.second.late; }));
-  jobs_.each([&](int j, const Job &n) { late += !n.cancelled && n.team >= 0 && foreseen_late(j); });
+  jobs_.each(
+      [&](int job_index, const Job &job) { late += !job.cancelled && job.team >= 0 && foreseen_late(job_index); });
   return late;
 }
 
@@ -224,20 +226,20 @@
     int up = 0, booting = 0;
     double cpus = 0, used = 0;
   } kinds[2]; // ordinary, spot
-  workers_.each([&](int, const Machine &m) {
-    if (m.lost) return;
-    Kind &k = kinds[m.spot];
-    ++(m.heard ? k.up : k.booting);
-    if (!m.heard) return;
-    k.cpus += m.size.cpus;
-    k.used += m.used.cpus;
+  workers_.each([&](int, const Machine &machine) {
+    if (machine.lost) return;
+    Kind &k = kinds[machine.spot];
+    ++(machine.heard ? k.up : k.booting);
+    if (!machine.heard) return;
+    k.cpus += machine.size.cpus;
+    k.used += machine.used.cpus;
   });
   std::uint64_t waiting = 0;
   int open = 0;
-  jobs_.each([&](int, const Job &n) {
-    if (n.cancelled) return;
+  jobs_.each([&](int, const Job &job) {
+    if (job.cancelled) return;
     ++open;
-    waiting += n.pending();
+    waiting += job.pending();
   });
   runtime_.log(LogLevel::Info, "summary_reported",
                {{"jobs_open", open},
@@ -261,39 +263,40 @@
   std::vector<int> first, rest;
   const std::size_t n = jobs_.index_limit();
   for (std::size_t k = 0; k < n; ++k) {
-    const int j = static_cast<int>((cursor_ + k) % n);
-    const Job *job = jobs_.find(j);
+    const int job_index = static_cast<int>((cursor_ + k) % n);
+    const Job *job = jobs_.find(job_index);
     if (!job || job->cancelled) continue;
-    const bool changed =
-        grown(told_, j).done != job->done || grown(told_, j).running != running[static_cast<std::size_t>(j)];
-    (changed ? first : rest).push_back(j);
+    const bool changed = grown(told_, job_index).done != job->done ||
+                         grown(told_, job_index).running != running[static_cast<std::size_t>(job_index)];
+    (changed ? first : rest).push_back(job_index);
   }
   const auto supply = supplies();
-  wire::PeerMessage m;
-  m.kind = wire::PeerMessage::Kind::Digest;
-  m.term = leadership_.term();
+  wire::PeerMessage message;
+  message.kind = wire::PeerMessage::Kind::Digest;
+  message.term = leadership_.term();
   std::size_t room = wire::kPeerMaxBody - 64;
   for (const auto *list : {&first, &rest})
-    for (int j : *list) {
-      if (m.news.size() >= wire::kPeerMaxNews || room < 256) break;
-      wire::PeerMessage::JobNews news{jobs_[j].spec.id, jobs_[j].done, running[static_cast<std::size_t>(j)],
-                                      foreseen_late(j), why(j, supply)};
-      grown(told_, j) = {news.done, news.running};
+    for (int job_index : *list) {
+      if (message.news.size() >= wire::kPeerMaxNews || room < 256) break;
+      wire::PeerMessage::JobNews news{jobs_[job_index].spec.id, jobs_[job_index].done,
+                                      running[static_cast<std::size_t>(job_index)], foreseen_late(job_index),
+                                      why(job_index, supply)};
+      grown(told_, job_index) = {news.done, news.running};
       room -= std::min(room, wire::peer_news_size(news));
-      if (list == &rest) cursor_ = static_cast<std::size_t>(j) + 1;
-      m.news.push_back(std::move(news));
+      if (list == &rest) cursor_ = static_cast<std::size_t>(job_index) + 1;
+      message.news.push_back(std::move(news));
     }
-  replicas_.tell_all(m);
+  replicas_.tell_all(message);
 }
 
-void StatusReporter::take_digest(const wire::PeerMessage &m) {
-  if (m.term < news_term_ || leadership_.leading()) return;
-  if (m.term > news_term_) {
+void StatusReporter::take_digest(const wire::PeerMessage &message) {
+  if (message.term < news_term_ || leadership_.leading()) return;
+  if (message.term > news_term_) {
     news_.clear();
     news_order_.clear();
   }
-  news_term_ = m.term;
-  for (const auto &n : m.news) {
+  news_term_ = message.term;
+  for (const auto &n : message.news) {
     if (ended_.find(n.id)) continue;
     if (!news_.insert_or_assign(n.id, News{n.done, n.running, n.late, n.reason, runtime_.now()}).second) continue;
     news_order_.push_back(n.id);
@@ -311,10 +314,10 @@
 
 JobView StatusReporter::view(const std::string &id, bool cancelled) const {
   JobView view{id, cancelled ? JobState::Cancelled : JobState::Queued, 0, 0, {}};
-  if (const int j = leadership_.leading() ? jobs_.index(id) : -1; j >= 0) {
-    view.done = jobs_[j].done;
-    view.running = workers_.running(j);
-    view.reason = why(j, supplies());
+  if (const int job_index = leadership_.leading() ? jobs_.index(id) : -1; job_index >= 0) {
+    view.done = jobs_[job_index].done;
+    view.running = workers_.running(job_index);
+    view.reason = why(job_index, supplies());
   } else if (cancelled) {
     view.reason = "stopped: cancelled by its user";
   } else if (auto it = news_.find(id); it != news_.end() && news_term_ >= leadership_.leader_term() &&
