--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -71,20 +71,20 @@
       types_loading_ = false;
       return;
     }
-    runtime_.cloud(CloudTypes{}, 3.0, [this](const wire::CloudReply &r) {
+    runtime_.cloud(CloudTypes{}, 3.0, [this](const wire::CloudReply &reply) {
       types_loading_ = false;
-      if (r.status != 200 || r.types.empty()) return;
+      if (reply.status != 200 || reply.types.empty()) return;
       const bool first = !catalog_.known();
-      catalog_.take(r.types);
+      catalog_.take(reply.types);
       if (first && leadership_.role() == Role::Follower)
         runtime_.store(StoreCommit{{{kTypesKey, 0}}, {{kTypesKey, wire::to_json(catalog_.types()), 0}}}, 2.0,
                        [](const wire::StoreReply &) {});
     });
   };
   if (catalog_.known()) return from_cloud();
-  runtime_.store(StoreGet{kTypesKey}, 1.0, [this, from_cloud](const wire::StoreReply &r) {
-    if (r.status == 200 && r.entries.size() == 1)
-      if (auto types = wire::types_from_json(r.entries[0].value)) {
+  runtime_.store(StoreGet{kTypesKey}, 1.0, [this, from_cloud](const wire::StoreReply &reply) {
+    if (reply.status == 200 && reply.entries.size() == 1)
+      if (auto types = wire::types_from_json(reply.entries[0].value)) {
         catalog_.take(std::move(*types));
         types_loading_ = false;
         return;
@@ -121,21 +121,21 @@
 // ---- the cloud's list ----
 
 void Autoscaler::list(std::string from) {
-  runtime_.cloud(CloudList{from}, 3.0, [this, epoch = leadership_.epoch()](const wire::CloudReply &r) {
+  runtime_.cloud(CloudList{from}, 3.0, [this, epoch = leadership_.epoch()](const wire::CloudReply &reply) {
     if (epoch != leadership_.epoch()) return;
-    if (r.status != 200) {
+    if (reply.status != 200) {
       listing_ = false;
       return;
     }
-    merge(r);
-    if (r.more && !r.machines.empty()) return list(r.machines.back().name);
+    merge(reply);
+    if (reply.more && !reply.machines.empty()) return list(reply.machines.back().name);
     listing_ = false;
     if (listed_once_at_ < 0) listed_once_at_ = runtime_.now();
   });
 }
 
-void Autoscaler::merge(const wire::CloudReply &r) {
-  for (const auto &l : r.machines) {
+void Autoscaler::merge(const wire::CloudReply &reply) {
+  for (const auto &l : reply.machines) {
     if (const auto gone = workers_.gone(l.name)) {
       if (runtime_.now() - *gone < 4 * settings_.cloud_list_lag_s + 5) continue; // the list lags
       workers_.listed_again(l.name);                                             // still there: give it back again
@@ -143,10 +143,10 @@
       continue;
     }
     const bool fresh = workers_.index(l.name) < 0;
-    const int m = workers_.add(l.name, l.type, l.zone, l.spot);
-    if (fresh) workers_.set_rented_at(m, runtime_.now() - l.age_s);
-    if (l.status == MachineStatus::Running) workers_.listed_running(m);
-    if (l.status == MachineStatus::Failed) workers_.listed_failed(m);
+    const int machine_index = workers_.add(l.name, l.type, l.zone, l.spot);
+    if (fresh) workers_.set_rented_at(machine_index, runtime_.now() - l.age_s);
+    if (l.status == MachineStatus::Running) workers_.listed_running(machine_index);
+    if (l.status == MachineStatus::Failed) workers_.listed_failed(machine_index);
   }
 }
 
@@ -155,38 +155,40 @@
 std::vector<std::string> Autoscaler::names_to_return() {
   std::vector<std::string> names;
   int live = 0, lost = 0, downlink_lost = 0;
-  workers_.each([&](int, const Machine &m) {
-    if (!m.heard) return;
-    ++(m.lost ? lost : live);
-    downlink_lost += m.downlink_lost();
+  workers_.each([&](int, const Machine &machine) {
+    if (!machine.heard) return;
+    ++(machine.lost ? lost : live);
+    downlink_lost += machine.downlink_lost();
   });
   const double now = runtime_.now(), cheapest = catalog_.cheapest_cpu();
-  workers_.each([&](int m, const Machine &n) {
-    const double age = now - n.rented_at, boot = n.type >= 0 ? catalog_.type(n.type).boot_s : 60;
-    const bool awaited = failure_detector_.awaited(m);
-    bool go = !n.heard && !awaited && now - n.known_since > 10 && age > kBootGiveUp * boot + 10;
+  workers_.each([&](int machine_index, const Machine &machine) {
+    const double age = now - machine.rented_at, boot = machine.type >= 0 ? catalog_.type(machine.type).boot_s : 60;
+    const bool awaited = failure_detector_.awaited(machine_index);
+    bool go = !machine.heard && !awaited && now - machine.known_since > 10 && age > kBootGiveUp * boot + 10;
     // Many machines silent at once points at the network rather than at them.
-    go |= n.heard && n.lost && !awaited && (lost <= live || now - n.last_answer > settings_.lease_s + 30);
-    go |= n.taken_at && now > *n.taken_at + 1 && now - n.last_answer > settings_.heartbeat_interval_s * 1.5 + 1;
-    if (n.heard && !n.lost && !awaited && n.allocations.empty() && n.idle_since >= 0 &&
-        (age >= kMinimumCharge - 2 || n.order)) {
-      const bool keep = !n.spot && scheduler_.kept(n.type, 300);
+    go |= machine.heard && machine.lost && !awaited &&
+          (lost <= live || now - machine.last_answer > settings_.lease_s + 30);
+    go |= machine.taken_at && now > *machine.taken_at + 1 &&
+          now - machine.last_answer > settings_.heartbeat_interval_s * 1.5 + 1;
+    if (machine.heard && !machine.lost && !awaited && machine.allocations.empty() && machine.idle_since >= 0 &&
+        (age >= kMinimumCharge - 2 || machine.order)) {
+      const bool keep = !machine.spot && scheduler_.kept(machine.type, 300);
       double hold = boot * (keep ? kHoldBootsKept : operators_.tunables().idle_boots);
-      if (!keep && n.type >= 0 && n.size.cpus > 0)
-        hold *= std::min(1.0, cheapest / InstanceTypeCatalog::cpu_price(catalog_.type(n.type), n.spot));
-      if (n.draining) hold = std::min(hold, 3.0);
-      if (n.order) hold = *n.order == wire::MachineAdminState::Drain ? 0 : 1e9;
+      if (!keep && machine.type >= 0 && machine.size.cpus > 0)
+        hold *= std::min(1.0, cheapest / InstanceTypeCatalog::cpu_price(catalog_.type(machine.type), machine.spot));
+      if (machine.draining) hold = std::min(hold, 3.0);
+      if (machine.order) hold = *machine.order == wire::MachineAdminState::Drain ? 0 : 1e9;
       // Guards against what has come up, or has become free, in an outage being given back the moment that it is over.
-      go |= now - std::max(n.idle_since, nothing_placed_until_) > hold;
+      go |= now - std::max(machine.idle_since, nothing_placed_until_) > hold;
     }
     // One that hears nothing is replaced once its tasks are over by its lease; where many hear nothing it is the
     // network, and they are waited for as silent ones are.
-    if (n.downlink_lost())
-      go |= now - n.downlink_lost_since >
+    if (machine.downlink_lost())
+      go |= now - machine.downlink_lost_since >
             settings_.lease_s +
                 (downlink_lost < 3 || 3 * downlink_lost <= live ? kDownlinkLossPatience : kMinimumCharge + boot);
-    if (go) workers_.give_back(m);
-    if (n.returning && names.size() < 100) names.push_back(n.name);
+    if (go) workers_.give_back(machine_index);
+    if (machine.returning && names.size() < 100) names.push_back(machine.name);
   });
   return names;
 }
@@ -197,12 +199,12 @@
   auto names = names_to_return();
   if (names.empty() || !calls_.take(runtime_.now())) return;
   returning_ = true;
-  runtime_.cloud(CloudScaleIn{names}, 5.0, [this, names, epoch = leadership_.epoch()](const wire::CloudReply &r) {
+  runtime_.cloud(CloudScaleIn{names}, 5.0, [this, names, epoch = leadership_.epoch()](const wire::CloudReply &reply) {
     if (epoch != leadership_.epoch()) return;
     returning_ = false;
-    if (r.status != 200) return; // asked again: a machine is gone only when the cloud has said so
+    if (reply.status != 200) return; // asked again: a machine is gone only when the cloud has said so
     for (const auto &name : names)
-      if (const int m = workers_.index(name); m >= 0) workers_.remove(m);
+      if (const int machine_index = workers_.index(name); machine_index >= 0) workers_.remove(machine_index);
   });
 }
 
@@ -215,26 +217,26 @@
   };
   std::vector<Candidate> candidates;
   double used = waiting_cpus, size = 0;
-  workers_.each([&](int m, const Machine &n) {
-    if (n.returning || n.lost || !n.heard || n.type < 0) return;
-    if (!n.spot && scheduler_.kept(n.type, 600)) return;
-    used += n.used.cpus;
-    size += n.size.cpus;
-    for (const auto &s : n.allocations) // it keeps no dear machine
+  workers_.each([&](int machine_index, const Machine &machine) {
+    if (machine.returning || machine.lost || !machine.heard || machine.type < 0) return;
+    if (!machine.spot && scheduler_.kept(machine.type, 600)) return;
+    used += machine.used.cpus;
+    size += machine.size.cpus;
+    for (const auto &s : machine.allocations) // it keeps no dear machine
       if (s.job >= 0 && !s.finished && scheduler_.deferrable(s.job)) {
         used -= s.need.cpus;
         size -= s.need.cpus;
       }
-    const double price = InstanceTypeCatalog::cpu_price(catalog_.type(n.type), n.spot);
-    if (runtime_.now() - n.rented_at < kMinimumCharge || price < kExpensiveRatio * cheapest)
-      workers_.set_draining(m, false);
+    const double price = InstanceTypeCatalog::cpu_price(catalog_.type(machine.type), machine.spot);
+    if (runtime_.now() - machine.rented_at < kMinimumCharge || price < kExpensiveRatio * cheapest)
+      workers_.set_draining(machine_index, false);
     else
-      candidates.push_back({price, n.used.cpus / std::max(0.01, n.size.cpus), m, &n});
+      candidates.push_back({price, machine.used.cpus / std::max(0.01, machine.size.cpus), machine_index, &machine});
   });
   // Of the same price those go on draining that have begun, then those with least on them.
-  std::sort(candidates.begin(), candidates.end(), [](const Candidate &a, const Candidate &b) {
+  std::sort(candidates.begin(), candidates.end(), [](const Candidate &a, const Candidate &candidate) {
     return std::tuple(-a.price, !a.machine->draining, a.used_share) <
-           std::tuple(-b.price, !b.machine->draining, b.used_share);
+           std::tuple(-candidate.price, !candidate.machine->draining, candidate.used_share);
   });
   double surplus = size - used / kDrainBelow;
   for (const auto &c : candidates) {
@@ -245,13 +247,13 @@
 
 // Seconds until each job can probably start; 0: it can. By its owners' estimates, so never beyond what is being run.
 std::vector<double> Autoscaler::ready_soon() const {
-  auto out = dependencies_.along([this](int j) {
-    const double age = dependencies_.ready(j) ? std::max(0.0, scheduler_.age(j)) : 0;
-    return std::max(1.0, jobs_[j].spec.estimate_s - age);
+  auto out = dependencies_.along([this](int job_index) {
+    const double age = dependencies_.ready(job_index) ? std::max(0.0, scheduler_.age(job_index)) : 0;
+    return std::max(1.0, jobs_[job_index].spec.estimate_s - age);
   });
-  jobs_.each([&](int j, const Job &) { // one whose names are all being looked up still waits
-    auto &in = out.begins_in[static_cast<std::size_t>(j)];
-    if (!dependencies_.ready(j)) in = std::max(in, 0.5);
+  jobs_.each([&](int job_index, const Job &) { // one whose names are all being looked up still waits
+    auto &in = out.begins_in[static_cast<std::size_t>(job_index)];
+    if (!dependencies_.ready(job_index)) in = std::max(in, 0.5);
   });
   return std::move(out.begins_in);
 }
@@ -265,9 +267,9 @@
     bool spot;
   };
   std::vector<Place> booting;
-  workers_.each([&](int, const Machine &m) {
-    if (!m.heard && !m.listed_running && !m.returning && m.type >= 0)
-      booting.push_back({m.size, m.type, m.zone, m.spot});
+  workers_.each([&](int, const Machine &machine) {
+    if (!machine.heard && !machine.listed_running && !machine.returning && machine.type >= 0)
+      booting.push_back({machine.size, machine.type, machine.zone, machine.spot});
   });
   for (const auto &[key, count] : rents_open_)
     for (int i = 0; i < count; ++i) {
@@ -275,15 +277,17 @@
       booting.push_back({catalog_.type(t).size, t, z, spot});
     }
   std::vector<int> order;
-  jobs_.each([&](int j, const Job &) { order.push_back(j); });
+  jobs_.each([&](int job_index, const Job &) { order.push_back(job_index); });
   std::sort(order.begin(), order.end(), [this](int a, int b) {
     return std::pair(-static_cast<int>(dependencies_.urgency(a)), jobs_[a].submit_wall) <
            std::pair(-static_cast<int>(dependencies_.urgency(b)), jobs_[b].submit_wall);
   });
   std::vector<int> index;
-  auto up = scheduler_.snapshot(index, -1, [this](int m) {
-    const Machine &n = workers_[m]; // one that is heard and not proven yet is so within a report or two
-    return failure_detector_.expected(m) || (n.heard && !n.lost && !n.verified && !n.downlink_lost());
+  auto up = scheduler_.snapshot(index, -1, [this](int machine_index) {
+    const Machine &machine =
+        workers_[machine_index]; // one that is heard and not proven yet is so within a report or two
+    return failure_detector_.expected(machine_index) ||
+           (machine.heard && !machine.lost && !machine.verified && !machine.downlink_lost());
   });
   // Machines already up, those alike together, and the CPU seconds that they are expected to still spend.
   struct Alike {
@@ -311,40 +315,41 @@
     max_boot = std::max(max_boot, t.boot_s);
   double pending = 0;
   std::vector<Wanted> wanted; // in the order of the jobs that want them first
-  for (int j : order) {
-    const Job &n = jobs_[j];
-    PlaceJob p = scheduler_.place_job(j);
-    const double soon = ready_in[static_cast<std::size_t>(j)];
-    if (p.limit == 0 && soon > 0 && soon <= max_boot && !n.cancelled && !n.ending && n.team >= 0) p.limit = p.ready;
-    if (p.limit == 0) continue;
+  for (int job_index : order) {
+    const Job &n = jobs_[job_index];
+    PlaceJob job = scheduler_.place_job(job_index);
+    const double soon = ready_in[static_cast<std::size_t>(job_index)];
+    if (job.limit == 0 && soon > 0 && soon <= max_boot && !n.cancelled && !n.ending && n.team >= 0)
+      job.limit = job.ready;
+    if (job.limit == 0) continue;
     // For work that fails everywhere nothing is rented, unless it could never be tried again.
-    if (failure_attribution_.suspect(j)) {
-      p.barred.clear();
-      if (std::any_of(up.begin(), up.end(), [&](const auto &m) { return allowed(p, m) && p.need.fits(m.size); }))
+    if (failure_attribution_.suspect(job_index)) {
+      job.barred.clear();
+      if (std::any_of(up.begin(), up.end(), [&](const auto &m) { return allowed(job, m) && job.need.fits(m.size); }))
         continue;
     }
-    if (!scheduler_.deferrable(j) || scheduler_.passed_over(j)) pending += p.ready * p.need.cpus;
-    const bool low = p.urgency == Urgency::Low;
+    if (!scheduler_.deferrable(job_index) || scheduler_.passed_over(job_index)) pending += job.ready * job.need.cpus;
+    const bool low = job.urgency == Urgency::Low;
     const double est = std::max(8.0, n.spec.estimate_s);
-    const double due = objectives_.due_after(n.spec, dependencies_.deadline(j), scheduler_.age(j)),
-                 left = due - p.wait_s;
+    const double due = objectives_.due_after(n.spec, dependencies_.deadline(job_index), scheduler_.age(job_index)),
+                 left = due - job.wait_s;
     // A gang needs all its places at the same time, perhaps in one zone: none serves two of its tasks, one after the
     // other. Counting so from the start rents more than others leave time for (measured: worse); a gang that has waited
     // long is what the easier count does not serve.
-    const bool strict = p.gang && p.wait_s > operators_.tunables().reserve_after_s;
-    const bool in_zone = strict && p.one_zone;
+    const bool strict = job.gang && job.wait_s > operators_.tunables().reserve_after_s;
+    const bool in_zone = strict && job.one_zone;
     const double waves = low && !strict ? std::clamp(kWavesShare * left / est, kMinWaves, kMaxWaves) : 1.0;
-    double waiting = p.ready;
+    double waiting = job.ready;
     auto fill = [&](Place &place) {
-      for (; waiting >= 1 && p.need.fits(place.free); waiting -= waves)
-        place.free.add(p.need, -1);
+      for (; waiting >= 1 && job.need.fits(place.free); waiting -= waves)
+        place.free.add(job.need, -1);
     };
     auto suits = [&](const Place &b) {
-      PlaceMachine pm;
-      pm.type = b.type;
-      pm.zone = b.zone;
-      pm.spot = b.spot;
-      return allowed(p, pm);
+      PlaceMachine machine;
+      machine.type = b.type;
+      machine.zone = b.zone;
+      machine.spot = b.spot;
+      return allowed(job, machine);
     };
     // What is on its way takes them first. Tasks that must be in one zone count on that of the place that is chosen.
     for (auto &b : booting)
@@ -357,27 +362,27 @@
       double cost = std::numeric_limits<double>::infinity();
     } best;
     auto places_on = [&](const MachineType &type) {
-      double per = p.need.cpus > 0 ? std::floor(type.size.cpus / p.need.cpus + 1e-6) : 100;
-      if (p.need.memory > 0) per = std::min(per, std::floor(type.size.memory / p.need.memory + 1e-6));
-      if (p.need.gpus > 0) per = std::min(per, std::floor(type.size.gpus / p.need.gpus + 1e-6));
+      double per = job.need.cpus > 0 ? std::floor(type.size.cpus / job.need.cpus + 1e-6) : 100;
+      if (job.need.memory > 0) per = std::min(per, std::floor(type.size.memory / job.need.memory + 1e-6));
+      if (job.need.gpus > 0) per = std::min(per, std::floor(type.size.gpus / job.need.gpus + 1e-6));
       return std::max(1.0, per);
     };
     double cheapest = std::numeric_limits<double>::infinity();
     for (int t = 0; t < static_cast<int>(types.size()); ++t) {
       const auto &type = catalog_.type(t);
-      if (!p.types[static_cast<std::size_t>(t)] || !p.need.fits(type.size)) continue;
-      cheapest = std::min(cheapest, (p.spot ? std::min(type.spot_price, type.price) : type.price) / places_on(type));
+      if (!job.types[static_cast<std::size_t>(t)] || !job.need.fits(type.size)) continue;
+      cheapest = std::min(cheapest, (job.spot ? std::min(type.spot_price, type.price) : type.price) / places_on(type));
     }
     for (int t = 0; t < static_cast<int>(types.size()); ++t) {
       const auto &type = catalog_.type(t);
-      if (!p.types[static_cast<std::size_t>(t)] || !p.need.fits(type.size) || soon > type.boot_s) continue;
+      if (!job.types[static_cast<std::size_t>(t)] || !job.need.fits(type.size) || soon > type.boot_s) continue;
       const double per = places_on(type);
       for (const auto &zone : type.zones) {
-        const int z = catalog_.zone(zone);
-        if (p.zone >= 0 && p.zone != z) continue;
+        const int zone_index = catalog_.zone(zone);
+        if (job.zone >= 0 && job.zone != zone_index) continue;
         for (bool spot : {true, false}) {
-          if (spot && !p.spot) continue;
-          const MachineKind kind(t, z, spot);
+          if (spot && !job.spot) continue;
+          const MachineKind kind(t, zone_index, spot);
           if (refused(kind) || rents_open_[kind] > 0) continue;
           // Cheap places are rented for whatever would wait longer than their boot. Dear ones only where they
           // come early enough to save a deadline that the queue endangers, or against waiting without end.
@@ -385,18 +390,18 @@
           double horizon = type.boot_s + (low ? est : 0.0);
           if (low && price / per > kExpensiveRatio * cheapest)
             horizon =
-                std::max(horizon, kSlackShare * (kSlackShare * left > horizon ? left : kVeryLate * due - p.wait_s));
+                std::max(horizon, kSlackShare * (kSlackShare * left > horizon ? left : kVeryLate * due - job.wait_s));
           double booked = 0; // places on their way in this zone
           for (std::size_t k = 0; in_zone && k < booting.size(); ++k)
-            if (Place b = booting[k]; b.zone == z && suits(b))
-              for (; p.need.fits(b.free); ++booked)
-                b.free.add(p.need, -1);
+            if (Place b = booting[k]; b.zone == zone_index && suits(b))
+              for (; job.need.fits(b.free); ++booked)
+                b.free.add(job.need, -1);
           double carried = 0; // tasks that machines already up get to within the horizon
-          const double cpus = std::max(p.need.cpus, 0.01);
-          auto carries = [&](const PlaceMachine &m, double count, double spent) {
-            if (!allowed(p, m) || !p.need.fits(m.size) || (m.kept && p.small)) return 0.0;
-            if (in_zone && m.zone != z) return 0.0;
-            const double places = count * std::floor(m.size.cpus / cpus + 1e-6);
+          const double cpus = std::max(job.need.cpus, 0.01);
+          auto carries = [&](const PlaceMachine &machine, double count, double spent) {
+            if (!allowed(job, machine) || !job.need.fits(machine.size) || (machine.kept && job.small)) return 0.0;
+            if (in_zone && machine.zone != zone_index) return 0.0;
+            const double places = count * std::floor(machine.size.cpus / cpus + 1e-6);
             const double tasks = std::max(0.0, places * cpus * horizon - spent) / (cpus * est);
             return strict ? std::min(tasks, places) : tasks;
           };
@@ -410,24 +415,25 @@
           if (rest < 0.5) continue;
           int count = static_cast<int>(std::ceil(std::ceil(rest / waves) / per));
           double cost = price * count * (1 + 0.003 * type.boot_s);
-          if (cost < best.cost) best = {t, z, spot, count, cost};
+          if (cost < best.cost) best = {t, zone_index, spot, count, cost};
         }
       }
     }
     // Work counted here is not counted again for later jobs: it lies on the machines that may take it, by their CPUs.
     double on = 0;
     for (const auto &[like, g] : groups)
-      if (allowed(p, g.one) && p.need.fits(g.one.size) && !(g.one.kept && p.small)) on += g.count * g.one.size.cpus;
-    const double each_cpu = on > 0 ? waiting * est * p.need.cpus / on : 0;
+      if (allowed(job, g.one) && job.need.fits(g.one.size) && !(g.one.kept && job.small))
+        on += g.count * g.one.size.cpus;
+    const double each_cpu = on > 0 ? waiting * est * job.need.cpus / on : 0;
     for (auto &[like, g] : groups)
-      if (allowed(p, g.one) && p.need.fits(g.one.size) && !(g.one.kept && p.small))
+      if (allowed(job, g.one) && job.need.fits(g.one.size) && !(g.one.kept && job.small))
         g.busy += each_cpu * g.count * g.one.size.cpus;
     for (std::size_t i = 0; i < up.size() && !low; ++i)
-      if (allowed(p, up[i]) && p.need.fits(up[i].size)) busy[i] += each_cpu * up[i].size.cpus;
+      if (allowed(job, up[i]) && job.need.fits(up[i].size)) busy[i] += each_cpu * up[i].size.cpus;
     if (best.type < 0) continue;
     const MachineKind kind(best.type, best.zone, best.spot);
-    auto it = std::find_if(wanted.begin(), wanted.end(), [&](const Wanted &w) { return w.kind == kind; });
-    if (it == wanted.end()) it = wanted.insert(it, {kind, 0, 0, j});
+    auto it = std::find_if(wanted.begin(), wanted.end(), [&](const Wanted &wanted) { return wanted.kind == kind; });
+    if (it == wanted.end()) it = wanted.insert(it, {kind, 0, 0, job_index});
     it->count += best.count;
     ++it->jobs;
     // What this job leaves of them is there for the next.
@@ -448,13 +454,13 @@
 // ---- renting ----
 
 // All that is wanted of one kind at once: a backlog of thousands of tasks is not to be met by a few machines a second.
-void Autoscaler::rent(const Wanted &w) {
-  const auto [type, zone, spot] = w.kind;
-  const Job &why = jobs_[w.job];
-  for (int left = w.count; left > 0 && calls_.level(runtime_.now()) >= 1 + kCallsKept;) {
+void Autoscaler::rent(const Wanted &wanted) {
+  const auto [type, zone, spot] = wanted.kind;
+  const Job &why = jobs_[wanted.job];
+  for (int left = wanted.count; left > 0 && calls_.level(runtime_.now()) >= 1 + kCallsKept;) {
     const int count = std::min(left, kMaxACall);
     left -= count;
-    rents_open_[w.kind] += count;
+    rents_open_[wanted.kind] += count;
     CloudScaleOut call{fmt::format("r-{}-{}", leadership_.term(), ++rents_), catalog_.type_name(type),
                        catalog_.zone_name(zone), spot, count};
     runtime_.log(LogLevel::Info, "scale_out_requested",
@@ -463,11 +469,11 @@
                   {"type", call.type},
                   {"zone", call.zone},
                   {"spot", spot},
-                  {"jobs", w.jobs},
+                  {"jobs", wanted.jobs},
                   {"first_job", why.spec.id},
                   {"class", why.spec.job_class},
                   {"its_waiting_tasks", why.pending()}});
-    send_rent(std::move(call), w.kind, 3);
+    send_rent(std::move(call), wanted.kind, 3);
   }
 }
 
@@ -476,16 +482,16 @@
     rents_open_[kind] -= call.count;
     return;
   }
-  runtime_.cloud(call, 3.0, [this, call, kind, tries, epoch = leadership_.epoch()](const wire::CloudReply &r) {
+  runtime_.cloud(call, 3.0, [this, call, kind, tries, epoch = leadership_.epoch()](const wire::CloudReply &reply) {
     if (epoch != leadership_.epoch()) return;
-    if (r.status == 0 && tries > 1) return send_rent(call, kind, tries - 1); // same name: rents nothing twice
+    if (reply.status == 0 && tries > 1) return send_rent(call, kind, tries - 1); // same name: rents nothing twice
     rents_open_[kind] -= call.count;
     const auto pause = runtime_.now() + kNoCapacityPause;
-    if (r.status == 200) {
-      for (const auto &name : r.names)
+    if (reply.status == 200) {
+      for (const auto &name : reply.names)
         if (!workers_.gone(name)) workers_.set_verified(workers_.add(name, call.type, call.zone, call.spot));
-      if (static_cast<int>(r.names.size()) < call.count) no_capacity_until_[kind] = pause;
-    } else if (r.status == 503 && r.no_capacity) {
+      if (static_cast<int>(reply.names.size()) < call.count) no_capacity_until_[kind] = pause;
+    } else if (reply.status == 503 && reply.no_capacity) {
       no_capacity_until_[kind] = pause;
     }
   });
--- a/src/core/configuration/applied_configuration.cpp
+++ b/src/core/configuration/applied_configuration.cpp
@@ -21,11 +21,11 @@
   const auto *own = configuration_.find(key);
   const auto value = wire::to_json(wire::AppliedRecord{seen_, seen_wall_});
   runtime_.store(StoreCommit{{{key, own ? own->revision : 0}}, {{key, value, 0}}}, kCommitWithin,
-                 [this, key, value, telling = seen_](const wire::StoreReply &r) {
+                 [this, key, value, telling = seen_](const wire::StoreReply &reply) {
                    writing_ = false;
-                   if (r.status != 200) return;
+                   if (reply.status != 200) return;
                    told_ = telling;
-                   configuration_.learn(key, value, r.revision);
+                   configuration_.learn(key, value, reply.revision);
                  });
 }
 
--- a/src/core/configuration/configuration.cpp
+++ b/src/core/configuration/configuration.cpp
@@ -33,22 +33,23 @@
 void Configuration::list(const std::string &from) {
   const std::string prefix(settings_.configuration ? wire::kConfigPrefix : kDocuments);
   // Large pages: thousands of records take a few requests in kListEvery, and a list that fails begins again.
-  runtime_.store(StoreList{prefix, from, StoreList::kMaxPage}, kListWithin, [this, from](const wire::StoreReply &r) {
-    if (r.status != 200) {
-      listing_now_ = false;
-      if (settings_.configuration) next_ = runtime_.now() + kListRetry;
-      return;
-    }
-    // What changes between two pages comes with the watch, which begins at the first.
-    if (from.empty()) follow_from_ = r.revision;
-    for (const auto &e : r.entries) {
-      const auto *known = find(e.key);
-      const bool had = known && known->revision == e.mod_revision; // its value isn't kept twice
-      listing_[e.key] = {had ? std::nullopt : std::optional(e.value), e.mod_revision};
-    }
-    if (r.more && !r.entries.empty()) return list(r.entries.back().key);
-    listed();
-  });
+  runtime_.store(StoreList{prefix, from, StoreList::kMaxPage}, kListWithin,
+                 [this, from](const wire::StoreReply &reply) {
+                   if (reply.status != 200) {
+                     listing_now_ = false;
+                     if (settings_.configuration) next_ = runtime_.now() + kListRetry;
+                     return;
+                   }
+                   // What changes between two pages comes with the watch, which begins at the first.
+                   if (from.empty()) follow_from_ = reply.revision;
+                   for (const auto &e : reply.entries) {
+                     const auto *known = find(e.key);
+                     const bool had = known && known->revision == e.mod_revision; // its value isn't kept twice
+                     listing_[e.key] = {had ? std::nullopt : std::optional(e.value), e.mod_revision};
+                   }
+                   if (reply.more && !reply.entries.empty()) return list(reply.entries.back().key);
+                   listed();
+                 });
 }
 
 void Configuration::listed() {
@@ -71,21 +72,21 @@
 void Configuration::follow() {
   following_ = true;
   runtime_.store(StoreWatch{std::string(wire::kConfigPrefix), follow_from_, kHold}, kHold + kHoldMargin,
-                 [this, sent = runtime_.now()](const wire::StoreReply &r) {
+                 [this, sent = runtime_.now()](const wire::StoreReply &reply) {
                    following_ = false;
-                   if (r.status == 410 || r.status == 0) { // too far behind, or it has died without a word
+                   if (reply.status == 410 || reply.status == 0) { // too far behind, or it has died without a word
                      next_ = 0;
                      return;
                    }
-                   if (r.status != 200) {
+                   if (reply.status != 200) {
                      next_follow_ = runtime_.now() + kFollowRetry;
                      return;
                    }
-                   for (const auto &e : r.events)
+                   for (const auto &e : reply.events)
                      set(e.key, e.value, e.mod_revision);
                    // A list under way counts from its first page: what came since is told again after it. Guards
                    // against a record that is newer than the list's pages being taken for gone.
-                   if (!listing_now_) follow_from_ = std::max(follow_from_, r.revision);
+                   if (!listing_now_) follow_from_ = std::max(follow_from_, reply.revision);
                    current_at_ = std::max(current_at_, sent);
                    if (!listing_now_) follow();
                  });
--- a/src/core/configuration/operator_settings.cpp
+++ b/src/core/configuration/operator_settings.cpp
@@ -13,32 +13,32 @@
 }
 } // namespace
 
-void Operators::on(const ConfigurationChanged &e) {
-  if (e.key == kTunablesKey) read_tunables();
-  if (e.key == kCellsKey) read_cell_rules();
-  if (e.key == kBudgetsKey || e.key.starts_with(wire::kConfigBudget)) read_budgets();
-  if (e.key == kOrdersKey) read_orders();
-  if (e.key.starts_with(wire::kConfigMachine)) read_order(e.key.substr(wire::kConfigMachine.size()));
+void Operators::on(const ConfigurationChanged &event) {
+  if (event.key == kTunablesKey) read_tunables();
+  if (event.key == kCellsKey) read_cell_rules();
+  if (event.key == kBudgetsKey || event.key.starts_with(wire::kConfigBudget)) read_budgets();
+  if (event.key == kOrdersKey) read_orders();
+  if (event.key.starts_with(wire::kConfigMachine)) read_order(event.key.substr(wire::kConfigMachine.size()));
 }
 
 void Operators::read_tunables() {
   const auto *document = configuration_.find(kTunablesKey);
-  wire::Tunables t;
+  wire::Tunables tunables;
   if (!document) return;
-  if (auto problem = wire::apply_tunables(document->value, t))
+  if (auto problem = wire::apply_tunables(document->value, tunables))
     runtime_.log(LogLevel::Error, "operator_settings_rejected", {{"why", *problem}});
   else
-    tunables_ = t;
+    tunables_ = tunables;
 }
 
 void Operators::read_cell_rules() {
   const auto *document = configuration_.find(kCellsKey);
-  wire::CellRules r;
+  wire::CellRules rules;
   if (!document) return;
-  if (auto problem = wire::apply_cell_rules(document->value, r))
+  if (auto problem = wire::apply_cell_rules(document->value, rules))
     runtime_.log(LogLevel::Error, "cell_rules_rejected", {{"why", *problem}});
   else
-    cell_rules_ = std::move(r);
+    cell_rules_ = std::move(rules);
 }
 
 std::map<std::string, wire::Json> Operators::entries(std::string_view prefix, const wire::Json &document,
@@ -47,8 +47,8 @@
   if (document.is_object())
     for (const auto &[name, value] : document.items())
       out[name] = value;
-  configuration_.each(prefix, [&](std::string_view name, const Configuration::Record &r) {
-    if (counts(r, document_revision)) out[std::string(name)] = r.value["value"];
+  configuration_.each(prefix, [&](std::string_view name, const Configuration::Record &record) {
+    if (counts(record, document_revision)) out[std::string(name)] = record.value["value"];
   });
   return out;
 }
@@ -60,14 +60,14 @@
   const auto teams =
       entries(wire::kConfigBudget, whole.value("teams", wire::Json::object()), document ? document->revision : 0);
   whole.erase("teams");
-  wire::Budgets b;
-  auto problem = wire::apply_budgets(whole, b);
+  wire::Budgets budgets;
+  auto problem = wire::apply_budgets(whole, budgets);
   for (auto it = teams.begin(); it != teams.end() && !problem; ++it)
-    problem = wire::apply_budgets({{"teams", {{it->first, it->second}}}}, b);
+    problem = wire::apply_budgets({{"teams", {{it->first, it->second}}}}, budgets);
   if (problem)
     runtime_.log(LogLevel::Error, "budgets_rejected", {{"why", *problem}});
   else
-    budgets_ = std::move(b);
+    budgets_ = std::move(budgets);
 }
 
 void Operators::read_orders() {
--- a/src/core/connectivity/connectivity_monitor.cpp
+++ b/src/core/connectivity/connectivity_monitor.cpp
@@ -156,25 +156,27 @@
   } else if (lease_ == 0) {
     asking_ = true;
     next_lease_ = runtime_.now() + kRetry * (0.8 + 0.4 * runtime_.random());
-    runtime_.store(StoreLeaseGrant{kTtl}, 1.0, [this](const wire::StoreReply &r) {
+    runtime_.store(StoreLeaseGrant{kTtl}, 1.0, [this](const wire::StoreReply &reply) {
       asking_ = false;
-      if (r.status != 200 || !r.lease) return;
-      lease_ = r.lease;
+      if (reply.status != 200 || !reply.lease) return;
+      lease_ = reply.lease;
       written_.reset();
       next_lease_ = runtime_.now() + kTouchEvery;
     });
   } else {
     asking_ = true;
     next_lease_ = runtime_.now() + kTouchEvery;
-    runtime_.store(StoreLeaseRenew{lease_}, 1.0, [this](const wire::StoreReply &r) {
+    runtime_.store(StoreLeaseRenew{lease_}, 1.0, [this](const wire::StoreReply &reply) {
       asking_ = false;
-      if (r.status == 404) lease_ = 0;
+      if (reply.status == 404) lease_ = 0;
     });
   }
   if (lease_ == 0 || replicas_.cut_off()) return;
   // Over the links it is told anyway, and more often.
   auto band = [](std::uint16_t machines) { return static_cast<int>(std::log2(machines + 1.0) / 2); };
-  auto heard = [this](const ConnectivityRecord &w) { return w.workers == WorkerReachability::Reachable || carried(w); };
+  auto heard = [this](const ConnectivityRecord &connectivity) {
+    return connectivity.workers == WorkerReachability::Reachable || carried(connectivity);
+  };
   // That it hears nobody any more shows by the word's age.
   auto weighty = [&](const ConnectivityRecord &before) {
     return (own_.workers != before.workers && own_.workers != WorkerReachability::Unknown) ||
@@ -191,10 +193,10 @@
   written_at_ = runtime_.now();
   const StoredConnectivityRecord record{own_, runtime_.wall()};
   runtime_.store(StoreCommit{{}, {{kPrefix + std::to_string(replicas_.self()), wire::to_json(record), lease_}}}, 1.0,
-                 [this, lease = lease_](const wire::StoreReply &r) {
+                 [this, lease = lease_](const wire::StoreReply &reply) {
                    if (lease != lease_) return;
-                   if (r.status == 400) lease_ = 0; // it is over
-                   if (r.status != 200) written_.reset();
+                   if (reply.status == 400) lease_ = 0; // it is over
+                   if (reply.status != 200) written_.reset();
                  });
 }
 
@@ -203,13 +205,13 @@
   if (listing_ || runtime_.now() < next_list_ || !some_link_down() || replicas_.count() == 0) return;
   next_list_ = runtime_.now() + (downlink_lost ? kListEveryDownlinkLost : kListEvery);
   listing_ = true;
-  runtime_.store(StoreList{kPrefix, ""}, 1.0, [this, asked = runtime_.now()](const wire::StoreReply &r) {
+  runtime_.store(StoreList{kPrefix, ""}, 1.0, [this, asked = runtime_.now()](const wire::StoreReply &reply) {
     listing_ = false;
-    if (r.status != 200) return;
+    if (reply.status != 200) return;
     listed_at_ = asked;
     for (auto &s : by_state_)
       s.present = false;
-    for (const auto &e : r.entries) {
+    for (const auto &e : reply.entries) {
       const auto digits = e.key.substr(kPrefix.size());
       const auto record = wire::connectivity_from_json(e.value);
       if (!record || digits.empty() || digits.size() > 3 || digits.find_first_not_of("0123456789") != std::string::npos)
@@ -248,12 +250,12 @@
 // ---- who leads ----
 
 // How ill placed a node is to lead: the larger the worse.
-double ConnectivityMonitor::rank(const ConnectivityRecord &w) const {
-  const int workers = w.workers == WorkerReachability::Reachable ? 0
-                      : carried(w)                               ? 1
-                      : w.workers == WorkerReachability::Unknown ? 2
-                                                                 : 5;
-  return workers + (w.cloud == ProviderHealth::Unhealthy ? 3 : 0);
+double ConnectivityMonitor::rank(const ConnectivityRecord &connectivity) const {
+  const int workers = connectivity.workers == WorkerReachability::Reachable ? 0
+                      : carried(connectivity)                               ? 1
+                      : connectivity.workers == WorkerReachability::Unknown ? 2
+                                                                            : 5;
+  return workers + (connectivity.cloud == ProviderHealth::Unhealthy ? 3 : 0);
 }
 
 void ConnectivityMonitor::step_down(std::string_view why, std::size_t replica, const Word &w) {
--- a/src/core/connectivity/replicas.cpp
+++ b/src/core/connectivity/replicas.cpp
@@ -40,15 +40,15 @@
     uses.push_back(runtime_.now() - s.stated_at < kLately ? std::optional(s.use) : std::nullopt);
   state_limits_.share(runtime_.now(), kPingEvery, uses);
   for (std::size_t i = 0; i < states_.size(); ++i) {
-    wire::PeerMessage m;
-    m.kind = wire::PeerMessage::Kind::Ping;
-    m.nonce = ++ping_nonce_ | wire::kKnowsDependencies;
-    m.term = leadership_.highest_term();
-    m.sender = self_;
-    m.connectivity = own_;
-    states_[i].nonce = m.nonce;
+    wire::PeerMessage message;
+    message.kind = wire::PeerMessage::Kind::Ping;
+    message.nonce = ++ping_nonce_ | wire::kKnowsDependencies;
+    message.term = leadership_.highest_term();
+    message.sender = self_;
+    message.connectivity = own_;
+    states_[i].nonce = message.nonce;
     states_[i].sent_at = runtime_.now();
-    runtime_.send({static_cast<int>(i), 0, std::move(m)});
+    runtime_.send({static_cast<int>(i), 0, std::move(message)});
   }
 }
 
@@ -58,23 +58,23 @@
     states_[static_cast<std::size_t>(i)].knows_dependencies = cmd.message.nonce & wire::kKnowsDependencies;
     states_[static_cast<std::size_t>(i)].asks_with = cmd.message.connectivity;
   }
-  wire::PeerMessage r;
-  r.kind = wire::PeerMessage::Kind::Pong;
-  r.nonce = cmd.message.nonce;
-  r.term = standing.leads ? leadership_.term() : leadership_.highest_term();
-  r.cancelled = cancellations_.repeated();
+  wire::PeerMessage message;
+  message.kind = wire::PeerMessage::Kind::Pong;
+  message.nonce = cmd.message.nonce;
+  message.term = standing.leads ? leadership_.term() : leadership_.highest_term();
+  message.cancelled = cancellations_.repeated();
   // More than can be repeated: a leader of the production version goes by this.
-  r.cut_off = cut_off() && cancellations_.all_repeated();
-  r.connectivity = own_;
-  r.sender = self_;
-  r.leads = standing.leads;
-  r.spreads = standing.spreads;
-  r.passes = standing.passes;
+  message.cut_off = cut_off() && cancellations_.all_repeated();
+  message.connectivity = own_;
+  message.sender = self_;
+  message.leads = standing.leads;
+  message.spreads = standing.spreads;
+  message.passes = standing.passes;
   auto tenths = [](double rate) { return static_cast<std::uint16_t>(std::min(6e4, rate * 10)); };
-  r.reads = tenths(state_limits_.use().reads);
-  r.writes = tenths(state_limits_.use().writes);
-  r.uptime_ms = static_cast<std::uint32_t>(std::min(4e9, runtime_.up_s() * 1000));
-  runtime_.send({-1, cmd.link, std::move(r)});
+  message.reads = tenths(state_limits_.use().reads);
+  message.writes = tenths(state_limits_.use().writes);
+  message.uptime_ms = static_cast<std::uint32_t>(std::min(4e9, runtime_.up_s() * 1000));
+  runtime_.send({-1, cmd.link, std::move(message)});
 }
 
 bool Replicas::take_pong(const CmdPeer &cmd) {
@@ -95,21 +95,23 @@
   return true;
 }
 
-void Replicas::tell_all(const wire::PeerMessage &m) {
+void Replicas::tell_all(const wire::PeerMessage &message) {
   for (std::size_t i = 0; i < states_.size(); ++i)
-    runtime_.send({static_cast<int>(i), 0, m});
+    runtime_.send({static_cast<int>(i), 0, message});
 }
 
 bool Replicas::earlier_version() const {
   return leadership_.leader_knows_dependencies() == std::optional(false) ||
-         std::any_of(states_.begin(), states_.end(),
-                     [this](const State &s) { return runtime_.now() - s.asked_at < kLately && !s.knows_dependencies; });
+         std::any_of(states_.begin(), states_.end(), [this](const State &state) {
+           return runtime_.now() - state.asked_at < kLately && !state.knows_dependencies;
+         });
 }
 
 bool Replicas::common_outage() const {
   if (!cut_off() || states_.empty()) return false;
-  return std::all_of(states_.begin(), states_.end(),
-                     [this](const State &s) { return s.cut_off && runtime_.now() - s.stated_at <= kStatementLife; });
+  return std::all_of(states_.begin(), states_.end(), [this](const State &state) {
+    return state.cut_off && runtime_.now() - state.stated_at <= kStatementLife;
+  });
 }
 
 bool Replicas::extended() const {
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -45,7 +45,7 @@
                       dependencies_, failure_attribution_, workers_, autoscaler_, replicas_, connectivity_, federation_,
                       heartbeats_, service_levels_, status_reporter_, ledger_, configuration_api_),
       event_log_(runtime_, jobs_, workers_) {
-  heartbeats_.refuse_while([this](const Heartbeat &r) { return federation_.unsure_of(r); });
+  heartbeats_.refuse_while([this](const Heartbeat &heartbeat) { return federation_.unsure_of(heartbeat); });
 }
 
 Effects Core::apply(std::vector<Command> batch, Now at) {
@@ -108,8 +108,8 @@
   applied_.tick();
   if (!leadership_.leading()) return;
   step([this] {
-    for (int j : jobs_.age())
-      workers_.tend_gang(j);
+    for (int job_index : jobs_.age())
+      workers_.tend_gang(job_index);
   });
   step([this] { dependencies_.tick(); });
   status_reporter_.log_summary();
@@ -126,13 +126,13 @@
 bool Core::consistent() const {
   bool good = true;
   std::vector<std::uint32_t> allocations(jobs_.index_limit(), 0);
-  workers_.each([&](int m, const Machine &n) {
-    good &= workers_.consistent(m);
-    for (const auto &s : n.allocations)
+  workers_.each([&](int machine_index, const Machine &machine) {
+    good &= workers_.consistent(machine_index);
+    for (const auto &s : machine.allocations)
       if (s.job >= 0 && !s.finished) ++allocations[static_cast<std::size_t>(s.job)];
   });
-  jobs_.each([&](int j, const Job &n) {
-    good &= jobs_.consistent(j) && allocations[static_cast<std::size_t>(j)] == n.placed;
+  jobs_.each([&](int job_index, const Job &job) {
+    good &= jobs_.consistent(job_index) && allocations[static_cast<std::size_t>(job_index)] == job.placed;
   });
   return good;
 }
--- a/src/core/election/leadership.cpp
+++ b/src/core/election/leadership.cpp
@@ -25,19 +25,19 @@
 void Leadership::poll_leader() {
   next_poll_ = runtime_.now() + kPollEvery * (0.8 + 0.4 * runtime_.random());
   polling_ = true;
-  runtime_.store(StoreGet{kLeaderKey}, 1.0, [this](const wire::StoreReply &r) {
+  runtime_.store(StoreGet{kLeaderKey}, 1.0, [this](const wire::StoreReply &reply) {
     polling_ = false;
     if (role_ != Role::Follower) return;
-    if (r.status == 200 && r.entries.size() == 1) {
-      if (auto rec = wire::leader_from_json(r.entries[0].value)) {
+    if (reply.status == 200 && reply.entries.size() == 1) {
+      if (auto rec = wire::leader_from_json(reply.entries[0].value)) {
         leader_name_ = rec->node == settings_.node ? "" : rec->node;
-        leader_term_ = r.entries[0].mod_revision;
+        leader_term_ = reply.entries[0].mod_revision;
         leader_knows_dependencies_ = rec->nonce & wire::kKnowsDependencies;
         highest_term_ = std::max(highest_term_, leader_term_);
         leader_seen_ = runtime_.now();
         leaderless_since_ = -1;
       }
-    } else if (r.status == 404) {
+    } else if (reply.status == 404) {
       if (!leader_name_.empty() || leaderless_since_wall_ <= 0) leaderless_since_wall_ = runtime_.wall();
       leader_name_.clear();
       if (leaderless_since_ < 0) leaderless_since_ = runtime_.now();
@@ -67,13 +67,13 @@
     const auto lease = r.lease;
     const LeaderRecord record{settings_.node, runtime_.nonce() | wire::kKnowsDependencies};
     runtime_.store(StoreCommit{{{kLeaderKey, 0}}, {{kLeaderKey, wire::to_json(record), lease}}}, 1.0,
-                   [this, epoch, lease, sent, back](const wire::StoreReply &c) {
+                   [this, epoch, lease, sent, back](const wire::StoreReply &reply) {
                      if (epoch != epoch_) return;
                      // An unknown outcome is given up with its lease: a commit that arrives later finds no lease.
-                     if (c.status != 200) return back(lease);
+                     if (reply.status != 200) return back(lease);
                      role_ = Role::Loading;
                      ++epoch_;
-                     term_ = c.revision;
+                     term_ = reply.revision;
                      lease_ = lease;
                      highest_term_ = std::max(highest_term_, term_);
                      lease_valid_until_ = sent + kTtl * (1 - kDrift) - 0.02;
@@ -91,12 +91,12 @@
   renewing_ = true;
   const double sent = runtime_.now();
   next_renew_ = runtime_.now() + kRenewEvery;
-  runtime_.store(StoreLeaseRenew{lease_}, 1.0, [this, sent, epoch = epoch_](const wire::StoreReply &r) {
+  runtime_.store(StoreLeaseRenew{lease_}, 1.0, [this, sent, epoch = epoch_](const wire::StoreReply &reply) {
     renewing_ = false;
     if (epoch != epoch_ || role_ == Role::Follower) return;
-    if (r.status == 200)
+    if (reply.status == 200)
       lease_valid_until_ = std::max(lease_valid_until_, sent + kTtl * (1 - kDrift) - 0.02);
-    else if (r.status == 404)
+    else if (reply.status == 404)
       step_down("lease is gone");
     else
       next_renew_ = runtime_.now() + 0.3;
--- a/src/core/federation/capacity_survey.cpp
+++ b/src/core/federation/capacity_survey.cpp
@@ -10,24 +10,24 @@
 // from it, how long each job's work will wait here.
 void CellFederation::survey() {
   std::map<MachineKind, Lot> lots;
-  workers_.each([&](int, const Machine &m) {
-    if (m.type < 0 || m.lost || m.returning || m.order || m.taken_at) return;
-    Lot &l = lots[{m.type, m.zone, m.spot}];
-    l.size = m.size;
-    if (!m.heard) {
-      ++l.starting;
+  workers_.each([&](int, const Machine &machine) {
+    if (machine.type < 0 || machine.lost || machine.returning || machine.order || machine.taken_at) return;
+    Lot &lot = lots[{machine.type, machine.zone, machine.spot}];
+    lot.size = machine.size;
+    if (!machine.heard) {
+      ++lot.starting;
       return;
     }
-    if (m.silent(runtime_.now(), settings_.heartbeat_interval_s)) return;
-    ++l.machines;
-    l.idle += m.allocations.empty();
-    l.cpus += m.size.cpus;
-    l.free.add(m.size);
-    l.free.add(m.used, -1);
-    for (const auto &s : m.allocations) {
+    if (machine.silent(runtime_.now(), settings_.heartbeat_interval_s)) return;
+    ++lot.machines;
+    lot.idle += machine.allocations.empty();
+    lot.cpus += machine.size.cpus;
+    lot.free.add(machine.size);
+    lot.free.add(machine.used, -1);
+    for (const auto &s : machine.allocations) {
       if (s.job < 0 || s.finished || jobs_[s.job].delegated_here) continue;
       const double ran = s.running_since >= 0 ? runtime_.now() - s.running_since : 0;
-      l.busy += std::max(3.0, jobs_[s.job].spec.estimate_s - ran) * s.need.cpus;
+      lot.busy += std::max(3.0, jobs_[s.job].spec.estimate_s - ran) * s.need.cpus;
     }
   });
   for (std::size_t t = 0; t < catalog_.types().size(); ++t)
@@ -35,9 +35,9 @@
       for (bool spot : {false, true}) {
         const MachineKind kind(static_cast<int>(t), catalog_.find_zone(zone), spot);
         if (std::get<1>(kind) < 0) continue;
-        Lot &l = lots[kind];
-        l.size = catalog_.types()[t].size;
-        l.refused = autoscaler_.refused(kind);
+        Lot &lot = lots[kind];
+        lot.size = catalog_.types()[t].size;
+        lot.refused = autoscaler_.refused(kind);
       }
   lots_.clear();
   for (auto &[kind, l] : lots) {
@@ -45,8 +45,9 @@
     lots_.push_back(l);
   }
   std::vector<int> order;
-  jobs_.each([&](int j, const Job &n) {
-    if (!n.delegated_here && !n.cancelled && n.pending() > 0 && n.spec.waits_for.empty()) order.push_back(j);
+  jobs_.each([&](int job_index, const Job &job) {
+    if (!job.delegated_here && !job.cancelled && job.pending() > 0 && job.spec.waits_for.empty())
+      order.push_back(job_index);
   });
   std::sort(order.begin(), order.end(), [this](int a, int b) {
     return std::pair(-static_cast<int>(jobs_[a].spec.urgency), jobs_[a].submit_wall) <
@@ -56,10 +57,10 @@
   std::fill(std::begin(wait_by_urgency_), std::end(wait_by_urgency_), 0);
   own_waiting_cpus_ = 0;
   const double cheapest = catalog_.cheapest_cpu();
-  for (int j : order) {
-    const Job &n = jobs_[j];
-    const auto work = work_of(j);
-    const double est = std::max(3.0, n.spec.estimate_s), own = n.pending() * n.spec.need.cpus * est;
+  for (int job_index : order) {
+    const Job &job = jobs_[job_index];
+    const auto work = work_of(job_index);
+    const double est = std::max(3.0, job.spec.estimate_s), own = job.pending() * job.spec.need.cpus * est;
     double cpus = 0, load = 0, places = 0, soon = std::numeric_limits<double>::infinity();
     std::vector<Lot *> mine;
     for (auto &l : lots_) {
@@ -77,30 +78,30 @@
       }
       const auto &type = catalog_.type(std::get<0>(l.kind));
       const bool price_premium = InstanceTypeCatalog::cpu_price(type, std::get<2>(l.kind)) > kExpensiveRatio * cheapest;
-      if (l.starting > 0 || (!l.refused && !(price_premium && n.spec.urgency == Urgency::Low)))
+      if (l.starting > 0 || (!l.refused && !(price_premium && job.spec.urgency == Urgency::Low)))
         soon = std::min(soon, 1.1 * type.boot_s + 1);
     }
     double wait = cpus > 0 ? (load + 0.5 * own) / cpus : std::numeric_limits<double>::infinity();
     // A whole machine for each is free when what is on it ends, not when the average has ended.
-    if (n.spec.shape == Shape::Gang && places < n.pending()) wait = std::max(wait, 0.5 * est);
-    if (places >= n.pending()) wait = 0.25;
+    if (job.spec.shape == Shape::Gang && places < job.pending()) wait = std::max(wait, 0.5 * est);
+    if (places >= job.pending()) wait = 0.25;
     wait = std::min(wait, soon);
     // Whatever the figures say: what has waited for so long without a start will wait on.
-    const double age = runtime_.wall() - n.submit_wall;
-    if (n.placed + n.done + n.unaccounted == 0 && age > kLongWait) wait = std::max(wait, 0.5 * age);
-    waits_[static_cast<std::size_t>(j)] = std::isfinite(wait) ? wait : 1e6;
-    auto &of_class = wait_by_urgency_[static_cast<std::size_t>(n.spec.urgency)];
+    const double age = runtime_.wall() - job.submit_wall;
+    if (job.placed + job.done + job.unaccounted == 0 && age > kLongWait) wait = std::max(wait, 0.5 * age);
+    waits_[static_cast<std::size_t>(job_index)] = std::isfinite(wait) ? wait : 1e6;
+    auto &of_class = wait_by_urgency_[static_cast<std::size_t>(job.spec.urgency)];
     of_class = std::max(of_class, std::min(wait, 3600.0));
-    own_waiting_cpus_ += n.pending() * n.spec.need.cpus;
+    own_waiting_cpus_ += job.pending() * job.spec.need.cpus;
     for (auto *l : mine)
       l->ahead += cpus > 0 ? own * l->cpus / cpus : 0;
   }
 }
 
-void CellFederation::summarize(wire::CellMessage &m) const {
-  m.address = settings_.peer_listen;
-  m.lease_s = settings_.lease_s;
-  m.wait_s.assign(std::begin(wait_by_urgency_), std::end(wait_by_urgency_));
+void CellFederation::summarize(wire::CellMessage &message) const {
+  message.address = settings_.peer_listen;
+  message.lease_s = settings_.lease_s;
+  message.wait_s.assign(std::begin(wait_by_urgency_), std::end(wait_by_urgency_));
   for (const auto &l : lots_) {
     wire::CellKind k;
     const auto [type, zone, spot] = l.kind;
@@ -116,7 +117,7 @@
     }
     k.boot_s = catalog_.type(type).boot_s;
     k.fetch_gb_per_s = catalog_.type(type).fetch_gb_per_s;
-    if (m.kinds.size() < wire::kCellMaxKinds) m.kinds.push_back(std::move(k));
+    if (message.kinds.size() < wire::kCellMaxKinds) message.kinds.push_back(std::move(k));
   }
 }
 
--- a/src/core/federation/cell_federation.cpp
+++ b/src/core/federation/cell_federation.cpp
@@ -7,10 +7,10 @@
 
 namespace loftrouter::core {
 
-Settings with_cell_teams(Settings s) {
-  for (const auto &c : s.cells.others)
-    s.teams.push_back({"@" + c.name, 0, 0, 0, 0});
-  return s;
+Settings with_cell_teams(Settings settings) {
+  for (const auto &c : settings.cells.others)
+    settings.teams.push_back({"@" + c.name, 0, 0, 0, 0});
+  return settings;
 }
 
 CellFederation::CellFederation(Runtime &runtime, Events &events, const Settings &settings,
@@ -45,32 +45,32 @@
 // ---- frames ----
 
 wire::CellMessage CellFederation::message(Kind kind, int cell) const {
-  wire::CellMessage m;
-  m.kind = kind;
-  m.from = settings_.cells.name;
-  m.to = cells_[static_cast<std::size_t>(cell)].name;
-  m.term = leadership_.term();
-  return m;
+  wire::CellMessage message;
+  message.kind = kind;
+  message.from = settings_.cells.name;
+  message.to = cells_[static_cast<std::size_t>(cell)].name;
+  message.term = leadership_.term();
+  return message;
 }
 
-bool CellFederation::send(int cell, wire::CellMessage m) {
+bool CellFederation::send(int cell, wire::CellMessage message) {
   auto &c = cells_[static_cast<std::size_t>(cell)];
   const int node = c.nodes.target(runtime_.now());
   if (node < 0) return false;
   c.nodes.asked(runtime_.now());
-  runtime_.send(CellSend{node, 0, std::move(m)});
+  runtime_.send(CellSend{node, 0, std::move(message)});
   return true;
 }
 
 void CellFederation::reply(const Route &to, wire::CellMessage m) {
   if (!to.by_replica) return runtime_.send(CellSend{-1, to.link, std::move(m)});
-  wire::PeerMessage p;
-  p.kind = wire::PeerMessage::Kind::CellTold;
-  p.nonce = to.nonce;
-  p.term = leadership_.highest_term();
-  p.sender = replicas_.self();
-  p.body = wire::encode_cell(m);
-  runtime_.send(PeerSend{-1, to.link, std::move(p)});
+  wire::PeerMessage message;
+  message.kind = wire::PeerMessage::Kind::CellTold;
+  message.nonce = to.nonce;
+  message.term = leadership_.highest_term();
+  message.sender = replicas_.self();
+  message.body = wire::encode_cell(m);
+  runtime_.send(PeerSend{-1, to.link, std::move(message)});
 }
 
 static bool is_answer(Kind k) {
@@ -96,29 +96,30 @@
   for (std::size_t i = 0; i < replicas_.count(); ++i)
     if (replicas_[i].leads && runtime_.now() - replicas_[i].stated_at < 1.2) to = static_cast<int>(i);
   if (to < 0 || passed_.full()) return; // it asks again, elsewhere
-  wire::PeerMessage p;
-  p.kind = wire::PeerMessage::Kind::CellAsk;
-  p.nonce = passed_.add(0, runtime_.now() + 3, cmd.link);
-  p.term = leadership_.highest_term();
-  p.sender = replicas_.self();
-  p.body = wire::encode_cell(cmd.message);
-  runtime_.send(PeerSend{to, 0, std::move(p)});
+  wire::PeerMessage message;
+  message.kind = wire::PeerMessage::Kind::CellAsk;
+  message.nonce = passed_.add(0, runtime_.now() + 3, cmd.link);
+  message.term = leadership_.highest_term();
+  message.sender = replicas_.self();
+  message.body = wire::encode_cell(cmd.message);
+  runtime_.send(PeerSend{to, 0, std::move(message)});
 }
 
 void CellFederation::take_passed(const CmdPeer &cmd) {
   if (!on() || !leadership_.leading() || replicas_.by_sender(cmd.message.sender) < 0) return;
   std::string_view rest = cmd.message.body;
-  wire::CellMessage m;
-  if (wire::read_cell(rest, m) != wire::PeerRead::Frame || !rest.empty()) return;
-  if (by_name(m.from) < 0 || m.to != settings_.cells.name || is_answer(m.kind)) return;
-  handle({cmd.link, cmd.message.nonce, true}, -1, std::move(m));
+  wire::CellMessage message;
+  if (wire::read_cell(rest, message) != wire::PeerRead::Frame || !rest.empty()) return;
+  if (by_name(message.from) < 0 || message.to != settings_.cells.name || is_answer(message.kind)) return;
+  handle({cmd.link, cmd.message.nonce, true}, -1, std::move(message));
 }
 
 void CellFederation::take_back(const wire::PeerMessage &p) {
   const auto item = passed_.complete(p.nonce);
   std::string_view rest = p.body;
-  wire::CellMessage m;
-  if (item && wire::read_cell(rest, m) == wire::PeerRead::Frame) runtime_.send(CellSend{-1, item->context, std::move(m)});
+  wire::CellMessage message;
+  if (item && wire::read_cell(rest, message) == wire::PeerRead::Frame)
+    runtime_.send(CellSend{-1, item->context, std::move(message)});
 }
 
 void CellFederation::handle(const Route &from, int node, wire::CellMessage &&m) {
@@ -159,9 +160,9 @@
   }
   case Kind::Room:
     if (const auto it = wanted_.find(m.number); it != wanted_.end()) {
-      const Wanted w = it->second;
+      const Wanted wanted = it->second;
       wanted_.erase(it);
-      delegate(w, m.number, m.tasks);
+      delegate(wanted, m.number, m.tasks);
     }
     return;
   case Kind::Offer:
@@ -182,8 +183,8 @@
     r.number = m.number;
     r.grant_s = grant_s(c.lease_s);
     for (auto g : m.generations) {
-      int j = -1;
-      OutboundDelegation *l = delegation(g, j);
+      int job_index = -1;
+      OutboundDelegation *l = delegation(g, job_index);
       const bool known = l && l->cell == cell;
       if (known && m.lease_s > l->terms.lease_s) l->terms = terms(m.lease_s); // its settings have changed
       // Without news of cancellations nothing is said: neither that it goes on nor that it is over.
@@ -205,11 +206,11 @@
     cells::Terms t;
     t.grant_s = std::min(m.grant_s, kMaxGrant);
     for (auto g : about) {
-      int j = -1;
-      InboundDelegation *d = inbound(g, cell, j);
+      int job_index = -1;
+      InboundDelegation *d = inbound(g, cell, job_index);
       if (!d) continue;
       if (std::find(m.generations.begin(), m.generations.end(), g) != m.generations.end())
-        close(j, *d);
+        close(job_index, *d);
       else
         d->state.granted(m.number, asked_at, t);
     }
@@ -236,8 +237,8 @@
   }
 }
 
-bool CellFederation::tell_quota(int cell, wire::CellMessage m) {
-  return cells_[static_cast<std::size_t>(cell)].knows_quotas && send(cell, std::move(m));
+bool CellFederation::tell_quota(int cell, wire::CellMessage message) {
+  return cells_[static_cast<std::size_t>(cell)].knows_quotas && send(cell, std::move(message));
 }
 
 // ---- time and events ----
@@ -272,51 +273,52 @@
     renew(c);
 }
 
-void CellFederation::on(const DelegationRecorded &e) {
-  int j = -1;
-  if (OutboundDelegation *l = delegation(e.generation, j)) l->state.recorded();
+void CellFederation::on(const DelegationRecorded &event) {
+  int job_index = -1;
+  if (OutboundDelegation *l = delegation(event.generation, job_index)) l->state.recorded();
 }
 
-void CellFederation::on(const JobAccepted &e) {
-  grown(eager_, e.job) = 0;
-  grown(outbound_, e.job).clear();
-  const Job &n = jobs_[e.job];
-  grown(inbound_, e.job).reset();
-  if (!n.delegated_here) return;
-  const int origin = by_name(n.delegated_here->origin);
+void CellFederation::on(const JobAccepted &event) {
+  grown(eager_, event.job) = 0;
+  grown(outbound_, event.job).clear();
+  const Job &job = jobs_[event.job];
+  grown(inbound_, event.job).reset();
+  if (!job.delegated_here) return;
+  const int origin = by_name(job.delegated_here->origin);
   const auto asked = origin >= 0 ? cells_[static_cast<std::size_t>(origin)].question : 0;
-  grown(inbound_, e.job) = InboundDelegation{.state = cells::DelegationAtRemote(n.delegated_here->generation, asked),
-                                             .origin = origin,
-                                             .known_at = runtime_.now(),
-                                             .restored = !leadership_.leading()};
-  inbound_list_.push_back(e.job);
-  inbound_jobs_[{origin, n.delegated_here->generation}] = e.job;
+  grown(inbound_, event.job) =
+      InboundDelegation{.state = cells::DelegationAtRemote(job.delegated_here->generation, asked),
+                        .origin = origin,
+                        .known_at = runtime_.now(),
+                        .restored = !leadership_.leading()};
+  inbound_list_.push_back(event.job);
+  inbound_jobs_[{origin, job.delegated_here->generation}] = event.job;
   if (origin >= 0) cells_[static_cast<std::size_t>(origin)].next_renew = 0;
-  if (origin >= 0 && !n.cancelled) return;
+  if (origin >= 0 && !job.cancelled) return;
   // Nobody confirms it, as its cell is not in the features file any more; or somebody here wants its id.
-  inbound_[static_cast<std::size_t>(e.job)]->state.close();
-  inbound_[static_cast<std::size_t>(e.job)]->wanted = true;
+  inbound_[static_cast<std::size_t>(event.job)]->state.close();
+  inbound_[static_cast<std::size_t>(event.job)]->wanted = true;
 }
 
-void CellFederation::on(const JobCancelled &e) {
-  const Job &n = jobs_[e.job];
-  if (n.delegated_here) {
-    auto &d = inbound_[static_cast<std::size_t>(e.job)];
+void CellFederation::on(const JobCancelled &event) {
+  const Job &job = jobs_[event.job];
+  if (job.delegated_here) {
+    auto &d = inbound_[static_cast<std::size_t>(event.job)];
     if (!d) return;
     d->wanted |= !d->state.closed(); // by its record: somebody here wants the id
     d->state.close();
     return;
   }
-  for (auto &l : grown(outbound_, e.job))
+  for (auto &l : grown(outbound_, event.job))
     l.state.close();
 }
 
-void CellFederation::on(const JobFinalized &e) {
-  for (const auto &l : grown(outbound_, e.job))
+void CellFederation::on(const JobFinalized &event) {
+  for (const auto &l : grown(outbound_, event.job))
     outbound_jobs_.erase(l.state.generation());
-  grown(outbound_, e.job).clear();
-  if (auto &d = grown(inbound_, e.job)) {
-    std::erase(inbound_list_, e.job);
+  grown(outbound_, event.job).clear();
+  if (auto &d = grown(inbound_, event.job)) {
+    std::erase(inbound_list_, event.job);
     inbound_jobs_.erase({d->origin, d->state.generation()});
     d.reset();
   }
@@ -325,23 +327,23 @@
 void CellFederation::on(const TermStarted &) {
   if (!on()) return;
   next_tick_ = 0;
-  jobs_.each([this](int j, const Job &n) {
-    for (const auto &r : n.delegations) {
+  jobs_.each([this](int job_index, const Job &job) {
+    for (const auto &r : job.delegations) {
       // A cell that is not in the features file any more: what it runs is over by the bound, and nobody tells.
       const int cell = by_name(r.cell);
       auto bound = terms(r.lease_s); // of what it may have been granted, also under other settings
       bound.grant_s = kMaxGrant;
-      OutboundDelegation l{.state = cells::DelegationAtOrigin::restored(r.generation, leadership_.term(),
-                                                                        runtime_.now() + kStatementLife, bound),
-                           .cell = cell,
-                           .made_at = runtime_.now(),
-                           .taken = true,
-                           .progressed = true,
-                           .terms = terms(r.lease_s)};
+      OutboundDelegation delegation{.state = cells::DelegationAtOrigin::restored(
+                                        r.generation, leadership_.term(), runtime_.now() + kStatementLife, bound),
+                                    .cell = cell,
+                                    .made_at = runtime_.now(),
+                                    .taken = true,
+                                    .progressed = true,
+                                    .terms = terms(r.lease_s)};
       // Guards against work that runs in two cells: what has lapsed may have been started here, and is never confirmed.
-      if (n.cancelled || cell < 0 || r.lapsed) l.state.close();
-      grown(outbound_, j).push_back(std::move(l));
-      outbound_jobs_[r.generation] = j;
+      if (job.cancelled || cell < 0 || r.lapsed) delegation.state.close();
+      grown(outbound_, job_index).push_back(std::move(delegation));
+      outbound_jobs_[r.generation] = job_index;
     }
   });
 }
@@ -364,21 +366,21 @@
 std::vector<CellFederation::State> CellFederation::states() const {
   std::vector<State> out;
   for (const auto &c : cells_) {
-    State s{c.name, c.heard_at < -1e8 ? -1 : runtime_.now() - c.heard_at, c.lease_s <= 0 || grant_s(c.lease_s) > 0};
-    jobs_.each([&](int j, const Job &n) {
-      for (const auto &l : n.delegations)
+    State state{c.name, c.heard_at < -1e8 ? -1 : runtime_.now() - c.heard_at, c.lease_s <= 0 || grant_s(c.lease_s) > 0};
+    jobs_.each([&](int job_index, const Job &job) {
+      for (const auto &l : job.delegations)
         if (l.cell == c.name && !l.lapsed) {
-          ++s.delegations;
+          ++state.delegations;
           for (auto [a, b] : l.tasks)
             for (auto i = a; i < b; ++i)
-              s.delegated_out_tasks += n.tasks[i].state == TaskState::DelegationSource;
+              state.delegated_out_tasks += job.tasks[i].state == TaskState::DelegationSource;
         }
-      if (!n.delegated_here || n.delegated_here->origin != c.name) return;
-      ++s.delegations_in;
-      s.delegated_in_tasks += n.pending() + n.placed + n.unaccounted;
-      (void)j;
+      if (!job.delegated_here || job.delegated_here->origin != c.name) return;
+      ++state.delegations_in;
+      state.delegated_in_tasks += job.pending() + job.placed + job.unaccounted;
+      (void)job_index;
     });
-    out.push_back(std::move(s));
+    out.push_back(std::move(state));
   }
   return out;
 }
--- a/src/core/federation/delegation_protocol.cpp
+++ b/src/core/federation/delegation_protocol.cpp
@@ -4,10 +4,10 @@
 
 namespace loftrouter::cells {
 
-DelegationAtOrigin DelegationAtOrigin::restored(Generation g, std::uint64_t term, double now, const Terms &t) {
+DelegationAtOrigin DelegationAtOrigin::restored(Generation g, std::uint64_t term, double now, const Terms &terms) {
   DelegationAtOrigin h(g, term);
   h.phase_ = Phase::DelegationSource;
-  h.until_ = now + t.over_after_s();
+  h.until_ = now + terms.over_after_s();
   return h;
 }
 
@@ -15,10 +15,10 @@
   if (phase_ == Phase::Recording) phase_ = Phase::DelegationSource;
 }
 
-bool DelegationAtOrigin::confirm(double now, std::uint64_t remote_term, const Terms &t) {
+bool DelegationAtOrigin::confirm(double now, std::uint64_t remote_term, const Terms &terms) {
   if (phase_ != Phase::DelegationSource || remote_term < remote_term_) return false;
   remote_term_ = remote_term;
-  until_ = std::max(until_, now + t.over_after_s());
+  until_ = std::max(until_, now + terms.over_after_s());
   return true;
 }
 
@@ -36,8 +36,8 @@
   return phase_ == Phase::Over || (phase_ == Phase::Closing && now >= until_);
 }
 
-void DelegationAtRemote::granted(std::uint64_t question, double asked_at, const Terms &t) {
-  if (question > asked_before_) until_ = std::max(until_, asked_at + t.grant_s * (1 - t.drift));
+void DelegationAtRemote::granted(std::uint64_t question, double asked_at, const Terms &terms) {
+  if (question > asked_before_) until_ = std::max(until_, asked_at + terms.grant_s * (1 - terms.drift));
 }
 
 void DelegationAtRemote::tick(double now) {
--- a/src/core/federation/delegations_in.cpp
+++ b/src/core/federation/delegations_in.cpp
@@ -5,11 +5,11 @@
 
 namespace loftrouter::core {
 
-bool CellFederation::may_use(const cells::Work &work, const Lot &l) const {
+bool CellFederation::may_use(const cells::Work &work, const Lot &lot) const {
   wire::CellKind k;
-  k.type = catalog_.type_name(std::get<0>(l.kind));
-  k.spot = std::get<2>(l.kind);
-  k.size = l.size;
+  k.type = catalog_.type_name(std::get<0>(lot.kind));
+  k.spot = std::get<2>(lot.kind);
+  k.size = lot.size;
   return cells::allowed(work, k);
 }
 
@@ -25,19 +25,20 @@
     open.insert(l.kind);
     rentable |= !l.refused;
   }
-  workers_.each([&](int, const Machine &m) {
-    if (!m.heard || m.lost || m.returning || m.order || m.taken_at || m.draining ||
-        m.silent(runtime_.now(), settings_.heartbeat_interval_s) || !open.contains({m.type, m.zone, m.spot}))
+  workers_.each([&](int, const Machine &machine) {
+    if (!machine.heard || machine.lost || machine.returning || machine.order || machine.taken_at || machine.draining ||
+        machine.silent(runtime_.now(), settings_.heartbeat_interval_s) ||
+        !open.contains({machine.type, machine.zone, machine.spot}))
       return;
-    Resources room = m.size;
-    room.add(m.used, -1);
+    Resources room = machine.size;
+    room.add(machine.used, -1);
     for (; work.need.fits(room); free += work.need.cpus)
       room.add(work.need, -1);
   });
-  for (int j : inbound_list_) {
-    const Job &n = jobs_[j];
-    delegated_here += (n.pending() + n.placed) * n.spec.need.cpus;
-    free -= n.pending() * n.spec.need.cpus;
+  for (int job_index : inbound_list_) {
+    const Job &job = jobs_[job_index];
+    delegated_here += (job.pending() + job.placed) * job.spec.need.cpus;
+    free -= job.pending() * job.spec.need.cpus;
   }
   const double rent = rentable ? std::max(kMinAcceptedCpus, kAcceptShare * up) : 0;
   return std::max(0.0,
@@ -76,16 +77,16 @@
   state_limits_.take_leader_writes(runtime_.now(), 1);
   taking_.insert(m.generation);
   // The record comes before the yes; an id that anybody here uses or has used is not mixed with it.
-  runtime_.store(StoreCommit{{{"leader", leadership_.term()}, {key, 0}, {end, 0}}, {{key, value, 0}}}, 1.5,
-                 [this, answer, key, value, g = m.generation, epoch = leadership_.epoch()](const wire::StoreReply &r) {
-                   if (epoch != leadership_.epoch()) return;
-                   taking_.erase(g);
-                   if (r.status == 409) return answer(false, "its id is in use here");
-                   if (r.status != 200)
-                     return; // if it is there all the same, the watch tells, and the next offer gets a yes
-                   state_writer_.take_open(key, value, r.revision);
-                   answer(true, "");
-                 });
+  runtime_.store(
+      StoreCommit{{{"leader", leadership_.term()}, {key, 0}, {end, 0}}, {{key, value, 0}}}, 1.5,
+      [this, answer, key, value, g = m.generation, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
+        if (epoch != leadership_.epoch()) return;
+        taking_.erase(g);
+        if (reply.status == 409) return answer(false, "its id is in use here");
+        if (reply.status != 200) return; // if it is there all the same, the watch tells, and the next offer gets a yes
+        state_writer_.take_open(key, value, reply.revision);
+        answer(true, "");
+      });
 }
 
 CellFederation::InboundDelegation *CellFederation::inbound(std::uint64_t generation, int origin, int &job) {
@@ -95,28 +96,30 @@
   return &*inbound_[static_cast<std::size_t>(job)];
 }
 
-void CellFederation::close(int j, InboundDelegation &d) {
-  d.state.close();
-  if (!jobs_[j].cancelled) jobs_.cancel(j); // its tasks stop; that nobody here has cancelled it is not recorded
+void CellFederation::close(int job_index, InboundDelegation &inbound) {
+  inbound.state.close();
+  if (!jobs_[job_index].cancelled)
+    jobs_.cancel(job_index); // its tasks stop; that nobody here has cancelled it is not recorded
 }
 
 void CellFederation::expire() {
   if (!leadership_.leading()) return;
-  for (int j : inbound_list_) {
-    auto &d = *inbound_[static_cast<std::size_t>(j)];
+  for (int job_index : inbound_list_) {
+    auto &d = *inbound_[static_cast<std::size_t>(job_index)];
     d.state.tick(runtime_.now());
     const double patience = d.restored ? kSureWithin : kFirstGrant;
-    if (d.state.closed() || (!d.state.granted_once() && runtime_.now() - d.known_at > patience)) close(j, d);
-    jobs_.pause(j, d.draining || !d.state.may_run(runtime_.now()));
+    if (d.state.closed() || (!d.state.granted_once() && runtime_.now() - d.known_at > patience)) close(job_index, d);
+    jobs_.pause(job_index, d.draining || !d.state.may_run(runtime_.now()));
   }
 }
 
-bool CellFederation::unsure_of(const Heartbeat &r) const {
+bool CellFederation::unsure_of(const Heartbeat &heartbeat) const {
   if (inbound_list_.empty()) return false;
-  return std::any_of(r.tasks.begin(), r.tasks.end(), [this](const TaskStatus &t) {
-    const int j = jobs_.index(t.job);
-    const auto *d = j >= 0 && static_cast<std::size_t>(j) < inbound_.size() && inbound_[static_cast<std::size_t>(j)]
-                        ? &*inbound_[static_cast<std::size_t>(j)]
+  return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [this](const TaskStatus &task) {
+    const int job_index = jobs_.index(task.job);
+    const auto *d = job_index >= 0 && static_cast<std::size_t>(job_index) < inbound_.size() &&
+                            inbound_[static_cast<std::size_t>(job_index)]
+                        ? &*inbound_[static_cast<std::size_t>(job_index)]
                         : nullptr;
     return d && !d->state.granted_once() && !d->state.closed();
   });
@@ -127,28 +130,28 @@
   const double now = runtime_.now();
   const auto counts = workers_.running_counts();
   for (std::size_t k = 0; k < inbound_list_.size(); ++k) {
-    const int j = inbound_list_[k];
-    auto &d = *inbound_[static_cast<std::size_t>(j)];
-    const Job &n = jobs_[j];
+    const int job_index = inbound_list_[k];
+    auto &d = *inbound_[static_cast<std::size_t>(job_index)];
+    const Job &job = jobs_[job_index];
     // Not begun for long, or own work waits: what has not begun goes back, what runs may end.
-    const bool waits = n.pending() > 0 && !d.state.closed() && (n.placed == 0 || own_waiting_cpus_ > 0);
+    const bool waits = job.pending() > 0 && !d.state.closed() && (job.placed == 0 || own_waiting_cpus_ > 0);
     if (!waits)
       d.idle_since = -1;
     else if (d.idle_since < 0)
       d.idle_since = now;
     if (waits && now - d.idle_since > kUnstarted && !std::exchange(d.draining, true)) {
-      jobs_.pause(j, true);
-      workers_.withdraw(j); // or it would keep a place for a start that is never sent
+      jobs_.pause(job_index, true);
+      workers_.withdraw(job_index); // or it would keep a place for a start that is never sent
     }
-    const bool still = n.placed == 0 && n.unaccounted == 0;
-    if (d.draining && still) close(j, d);
-    d.ended = still && (d.state.closed() || n.done == n.spec.tasks);
+    const bool still = job.placed == 0 && job.unaccounted == 0;
+    if (d.draining && still) close(job_index, d);
+    d.ended = still && (d.state.closed() || job.done == job.spec.tasks);
     // An id that an own user wants is not kept waiting for another cell's answer.
-    if (d.ended && d.wanted) jobs_.settle(j);
-    const std::uint32_t running = counts[static_cast<std::size_t>(j)];
-    const auto used = ledger_.on() ? ledger_.usage(j) : accounts::Usage{};
-    const bool news = d.ended || n.done != d.told_done || running != d.told_running || used.held() != d.told_held;
-    if (n.ending || now < d.next_told || (!news && now < d.next_told + kToldAtLeast - kToldEvery)) continue;
+    if (d.ended && d.wanted) jobs_.settle(job_index);
+    const std::uint32_t running = counts[static_cast<std::size_t>(job_index)];
+    const auto used = ledger_.on() ? ledger_.usage(job_index) : accounts::Usage{};
+    const bool news = d.ended || job.done != d.told_done || running != d.told_running || used.held() != d.told_held;
+    if (job.ending || now < d.next_told || (!news && now < d.next_told + kToldAtLeast - kToldEvery)) continue;
     if (d.origin < 0) continue;
     auto m = message(Kind::Told, d.origin);
     m.generation = d.state.generation();
@@ -156,14 +159,14 @@
     m.yes = d.ended;
     m.running = running;
     m.usage = used;
-    std::vector<char> done(n.spec.tasks, 0);
-    for (auto [a, b] : n.delegated_here->tasks)
-      for (auto i = a; i < b && i < n.spec.tasks; ++i)
-        done[i] = n.tasks[i].state == TaskState::Done;
-    m.ranges = narrow(make_ranges(n.spec.tasks, [&](std::uint32_t i) { return done[i] != 0; }), wire::kCellMaxRanges);
+    std::vector<char> done(job.spec.tasks, 0);
+    for (auto [a, b] : job.delegated_here->tasks)
+      for (auto i = a; i < b && i < job.spec.tasks; ++i)
+        done[i] = job.tasks[i].state == TaskState::Done;
+    m.ranges = narrow(make_ranges(job.spec.tasks, [&](std::uint32_t i) { return done[i] != 0; }), wire::kCellMaxRanges);
     d.next_told = now + (d.ended ? 1.0 : kToldEvery);
     if (!send(d.origin, std::move(m))) continue;
-    d.told_done = n.done;
+    d.told_done = job.done;
     d.told_running = running;
     d.told_held = used.held();
   }
@@ -173,8 +176,8 @@
   auto &c = cells_[static_cast<std::size_t>(origin)];
   std::vector<std::uint64_t> about;
   bool urgent = false;
-  for (int j : inbound_list_) {
-    const auto &d = *inbound_[static_cast<std::size_t>(j)];
+  for (int job_index : inbound_list_) {
+    const auto &d = *inbound_[static_cast<std::size_t>(job_index)];
     if (d.origin != origin || d.state.closed()) continue;
     about.push_back(d.state.generation());
     urgent |= !d.state.granted_once();
--- a/src/core/federation/delegations_out.cpp
+++ b/src/core/federation/delegations_out.cpp
@@ -13,18 +13,18 @@
 }
 
 cells::Terms CellFederation::terms(double lease_s) const {
-  cells::Terms t;
-  t.grant_s = grant_s(lease_s);
-  t.lease_s = lease_s;
-  t.drift = kDrift;
-  return t;
+  cells::Terms terms;
+  terms.grant_s = grant_s(lease_s);
+  terms.lease_s = lease_s;
+  terms.drift = kDrift;
+  return terms;
 }
 
 // Only what would be over in time if its cancellation had been confirmed just after the last news. In a common outage
 // as long as this leader answers its own workers.
-bool CellFederation::may_confirm(const cells::Terms &t) const {
-  return replicas_.answering() && t.grant_s > 0 &&
-         runtime_.now() - cancellations_.known_until() + t.over_after_s() < settings_.cancel_s - 1;
+bool CellFederation::may_confirm(const cells::Terms &terms) const {
+  return replicas_.answering() && terms.grant_s > 0 &&
+         runtime_.now() - cancellations_.known_until() + terms.over_after_s() < settings_.cancel_s - 1;
 }
 
 bool CellFederation::may_leave(const JobSpec &spec) const {
@@ -38,19 +38,20 @@
   return !spec.zone; // its zone is here
 }
 
-cells::Work CellFederation::work_of(int j) const {
-  const Job &n = jobs_[j];
-  cells::Work w;
-  w.need = n.spec.need;
-  if (n.spec.types) w.types = *n.spec.types;
-  w.spot = n.spec.spot;
-  w.whole = n.spec.shape == Shape::Gang || n.spec.one_zone || n.spec.spread;
-  w.tasks = n.pending();
-  w.estimate_s = n.spec.estimate_s;
-  w.image_gb = n.spec.image_gb;
-  w.urgency = n.spec.urgency;
-  w.wait_here_s = static_cast<std::size_t>(j) < waits_.size() ? waits_[static_cast<std::size_t>(j)] : 0;
-  return w;
+cells::Work CellFederation::work_of(int job_index) const {
+  const Job &job = jobs_[job_index];
+  cells::Work work;
+  work.need = job.spec.need;
+  if (job.spec.types) work.types = *job.spec.types;
+  work.spot = job.spec.spot;
+  work.whole = job.spec.shape == Shape::Gang || job.spec.one_zone || job.spec.spread;
+  work.tasks = job.pending();
+  work.estimate_s = job.spec.estimate_s;
+  work.image_gb = job.spec.image_gb;
+  work.urgency = job.spec.urgency;
+  work.wait_here_s =
+      static_cast<std::size_t>(job_index) < waits_.size() ? waits_[static_cast<std::size_t>(job_index)] : 0;
+  return work;
 }
 
 static std::uint64_t pair_key(std::uint64_t serial, int cell) {
@@ -79,26 +80,28 @@
   }
   if (!any) return;
   std::vector<std::pair<double, int>> order; // by the time left
-  jobs_.each([&](int j, const Job &n) {
-    int &eager = grown(eager_, j);
-    const bool whole = n.spec.shape == Shape::Gang || n.spec.one_zone || n.spec.spread;
-    if (n.delegated_here || n.cancelled || n.ending || n.pending() == 0 ||
-        n.delegations.size() >= StateWriter::kMaxDelegations || failure_attribution_.suspect(j) || n.team < 0 ||
-        ledger_.spent(n.team) || !may_leave(n.spec) || (whole && (n.placed || n.unaccounted || n.delegated))) {
+  jobs_.each([&](int job_index, const Job &job) {
+    int &eager = grown(eager_, job_index);
+    const bool whole = job.spec.shape == Shape::Gang || job.spec.one_zone || job.spec.spread;
+    if (job.delegated_here || job.cancelled || job.ending || job.pending() == 0 ||
+        job.delegations.size() >= StateWriter::kMaxDelegations || failure_attribution_.suspect(job_index) ||
+        job.team < 0 || ledger_.spent(job.team) || !may_leave(job.spec) ||
+        (whole && (job.placed || job.unaccounted || job.delegated))) {
       eager = 0;
       return;
     }
-    const double age = std::max(0.0, runtime_.wall() - n.submit_wall);
-    order.emplace_back(objectives_.due_after(n.spec, n.spec.deadline_s, age) - age - n.spec.estimate_s, j);
+    const double age = std::max(0.0, runtime_.wall() - job.submit_wall);
+    order.emplace_back(objectives_.due_after(job.spec, job.spec.deadline_s, age) - age - job.spec.estimate_s,
+                       job_index);
   });
   std::sort(order.begin(), order.end());
   for (auto [left, j] : order) {
     if (wanted_.size() >= kMaxWanted) return;
-    const Job &n = jobs_[j];
+    const Job &job = jobs_[j];
     auto mine = views;
     for (std::size_t c = 0; c < mine.size(); ++c) {
-      mine[c].open &= !not_again_.contains(pair_key(n.serial, static_cast<int>(c)));
-      for (const auto &l : n.delegations) // one hand-over of a job to a cell at a time
+      mine[c].open &= !not_again_.contains(pair_key(job.serial, static_cast<int>(c)));
+      for (const auto &l : job.delegations) // one hand-over of a job to a cell at a time
         mine[c].open &= l.cell != cells_[c].name;
     }
     const auto work = work_of(j);
@@ -122,16 +125,18 @@
 }
 
 // How many more of a job's tasks its team's limit allows, all that may be on a machine anywhere counted.
-std::uint32_t CellFederation::team_allows(int j) const {
-  const Job &n = jobs_[j];
-  const auto room = quotas_.room()[static_cast<std::size_t>(n.team)];
+std::uint32_t CellFederation::team_allows(int job_index) const {
+  const Job &job = jobs_[job_index];
+  const auto room = quotas_.room()[static_cast<std::size_t>(job.team)];
   double most = 1e6;
-  if (room.cpus >= 0 && n.spec.need.cpus > 0) most = std::min(most, std::floor(room.cpus / n.spec.need.cpus + 1e-9));
-  if (room.gpus >= 0 && n.spec.need.gpus > 0) most = std::min(most, std::floor(room.gpus / n.spec.need.gpus + 1e-9));
+  if (room.cpus >= 0 && job.spec.need.cpus > 0)
+    most = std::min(most, std::floor(room.cpus / job.spec.need.cpus + 1e-9));
+  if (room.gpus >= 0 && job.spec.need.gpus > 0)
+    most = std::min(most, std::floor(room.gpus / job.spec.need.gpus + 1e-9));
   return static_cast<std::uint32_t>(most);
 }
 
-void CellFederation::want(int j, int cell, const cells::Work &work, std::uint32_t tasks) {
+void CellFederation::want(int job_index, int cell, const cells::Work &work, std::uint32_t tasks) {
   const std::uint64_t ticket = ++numbers_;
   auto m = message(Kind::Want, cell);
   m.number = ticket;
@@ -140,26 +145,27 @@
   m.types = work.types;
   m.spot = work.spot;
   m.whole = work.whole;
-  not_again_[pair_key(jobs_[j].serial, cell)] = runtime_.now() + kNoRoomPause;
-  if (send(cell, std::move(m))) wanted_[ticket] = {j, cell, jobs_[j].serial, tasks, runtime_.now() + 3};
+  not_again_[pair_key(jobs_[job_index].serial, cell)] = runtime_.now() + kNoRoomPause;
+  if (send(cell, std::move(m))) wanted_[ticket] = {job_index, cell, jobs_[job_index].serial, tasks, runtime_.now() + 3};
 }
 
-void CellFederation::delegate(const Wanted &w, std::uint64_t ticket, std::uint32_t tasks) {
-  const Job *n = jobs_.find(w.job);
-  if (!n || n->serial != w.serial || n->cancelled || n->ending || !leadership_.active() || tasks == 0 ||
-      tasks > w.tasks)
+void CellFederation::delegate(const Wanted &wanted, std::uint64_t ticket, std::uint32_t tasks) {
+  const Job *job = jobs_.find(wanted.job);
+  if (!job || job->serial != wanted.serial || job->cancelled || job->ending || !leadership_.active() || tasks == 0 ||
+      tasks > wanted.tasks)
     return;
-  const bool whole = n->spec.shape == Shape::Gang || n->spec.one_zone || n->spec.spread;
-  if (n->pending() == 0 || n->delegations.size() >= StateWriter::kMaxDelegations || (whole && tasks < n->pending()))
+  const bool whole = job->spec.shape == Shape::Gang || job->spec.one_zone || job->spec.spread;
+  if (job->pending() == 0 || job->delegations.size() >= StateWriter::kMaxDelegations ||
+      (whole && tasks < job->pending()))
     return;
   // What may run there counts against its team's limit from now on.
-  tasks = std::min(tasks, team_allows(w.job));
-  if (tasks == 0 || (whole && tasks < n->pending())) return;
+  tasks = std::min(tasks, team_allows(wanted.job));
+  if (tasks == 0 || (whole && tasks < job->pending())) return;
   // The last of those that wait, in few pieces: the first will have their turn here.
   Ranges ranges;
   std::uint32_t got = 0;
-  for (std::uint32_t i = n->spec.tasks; i-- > 0 && got < tasks;) {
-    if (n->tasks[i].state != TaskState::Pending) continue;
+  for (std::uint32_t i = job->spec.tasks; i-- > 0 && got < tasks;) {
+    if (job->tasks[i].state != TaskState::Pending) continue;
     if (!ranges.empty() && ranges.back().first == i + 1)
       ranges.back().first = i;
     else if (ranges.size() < kMaxRanges)
@@ -169,24 +175,24 @@
     ++got;
   }
   std::reverse(ranges.begin(), ranges.end());
-  if (got == 0 || (whole && got < n->pending())) return;
-  const auto &c = cells_[static_cast<std::size_t>(w.cell)];
+  if (got == 0 || (whole && got < job->pending())) return;
+  const auto &c = cells_[static_cast<std::size_t>(wanted.cell)];
   const cells::Generation g = (leadership_.term() << 20) + ++delegations_made_;
-  grown(outbound_, w.job)
+  grown(outbound_, wanted.job)
       .push_back({.state = cells::DelegationAtOrigin(g, leadership_.term()),
-                  .cell = w.cell,
+                  .cell = wanted.cell,
                   .made_at = runtime_.now(),
                   .ticket = ticket,
                   .terms = terms(c.lease_s)});
-  outbound_jobs_[g] = w.job;
-  not_again_[pair_key(n->serial, w.cell)] = runtime_.now() + kNotAgain;
+  outbound_jobs_[g] = wanted.job;
+  not_again_[pair_key(job->serial, wanted.cell)] = runtime_.now() + kNotAgain;
   runtime_.log(LogLevel::Info, "delegation_started",
-               {{"job", n->spec.id},
-                {"class", n->spec.job_class},
+               {{"job", job->spec.id},
+                {"class", job->spec.job_class},
                 {"tasks", got},
                 {"cell", c.name},
-                {"expected_wait_s", waits_[static_cast<std::size_t>(w.job)]}});
-  jobs_.delegate(w.job, {g, c.name, std::move(ranges), c.lease_s, false, {}});
+                {"expected_wait_s", waits_[static_cast<std::size_t>(wanted.job)]}});
+  jobs_.delegate(wanted.job, {g, c.name, std::move(ranges), c.lease_s, false, {}});
 }
 
 CellFederation::OutboundDelegation *CellFederation::delegation(std::uint64_t generation, int &job) {
@@ -198,18 +204,18 @@
   return nullptr;
 }
 
-wire::CellMessage CellFederation::offer(int j, const OutboundDelegation &l) const {
-  const Job &n = jobs_[j];
-  auto m = message(Kind::Offer, l.cell);
-  m.number = l.ticket;
-  m.generation = l.state.generation();
-  JobSpec spec = n.spec;
-  const double age = std::max(0.0, runtime_.wall() - n.submit_wall);
-  spec.deadline_s = objectives_.wanted_after(n.spec, n.spec.deadline_s)
-                        ? std::optional(std::max(1.0, objectives_.due_after(n.spec, n.spec.deadline_s, age) - age))
+wire::CellMessage CellFederation::offer(int job_index, const OutboundDelegation &delegation) const {
+  const Job &job = jobs_[job_index];
+  auto m = message(Kind::Offer, delegation.cell);
+  m.number = delegation.ticket;
+  m.generation = delegation.state.generation();
+  JobSpec spec = job.spec;
+  const double age = std::max(0.0, runtime_.wall() - job.submit_wall);
+  spec.deadline_s = objectives_.wanted_after(job.spec, job.spec.deadline_s)
+                        ? std::optional(std::max(1.0, objectives_.due_after(job.spec, job.spec.deadline_s, age) - age))
                         : std::nullopt;
   m.body = wire::encode(wire::to_json(spec));
-  for (const auto &x : n.delegations)
+  for (const auto &x : job.delegations)
     if (x.generation == m.generation) m.ranges = x.tasks;
   return m;
 }
@@ -219,12 +225,12 @@
   std::vector<std::pair<int, std::uint64_t>> gone, lapsed;
   const double now = runtime_.now();
   for (const auto &[generation, j] : outbound_jobs_) {
-    int job = j;
-    OutboundDelegation &l = *delegation(generation, job);
-    const Job &n = jobs_[j];
-    const auto record = std::find_if(n.delegations.begin(), n.delegations.end(),
+    int job_index = j;
+    OutboundDelegation &l = *delegation(generation, job_index);
+    const Job &job = jobs_[j];
+    const auto record = std::find_if(job.delegations.begin(), job.delegations.end(),
                                      [g = generation](const auto &x) { return x.generation == g; });
-    if (l.dropped || record == n.delegations.end() || record->lapsed) continue;
+    if (l.dropped || record == job.delegations.end() || record->lapsed) continue;
     if (l.state.offers() && !l.taken && now >= l.next_offer) {
       l.next_offer = now + kOfferAgain;
       if (now - l.made_at > kOfferFor)
@@ -262,67 +268,69 @@
 
 // Once it is recorded that it is over, its borrower is told so. One that was never confirmed has nothing to tell, and
 // may never have been recorded.
-void CellFederation::drop(int j, OutboundDelegation &l) {
-  const auto g = l.state.generation();
-  l.dropped = true;
-  l.running = 0;
-  const bool forget = !l.state.confirmed();
-  jobs_.remove_delegation(j, g);
-  if (forget) on(DelegationRemoved{j, g});
+void CellFederation::drop(int job_index, OutboundDelegation &delegation) {
+  const auto g = delegation.state.generation();
+  delegation.dropped = true;
+  delegation.running = 0;
+  const bool forget = !delegation.state.confirmed();
+  jobs_.remove_delegation(job_index, g);
+  if (forget) on(DelegationRemoved{job_index, g});
 }
 
-void CellFederation::on(const DelegationRemoved &e) {
-  std::erase_if(grown(outbound_, e.job),
-                [&e](const OutboundDelegation &l) { return l.state.generation() == e.generation; });
-  outbound_jobs_.erase(e.generation);
+void CellFederation::on(const DelegationRemoved &event) {
+  std::erase_if(grown(outbound_, event.job), [&event](const OutboundDelegation &delegation) {
+    return delegation.state.generation() == event.generation;
+  });
+  outbound_jobs_.erase(event.generation);
 }
 
 // How a loan gets on there, or that it has ended. What is done there is done, unless it was started again here.
 void CellFederation::told(const Route &from, int cell, const wire::CellMessage &m) {
-  int j = -1;
-  OutboundDelegation *l = delegation(m.generation, j);
+  int job_index = -1;
+  OutboundDelegation *l = delegation(m.generation, job_index);
   if (!l || l->cell != cell) {
     if (!m.yes || !leadership_.active()) return;
     auto r = message(Kind::Settled, cell); // its end is recorded, or was never known
     r.generation = m.generation;
     return reply(from, std::move(r));
   }
-  const Job &n = jobs_[j];
-  const auto record = std::find_if(n.delegations.begin(), n.delegations.end(),
+  const Job &job = jobs_[job_index];
+  const auto record = std::find_if(job.delegations.begin(), job.delegations.end(),
                                    [&](const auto &x) { return x.generation == m.generation; });
-  if (l->dropped || record == n.delegations.end() || !leadership_.active()) return; // being recorded; it is told again
+  if (l->dropped || record == job.delegations.end() || !leadership_.active())
+    return; // being recorded; it is told again
   const Ranges mine = record->tasks;
   const bool lapsed = record->lapsed;
   const auto used = m.usage - record->charged;
   // Of an attempt that is counted twice, or a word that comes late, nothing is taken.
   if (std::all_of(used.v.begin(), used.v.end(), [](auto x) { return x >= 0; }) && !used.none()) {
-    ledger_.add(j, used);
-    jobs_.charge_delegation(j, m.generation, m.usage);
-    jobs_.changed(j, false);
+    ledger_.add(job_index, used);
+    jobs_.charge_delegation(job_index, m.generation, m.usage);
+    jobs_.changed(job_index, false);
   }
   auto inside = [&](std::uint32_t i) {
     return std::any_of(mine.begin(), mine.end(), [i](auto r) { return i >= r.first && i < r.second; });
   };
   for (auto [a, b] : m.ranges)
-    for (auto i = a; i < b && i < n.spec.tasks; ++i) {
-      const auto state = n.tasks[i].state;
+    for (auto i = a; i < b && i < job.spec.tasks; ++i) {
+      const auto state = job.tasks[i].state;
       if (inside(i) &&
-          (state == TaskState::DelegationSource || (lapsed && state == TaskState::Pending && !n.cancelled))) {
+          (state == TaskState::DelegationSource || (lapsed && state == TaskState::Pending && !job.cancelled))) {
         l->progressed = true;
-        jobs_.finish(j, i);
+        jobs_.finish(job_index, i);
       }
     }
   l->running = lapsed || m.yes ? 0 : m.running;
   l->progressed |= m.running > 0;
   std::uint32_t running = 0;
-  for (const auto &x : outbound_[static_cast<std::size_t>(j)])
+  for (const auto &x : outbound_[static_cast<std::size_t>(job_index)])
     running += x.running;
-  jobs_.set_delegated_running(j, running);
+  jobs_.set_delegated_running(job_index, running);
   if (!m.yes) return;
   if (!lapsed && !l->state.ended(m.term, m.other_term)) return;
   runtime_.log(LogLevel::Info, "delegation_ended",
-               {{"job", n.spec.id}, {"cell", cells_[static_cast<std::size_t>(cell)].name}, {"late", lapsed}});
-  drop(j, *l);
+               {{"job", job.spec.id}, {"cell", cells_[static_cast<std::size_t>(cell)].name}, {"late", lapsed}});
+  drop(job_index, *l);
 }
 
 } // namespace loftrouter::core
--- a/src/core/federation/quota_exchange.cpp
+++ b/src/core/federation/quota_exchange.cpp
@@ -26,7 +26,7 @@
                              StateServiceLimits &state_limits, CellFederation &cells)
     : runtime_(runtime), settings_(settings), configuration_(configuration), leadership_(leadership), quotas_(quotas),
       changes_(changes), state_limits_(state_limits), federation_(cells) {
-  federation_.take_quotas([this](int cell, wire::CellMessage &&m) { take(cell, std::move(m)); });
+  federation_.take_quotas([this](int cell, wire::CellMessage &&message) { take(cell, std::move(message)); });
 }
 
 void QuotaExchange::on(const TermStarted &) {
@@ -106,26 +106,27 @@
   return federation_.tell_quota(cell, std::move(m));
 }
 
-void QuotaExchange::take_acknowledgement(int cell, const wire::CellMessage &m) {
-  if (!changes_.owns(m.body)) return;
-  auto &said = acknowledged_[m.body][federation_.name(cell)];
-  if (m.generation < said.version) return;
-  if (m.generation > said.version) said = {m.generation, runtime_.wall(), false};
-  said.within |= m.yes;
+void QuotaExchange::take_acknowledgement(int cell, const wire::CellMessage &message) {
+  if (!changes_.owns(message.body)) return;
+  auto &said = acknowledged_[message.body][federation_.name(cell)];
+  if (message.generation < said.version) return;
+  if (message.generation > said.version) said = {message.generation, runtime_.wall(), false};
+  said.within |= message.yes;
   next_tick_ = 0;
 }
 
-void QuotaExchange::take_change(int cell, const wire::CellMessage &m) {
-  const auto j = wire::decode(m.body);
+void QuotaExchange::take_change(int cell, const wire::CellMessage &message) {
+  const auto j = wire::decode(message.body);
   const auto forwarded = j ? wire::forwarded_from_json(*j) : std::nullopt;
   if (!forwarded || !leadership_.active() || !quotas_.ready() || !changes_.owns(forwarded->change.team)) return;
-  changes_.carry_out(forwarded->change, m.number, [this, cell, number = m.number](const QuotaChanges::Outcome &o) {
-    auto answer = federation_.message(Kind::QuotaOutcome, cell);
-    answer.number = number;
-    answer.running = static_cast<std::uint32_t>(o.status);
-    answer.body = o.text;
-    federation_.tell_quota(cell, std::move(answer));
-  });
+  changes_.carry_out(forwarded->change, message.number,
+                     [this, cell, number = message.number](const QuotaChanges::Outcome &o) {
+                       auto answer = federation_.message(Kind::QuotaOutcome, cell);
+                       answer.number = number;
+                       answer.running = static_cast<std::uint32_t>(o.status);
+                       answer.body = o.text;
+                       federation_.tell_quota(cell, std::move(answer));
+                     });
 }
 
 // ---- the others ----
@@ -138,9 +139,9 @@
   return used.cpus <= cap->second.cpus + kSlack && used.gpus <= cap->second.gpus + kSlack;
 }
 
-void QuotaExchange::take_record(int cell, const wire::CellMessage &m) {
+void QuotaExchange::take_record(int cell, const wire::CellMessage &message) {
   if (!leadership_.active() || !quotas_.ready()) return;
-  const auto j = wire::decode(m.body);
+  const auto j = wire::decode(message.body);
   if (!j || !j->is_object() || !j->contains("record")) return;
   const auto team = j->value("team", std::string());
   const auto record = wire::quota_from_json((*j)["record"]);
@@ -167,10 +168,10 @@
 
 void QuotaExchange::pass_changes_on() {
   std::vector<std::string> over;
-  configuration_.each(wire::kConfigChange, [&](std::string_view number, const Configuration::Record &r) {
+  configuration_.each(wire::kConfigChange, [&](std::string_view number, const Configuration::Record &record) {
     const std::string key = std::string(wire::kConfigChange) + std::string(number);
     const auto first_seen = seen_.try_emplace(key, runtime_.now()).first->second;
-    const auto forwarded = wire::forwarded_from_json(r.value);
+    const auto forwarded = wire::forwarded_from_json(record.value);
     if (!forwarded || runtime_.now() > first_seen + kForgetChangeAfter) return over.push_back(key);
     double &next = asked_[key];
     if (forwarded->status != 0 || runtime_.now() < next) return;
@@ -190,37 +191,38 @@
   std::erase_if(asked_, [this](const auto &x) { return !configuration_.find(x.first); });
 }
 
-void QuotaExchange::take_outcome(const wire::CellMessage &m) {
-  const auto key = std::string(wire::kConfigChange) + std::to_string(m.number);
+void QuotaExchange::take_outcome(const wire::CellMessage &message) {
+  const auto key = std::string(wire::kConfigChange) + std::to_string(message.number);
   const auto *found = configuration_.find(key);
   auto forwarded = found ? wire::forwarded_from_json(found->value) : std::nullopt;
   // "Cannot tell now" is asked again while its node waits.
-  if (!forwarded || forwarded->status != 0 || m.running == 503 || m.running == 0 || !leadership_.active()) return;
-  forwarded->status = static_cast<int>(m.running);
-  forwarded->text = m.body.substr(0, 300);
+  if (!forwarded || forwarded->status != 0 || message.running == 503 || message.running == 0 || !leadership_.active())
+    return;
+  forwarded->status = static_cast<int>(message.running);
+  forwarded->text = message.body.substr(0, 300);
   if (committing_.insert(key).second) write_change(key, wire::to_json(*forwarded), found->revision);
 }
 
 void QuotaExchange::write_change(const std::string &key, std::optional<wire::Json> value, std::uint64_t revision) {
   state_limits_.take_leader_writes(runtime_.now(), 1);
   runtime_.store(StoreCommit{{{key, revision}}, {{key, value, 0}}}, kCommitWithin,
-                 [this, key, value, epoch = leadership_.epoch()](const wire::StoreReply &r) {
-                   if (r.status == 200) configuration_.learn(key, value, r.revision);
+                 [this, key, value, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
+                   if (reply.status == 200) configuration_.learn(key, value, reply.revision);
                    if (epoch == leadership_.epoch()) committing_.erase(key);
                  });
 }
 
-void QuotaExchange::take(int cell, wire::CellMessage &&m) {
+void QuotaExchange::take(int cell, wire::CellMessage &&message) {
   if (!settings_.configuration) return;
-  switch (m.kind) {
+  switch (message.kind) {
   case Kind::Quota:
-    return take_record(cell, m);
+    return take_record(cell, message);
   case Kind::QuotaApplied:
-    return take_acknowledgement(cell, m);
+    return take_acknowledgement(cell, message);
   case Kind::QuotaChange:
-    return take_change(cell, m);
+    return take_change(cell, message);
   case Kind::QuotaOutcome:
-    return take_outcome(m);
+    return take_outcome(message);
   default:
     return;
   }
--- a/src/core/heartbeats/heartbeat_handler.cpp
+++ b/src/core/heartbeats/heartbeat_handler.cpp
@@ -14,18 +14,18 @@
 // Reports a second that a leader takes straight from workers, for a whole core: beyond that siblings read them for
 // it, so that most of its processor stays with placing. See docs/fleet-scale.md for the costs behind it.
 constexpr double kDirectReports = 600;
-std::size_t sockets_for(const Settings &s, double share) {
-  return static_cast<std::size_t>(std::max(4.0, share * s.fd_limit));
+std::size_t sockets_for(const Settings &settings, double share) {
+  return static_cast<std::size_t>(std::max(4.0, share * settings.fd_limit));
 }
 } // namespace
 
-HeartbeatHandler::HeartbeatHandler(Runtime &runtime, const Settings &s, Leadership &leadership, Replicas &replicas,
-                                   ConnectivityMonitor &connectivity, const FailureDetector &failure_detector,
-                                   WorkerRegistry &workers)
-    : runtime_(runtime), settings_(s), leadership_(leadership), replicas_(replicas), connectivity_(connectivity),
+HeartbeatHandler::HeartbeatHandler(Runtime &runtime, const Settings &settings, Leadership &leadership,
+                                   Replicas &replicas, ConnectivityMonitor &connectivity,
+                                   const FailureDetector &failure_detector, WorkerRegistry &workers)
+    : runtime_(runtime), settings_(settings), leadership_(leadership), replicas_(replicas), connectivity_(connectivity),
       failure_detector_(failure_detector), workers_(workers),
-      relay_(sockets_for(s, kRelaySockets), 3 * s.heartbeat_interval_s + 2, runtime.nonce()),
-      spread_({kDirectReports * s.cpu_share, sockets_for(s, kLeaderSockets)}) {}
+      relay_(sockets_for(settings, kRelaySockets), 3 * settings.heartbeat_interval_s + 2, runtime.nonce()),
+      spread_({kDirectReports * settings.cpu_share, sockets_for(settings, kLeaderSockets)}) {}
 
 // The sibling that says it leads, with the highest term known here; -1 if none does.
 int HeartbeatHandler::leading_replica() const {
@@ -74,12 +74,13 @@
   spread_.tick(runtime_.now(), Replicas::kPingEvery, leadership_.leading() ? workers_.kept_by(-1) : 0);
 }
 
-void HeartbeatHandler::pong_taken(const wire::PeerMessage &m) {
-  if (m.leads && m.term >= leadership_.highest_term()) spread_known_ = m.spreads;
+void HeartbeatHandler::pong_taken(const wire::PeerMessage &message) {
+  if (message.leads && message.term >= leadership_.highest_term()) spread_known_ = message.spreads;
 }
 
-void HeartbeatHandler::on(const MachineRemoved &e) {
-  if (static_cast<std::size_t>(e.machine) < sent_away_.size()) sent_away_[static_cast<std::size_t>(e.machine)] = -1e9;
+void HeartbeatHandler::on(const MachineRemoved &event) {
+  if (static_cast<std::size_t>(event.machine) < sent_away_.size())
+    sent_away_[static_cast<std::size_t>(event.machine)] = -1e9;
 }
 
 std::optional<HeartbeatHandler::Pending> HeartbeatHandler::take(CmdHeartbeat &&cmd) {
@@ -103,8 +104,8 @@
   return hear({.link = cmd.link, .nonce = cmd.message.nonce, .replica = replica}, cmd.message.report);
 }
 
-std::optional<HeartbeatHandler::Pending> HeartbeatHandler::hear(const Asker &from, const Heartbeat &r) {
-  leadership_.observe_term(r.fencing_token, "a worker has seen a higher term");
+std::optional<HeartbeatHandler::Pending> HeartbeatHandler::hear(const Asker &from, const Heartbeat &heartbeat) {
+  leadership_.observe_term(heartbeat.fencing_token, "a worker has seen a higher term");
   auto no = [&](std::string_view why) {
     tell(from, 503, {}, why);
     return std::nullopt;
@@ -115,16 +116,16 @@
   }
   if (!replicas_.answering()) return no("leadership is being renewed");
   // A machine that was given back can only speak through packets held up on the way.
-  if (workers_.gone(r.machine)) return no("this machine was given back");
-  if (unsure_ && unsure_(r)) return no("what it runs for another cell is being confirmed");
+  if (workers_.gone(heartbeat.machine)) return no("this machine was given back");
+  if (unsure_ && unsure_(heartbeat)) return no("what it runs for another cell is being confirmed");
   spread_.heard(from.direct());
   if (from.direct())
-    if (const int s = keeper_for(r); s >= 0) {
+    if (const int s = keeper_for(heartbeat); s >= 0) {
       runtime_.reply(from.req, 421, wire::encode_redirect(replicas_.name(static_cast<std::size_t>(s))));
       return std::nullopt;
     }
-  const int m = workers_.add(r.machine, r.type, r.zone, r.spot);
-  switch (workers_.hear(m, r, from.replica)) {
+  const int machine_index = workers_.add(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot);
+  switch (workers_.hear(machine_index, heartbeat, from.replica)) {
   case WorkerRegistry::Heard::Late:
     return no("a newer report is known");
   case WorkerRegistry::Heard::Failed:
@@ -132,8 +133,8 @@
   case WorkerRegistry::Heard::Taken:
     break;
   }
-  Pending p{from, m, {}};
-  workers_.take_tasks(m, r, p.orders);
+  Pending p{from, machine_index, {}};
+  workers_.take_tasks(machine_index, heartbeat, p.orders);
   return p;
 }
 
@@ -147,14 +148,14 @@
   const int to = relay_to(); // may have changed with that
   const auto nonce = to >= 0 ? relay_.take(cmd.req, cmd.report.machine, runtime_.now()) : std::nullopt;
   if (!nonce) return send_elsewhere(cmd.req);
-  wire::PeerMessage m;
-  m.kind = wire::PeerMessage::Kind::Report;
-  m.nonce = *nonce;
-  m.term = leadership_.highest_term();
-  m.sender = replicas_.self();
-  m.report = std::move(cmd.report);
+  wire::PeerMessage message;
+  message.kind = wire::PeerMessage::Kind::Report;
+  message.nonce = *nonce;
+  message.term = leadership_.highest_term();
+  message.sender = replicas_.self();
+  message.report = std::move(cmd.report);
   spread_.heard(true);
-  runtime_.send({to, 0, std::move(m)});
+  runtime_.send({to, 0, std::move(message)});
 }
 
 void HeartbeatHandler::send_elsewhere(RequestId req) {
@@ -162,12 +163,12 @@
 }
 
 // The answer to the report that was passed on under this number, and to no other.
-void HeartbeatHandler::take_orders(const wire::PeerMessage &m) {
-  const auto req = relay_.answered(m.nonce, m.status != 421);
+void HeartbeatHandler::take_orders(const wire::PeerMessage &message) {
+  const auto req = relay_.answered(message.nonce, message.status != 421);
   if (!req) return; // given up
-  if (m.status == 200 && m.term >= leadership_.highest_term())
-    return runtime_.reply(*req, 200, wire::encode_commands(m.term, m.orders));
-  if (m.status == 503) return runtime_.refuse(*req, "the leader has refused this report");
+  if (message.status == 200 && message.term >= leadership_.highest_term())
+    return runtime_.reply(*req, 200, wire::encode_commands(message.term, message.orders));
+  if (message.status == 503) return runtime_.refuse(*req, "the leader has refused this report");
   send_elsewhere(*req);
 }
 
@@ -179,14 +180,14 @@
 void HeartbeatHandler::tell(const Asker &from, int status, const std::vector<TaskCommand> &orders,
                             std::string_view why) {
   if (!from.direct()) {
-    wire::PeerMessage m;
-    m.kind = wire::PeerMessage::Kind::Orders;
-    m.nonce = from.nonce;
-    m.term = status == 200 ? leadership_.term() : leadership_.highest_term();
-    m.sender = replicas_.self();
-    m.status = static_cast<std::uint16_t>(status);
-    m.orders = orders;
-    return runtime_.send({-1, from.link, std::move(m)});
+    wire::PeerMessage message;
+    message.kind = wire::PeerMessage::Kind::Orders;
+    message.nonce = from.nonce;
+    message.term = status == 200 ? leadership_.term() : leadership_.highest_term();
+    message.sender = replicas_.self();
+    message.status = static_cast<std::uint16_t>(status);
+    message.orders = orders;
+    return runtime_.send({-1, from.link, std::move(message)});
   }
   if (status == 200) return runtime_.reply(from.req, 200, wire::encode_commands(leadership_.term(), orders));
   if (status == 421) return send_elsewhere(from.req);
@@ -195,17 +196,18 @@
 
 // The sibling that this worker is sent to, or -1. Its lease is not renewed by that, so it has to be fresh, and
 // nothing it tells may wait.
-int HeartbeatHandler::keeper_for(const Heartbeat &r) {
+int HeartbeatHandler::keeper_for(const Heartbeat &heartbeat) {
   if (!leadership_.active() || !spread_.may_send_away(runtime_.now())) return -1;
-  const int known = workers_.index(r.machine);
+  const int known = workers_.index(heartbeat.machine);
   if (known >= 0) {
     if (runtime_.now() - grown(sent_away_, known, -1e9) < kSentAwayAgain ||
         runtime_.now() - workers_[known].last_answer > 2 * settings_.heartbeat_interval_s)
       return -1;
-  } else if (!r.tasks.empty()) {
+  } else if (!heartbeat.tasks.empty()) {
     return -1;
   }
-  if (std::any_of(r.tasks.begin(), r.tasks.end(), [](const auto &t) { return t.phase == TaskPhase::Exited; }))
+  if (std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
+                  [](const auto &t) { return t.phase == TaskPhase::Exited; }))
     return -1;
   int best = -1;
   std::size_t least = 0;
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -13,61 +13,62 @@
 
 // ---- the graph ----
 
-void Dependencies::on(const JobAccepted &e) {
-  const int j = e.job;
-  if (!jobs_.find(j)) return;
-  const Job &job = jobs_[j];
-  Node &n = grown(nodes_, j);
-  n = {};
-  n.known = true;
-  n.id = job.spec.id;
-  n.ready_wall = job.submit_wall;
+void Dependencies::on(const JobAccepted &event) {
+  const int job_index = event.job;
+  if (!jobs_.find(job_index)) return;
+  const Job &job = jobs_[job_index];
+  Node &node = grown(nodes_, job_index);
+  node = {};
+  node.known = true;
+  node.id = job.spec.id;
+  node.ready_wall = job.submit_wall;
   outdated_ = true;
-  index_[n.id] = j;
-  if (auto it = unknown_.find(n.id); it != unknown_.end()) { // it had been named before it was heard of
+  index_[node.id] = job_index;
+  if (auto it = unknown_.find(node.id); it != unknown_.end()) { // it had been named before it was heard of
     const auto dependants = std::move(it->second.dependants);
     unknown_.erase(it);
     for (int d : dependants)
-      link(d, j);
+      link(d, job_index);
   }
-  n.waits = job.spec.waits_for.size();
+  node.waits = job.spec.waits_for.size();
   for (const auto &name : job.spec.waits_for) {
     if (const auto *end = ended_.find(name))
-      settle({j}, name, *end);
+      settle({job_index}, name, *end);
     else if (auto it = index_.find(name); it != index_.end())
-      link(j, it->second);
+      link(job_index, it->second);
     else
-      unknown_[name].dependants.push_back(j);
+      unknown_[name].dependants.push_back(job_index);
   }
 }
 
-void Dependencies::link(int j, int needed) {
-  at(j).needs.push_back(needed);
-  at(needed).dependants.push_back(j);
+void Dependencies::link(int job_index, int needed) {
+  at(job_index).needs.push_back(needed);
+  at(needed).dependants.push_back(job_index);
   outdated_ = true;
-  if (jobs_.find(needed) && jobs_[needed].cancelled) stop(j, at(needed).id);
+  if (jobs_.find(needed) && jobs_[needed].cancelled) stop(job_index, at(needed).id);
 }
 
-void Dependencies::on(const JobCancelled &e) {
-  if (static_cast<std::size_t>(e.job) >= nodes_.size() || !jobs_.find(e.job)) return;
+void Dependencies::on(const JobCancelled &event) {
+  if (static_cast<std::size_t>(event.job) >= nodes_.size() || !jobs_.find(event.job)) return;
   outdated_ = true; // what it needs is no longer wanted for it
-  const auto dependants = at(e.job).dependants;
+  const auto dependants = at(event.job).dependants;
   for (int d : dependants)
-    stop(d, at(e.job).id);
+    stop(d, at(event.job).id);
 }
 
 // What it waits for can no longer be done. Its own dependants follow when the event of its cancellation is taken.
-void Dependencies::stop(int j, const std::string &with) {
-  if (at(j).stopped_with.empty()) at(j).stopped_with = with;
+void Dependencies::stop(int job_index, const std::string &with) {
+  if (at(job_index).stopped_with.empty()) at(job_index).stopped_with = with;
   outdated_ = true;
-  if (jobs_.find(j)) jobs_.cancel(j); // it may have ended by the same write
+  if (jobs_.find(job_index)) jobs_.cancel(job_index); // it may have ended by the same write
 }
 
-void Dependencies::done(int j, double end_wall) {
-  Node &n = at(j);
-  n.ready_wall = std::max(n.ready_wall, end_wall);
+void Dependencies::done(int job_index, double end_wall) {
+  Node &node = at(job_index);
+  node.ready_wall = std::max(node.ready_wall, end_wall);
   outdated_ = true;
-  if (--n.waits == 0 && n.stopped_with.empty() && jobs_.find(j) && !jobs_[j].cancelled) jobs_.readied(j);
+  if (--node.waits == 0 && node.stopped_with.empty() && jobs_.find(job_index) && !jobs_[job_index].cancelled)
+    jobs_.readied(job_index);
 }
 
 void Dependencies::settle(const std::vector<int> &dependants, const std::string &id, const EndRecord &end) {
@@ -75,37 +76,37 @@
     end.cancelled ? stop(d, id) : done(d, end.end_wall);
 }
 
-void Dependencies::on(const JobEndLearned &e) {
-  const auto *end = ended_.find(e.id);
+void Dependencies::on(const JobEndLearned &event) {
+  const auto *end = ended_.find(event.id);
   if (!end) return; // pushed out by newer ones: read again
-  if (auto it = unknown_.find(e.id); it != unknown_.end()) {
+  if (auto it = unknown_.find(event.id); it != unknown_.end()) {
     const auto dependants = std::move(it->second.dependants);
     unknown_.erase(it);
-    settle(dependants, e.id, *end);
+    settle(dependants, event.id, *end);
   }
-  if (auto it = index_.find(e.id); it != index_.end()) {
+  if (auto it = index_.find(event.id); it != index_.end()) {
     const auto dependants = std::exchange(at(it->second).dependants, {});
     for (int d : dependants)
       std::erase(at(d).needs, it->second);
-    settle(dependants, e.id, *end);
+    settle(dependants, event.id, *end);
   }
 }
 
-void Dependencies::on(const JobFinalized &e) {
-  if (static_cast<std::size_t>(e.job) >= nodes_.size()) return;
-  Node &n = at(e.job);
-  for (int needed : n.needs)
-    std::erase(at(needed).dependants, e.job);
-  for (auto it = unknown_.begin(); n.waits > n.needs.size() && it != unknown_.end();) {
-    std::erase(it->second.dependants, e.job);
+void Dependencies::on(const JobFinalized &event) {
+  if (static_cast<std::size_t>(event.job) >= nodes_.size()) return;
+  Node &node = at(event.job);
+  for (int needed : node.needs)
+    std::erase(at(needed).dependants, event.job);
+  for (auto it = unknown_.begin(); node.waits > node.needs.size() && it != unknown_.end();) {
+    std::erase(it->second.dependants, event.job);
     it = it->second.dependants.empty() ? unknown_.erase(it) : std::next(it);
   }
-  for (int d : n.dependants) { // how it ended has not been heard: it is looked up
-    std::erase(at(d).needs, e.job);
-    unknown_[n.id].dependants.push_back(d);
+  for (int d : node.dependants) { // how it ended has not been heard: it is looked up
+    std::erase(at(d).needs, event.job);
+    unknown_[node.id].dependants.push_back(d);
   }
-  index_.erase(n.id);
-  n = {};
+  index_.erase(node.id);
+  node = {};
   outdated_ = true;
 }
 
@@ -148,17 +149,18 @@
     if (epoch != leadership_.epoch()) return;
     if (r.status != 404)
       return told(r.status == 200 && r.entries.size() == 1 ? wire::final_from_json(r.entries[0].value) : std::nullopt);
-    runtime_.store(StoreGet{"end/" + name}, 1.0, [this, told, epoch](const wire::StoreReply &e) {
+    runtime_.store(StoreGet{"end/" + name}, 1.0, [this, told, epoch](const wire::StoreReply &reply) {
       if (epoch != leadership_.epoch()) return;
-      told(e.status == 200 && e.entries.size() == 1 ? wire::end_from_json(e.entries[0].value) : std::nullopt);
+      told(reply.status == 200 && reply.entries.size() == 1 ? wire::end_from_json(reply.entries[0].value)
+                                                            : std::nullopt);
     });
   });
 }
 
 // ---- what follows along the graph ----
 
-double Dependencies::lead_time(int j) const {
-  return kEstimateCare * jobs_[j].spec.estimate_s + kHandOver + settings_.heartbeat_interval_s;
+double Dependencies::lead_time(int job_index) const {
+  return kEstimateCare * jobs_[job_index].spec.estimate_s + kHandOver + settings_.heartbeat_interval_s;
 }
 
 void Dependencies::recompute() const {
@@ -166,21 +168,21 @@
   order_.clear();
   wanted_.assign(nodes_.size(), {});
   std::vector<std::size_t> left(nodes_.size(), 0);
-  jobs_.each([&](int j, const Job &) {
-    if (static_cast<std::size_t>(j) >= nodes_.size()) return; // not heard of yet
-    left[static_cast<std::size_t>(j)] = at(j).needs.size();
-    if (at(j).needs.empty()) order_.push_back(j);
+  jobs_.each([&](int job_index, const Job &) {
+    if (static_cast<std::size_t>(job_index) >= nodes_.size()) return; // not heard of yet
+    left[static_cast<std::size_t>(job_index)] = at(job_index).needs.size();
+    if (at(job_index).needs.empty()) order_.push_back(job_index);
   });
   for (std::size_t k = 0; k < order_.size(); ++k)
     for (int d : at(order_[k]).dependants)
       if (--left[static_cast<std::size_t>(d)] == 0) order_.push_back(d);
   for (std::size_t k = order_.size(); k-- > 0;) {
-    const int j = order_[k];
-    auto &[urgency, due] = wanted_[static_cast<std::size_t>(j)];
-    const JobSpec &spec = jobs_[j].spec;
+    const int job_index = order_[k];
+    auto &[urgency, due] = wanted_[static_cast<std::size_t>(job_index)];
+    const JobSpec &spec = jobs_[job_index].spec;
     urgency = spec.urgency;
-    if (spec.deadline_s) due = jobs_[j].submit_wall + *spec.deadline_s;
-    for (int d : at(j).dependants) {
+    if (spec.deadline_s) due = jobs_[job_index].submit_wall + *spec.deadline_s;
+    for (int d : at(job_index).dependants) {
       if (!jobs_.find(d) || jobs_[d].cancelled) continue;
       const auto &[of, by] = wanted_[static_cast<std::size_t>(d)];
       urgency = std::max(urgency, of);
@@ -191,38 +193,38 @@
   }
 }
 
-Urgency Dependencies::urgency(int j) const {
+Urgency Dependencies::urgency(int job_index) const {
   if (outdated_) recompute();
-  return static_cast<std::size_t>(j) < wanted_.size() &&
-                 jobs_[j].spec.urgency < wanted_[static_cast<std::size_t>(j)].first
-             ? wanted_[static_cast<std::size_t>(j)].first
-             : jobs_[j].spec.urgency;
+  return static_cast<std::size_t>(job_index) < wanted_.size() &&
+                 jobs_[job_index].spec.urgency < wanted_[static_cast<std::size_t>(job_index)].first
+             ? wanted_[static_cast<std::size_t>(job_index)].first
+             : jobs_[job_index].spec.urgency;
 }
 
-std::optional<double> Dependencies::deadline(int j) const {
+std::optional<double> Dependencies::deadline(int job_index) const {
   if (outdated_) recompute();
-  if (static_cast<std::size_t>(j) >= wanted_.size() || !wanted_[static_cast<std::size_t>(j)].second)
-    return own_deadline(j);
-  return *wanted_[static_cast<std::size_t>(j)].second - ready_wall(j);
+  if (static_cast<std::size_t>(job_index) >= wanted_.size() || !wanted_[static_cast<std::size_t>(job_index)].second)
+    return own_deadline(job_index);
+  return *wanted_[static_cast<std::size_t>(job_index)].second - ready_wall(job_index);
 }
 
-std::optional<double> Dependencies::own_deadline(int j) const {
-  const auto &own = jobs_[j].spec.deadline_s;
-  return own ? std::optional(jobs_[j].submit_wall + *own - ready_wall(j)) : std::nullopt;
+std::optional<double> Dependencies::own_deadline(int job_index) const {
+  const auto &own = jobs_[job_index].spec.deadline_s;
+  return own ? std::optional(jobs_[job_index].submit_wall + *own - ready_wall(job_index)) : std::nullopt;
 }
 
 Dependencies::Path Dependencies::along(const std::function<double(int)> &left) const {
   const std::vector<double> none(jobs_.index_limit(), 0);
   Path out{none, none, std::vector<int>(jobs_.index_limit(), -1)};
-  for (int j : in_order()) {
-    if (!jobs_.find(j)) continue;
-    const auto at = static_cast<std::size_t>(j);
-    for (int needed : waits_for(j))
+  for (int job_index : in_order()) {
+    if (!jobs_.find(job_index)) continue;
+    const auto at = static_cast<std::size_t>(job_index);
+    for (int needed : waits_for(job_index))
       if (const double done = out.done_in[static_cast<std::size_t>(needed)]; done > out.begins_in[at]) {
         out.begins_in[at] = done;
         out.last[at] = needed;
       }
-    out.done_in[at] = out.begins_in[at] + left(j);
+    out.done_in[at] = out.begins_in[at] + left(job_index);
   }
   return out;
 }
--- a/src/core/jobs/failure_attribution.cpp
+++ b/src/core/jobs/failure_attribution.cpp
@@ -12,112 +12,115 @@
 constexpr double kMaxProbePause = 80.0; // s, between tries of a job that fails everywhere
 } // namespace
 
-std::uint32_t FailureAttribution::failed_on(int j) const {
-  return static_cast<std::size_t>(j) < jobs_at_.size() ? jobs_at_[static_cast<std::size_t>(j)].failed_on : 0;
+std::uint32_t FailureAttribution::failed_on(int job_index) const {
+  return static_cast<std::size_t>(job_index) < jobs_at_.size() ? jobs_at_[static_cast<std::size_t>(job_index)].failed_on
+                                                               : 0;
 }
 
-double FailureAttribution::retry_at(int j) const {
-  return static_cast<std::size_t>(j) < jobs_at_.size() ? jobs_at_[static_cast<std::size_t>(j)].retry_at : 0;
+double FailureAttribution::retry_at(int job_index) const {
+  return static_cast<std::size_t>(job_index) < jobs_at_.size() ? jobs_at_[static_cast<std::size_t>(job_index)].retry_at
+                                                               : 0;
 }
 
-std::vector<int> FailureAttribution::barred(int j) const {
+std::vector<int> FailureAttribution::barred(int job_index) const {
   std::vector<int> out;
-  if (static_cast<std::size_t>(j) >= jobs_at_.size()) return out;
-  for (const auto &f : jobs_at_[static_cast<std::size_t>(j)].failures)
+  if (static_cast<std::size_t>(job_index) >= jobs_at_.size()) return out;
+  for (const auto &f : jobs_at_[static_cast<std::size_t>(job_index)].failures)
     if (runtime_.now() - f.at < kBarredFor) out.push_back(f.machine);
   return out;
 }
 
-void FailureAttribution::restore(int j, std::uint32_t failed_on) {
-  Record &k = grown(jobs_at_, j);
-  k.failed_on = failed_on;
-  if (suspect(j)) k.retry_at = runtime_.now() + kPauseAfterTakeover;
+void FailureAttribution::restore(int job_index, std::uint32_t failed_on) {
+  Record &record = grown(jobs_at_, job_index);
+  record.failed_on = failed_on;
+  if (suspect(job_index)) record.retry_at = runtime_.now() + kPauseAfterTakeover;
 }
 
-void FailureAttribution::on(const TaskExited &e) {
-  if (e.cause == ExitCause::Done && jobs_[e.job].spec.shape != Shape::Service) succeeded(e);
-  if (e.cause == ExitCause::Error) failed(e);
+void FailureAttribution::on(const TaskExited &event) {
+  if (event.cause == ExitCause::Done && jobs_[event.job].spec.shape != Shape::Service) succeeded(event);
+  if (event.cause == ExitCause::Error) failed(event);
 }
 
-void FailureAttribution::succeeded(const TaskExited &e) {
-  Machine &n = grown(machines_, e.machine);
+void FailureAttribution::succeeded(const TaskExited &event) {
+  Machine &machine = grown(machines_, event.machine);
   // What had begun before the failures says nothing about what begins now.
-  n.last_good_start = std::max(n.last_good_start, e.placed_at);
-  if (e.placed_at >= n.failing_since) {
-    n.blames.clear();
-    n.errors = 0;
+  machine.last_good_start = std::max(machine.last_good_start, event.placed_at);
+  if (event.placed_at >= machine.failing_since) {
+    machine.blames.clear();
+    machine.errors = 0;
   }
-  Record &k = grown(jobs_at_, e.job);
-  k.failed_on = 0;
-  std::erase_if(k.failures, [this](const Failure &f) { return runtime_.now() - f.at >= kBarredFor; });
-  for (const auto &f : k.failures)
-    blame(f.machine, e.job, f.at); // so it was the machines
+  Record &record = grown(jobs_at_, event.job);
+  record.failed_on = 0;
+  std::erase_if(record.failures, [this](const Failure &f) { return runtime_.now() - f.at >= kBarredFor; });
+  for (const auto &f : record.failures)
+    blame(f.machine, event.job, f.at); // so it was the machines
 }
 
-void FailureAttribution::failed(const TaskExited &e) {
-  Record &k = grown(jobs_at_, e.job);
-  const bool was_suspect = suspect(e.job);
-  auto here =
-      std::find_if(k.failures.begin(), k.failures.end(), [&](const Failure &f) { return f.machine == e.machine; });
-  if (here != k.failures.end()) {
+void FailureAttribution::failed(const TaskExited &event) {
+  Record &record = grown(jobs_at_, event.job);
+  const bool was_suspect = suspect(event.job);
+  auto here = std::find_if(record.failures.begin(), record.failures.end(),
+                           [&](const Failure &f) { return f.machine == event.machine; });
+  if (here != record.failures.end()) {
     here->at = runtime_.now();
   } else {
-    ++k.failed_on;
-    if (k.failures.size() >= kMaxBarred) k.failures.erase(k.failures.begin());
-    k.failures.push_back({e.machine, runtime_.now()});
+    ++record.failed_on;
+    if (record.failures.size() >= kMaxBarred) record.failures.erase(record.failures.begin());
+    record.failures.push_back({event.machine, runtime_.now()});
   }
-  if (!suspect(e.job)) {
-    events_.publish(TaskRetried{e.job, e.machine_name});
-    ++grown(machines_, e.machine).errors;
-    blame(e.machine, e.job, runtime_.now());
+  if (!suspect(event.job)) {
+    events_.publish(TaskRetried{event.job, event.machine_name});
+    ++grown(machines_, event.machine).errors;
+    blame(event.machine, event.job, runtime_.now());
     return;
   }
   if (!was_suspect) {
-    k.probes = 0;
-    absolve(e.job);
-    events_.publish(JobSuspected{e.job, k.failed_on});
-    jobs_.changed(e.job, false);
+    record.probes = 0;
+    absolve(event.job);
+    events_.publish(JobSuspected{event.job, record.failed_on});
+    jobs_.changed(event.job, false);
   }
-  if (runtime_.now() >= k.retry_at) {
+  if (runtime_.now() >= record.retry_at) {
     const double pause = operators_.tunables().probe_pause_s;
-    k.retry_at = runtime_.now() + std::min(std::max(kMaxProbePause, pause), pause * std::pow(2.0, k.probes));
-    if (k.probes < 10) ++k.probes;
+    record.retry_at = runtime_.now() + std::min(std::max(kMaxProbePause, pause), pause * std::pow(2.0, record.probes));
+    if (record.probes < 10) ++record.probes;
   }
 }
 
-void FailureAttribution::blame(int m, int j, double at_s) {
-  Machine &n = grown(machines_, m);
-  if (n.last_good_start > at_s) return;
-  if (n.blames.empty()) n.failing_since = at_s;
-  const std::string &id = jobs_[j].spec.id;
-  const bool verified = jobs_[j].done > 0;
-  auto it = std::find_if(n.blames.begin(), n.blames.end(), [&](const Blame &b) { return b.job == id; });
-  if (it == n.blames.end())
-    n.blames.push_back({id, verified});
+void FailureAttribution::blame(int machine_index, int job_index, double at_s) {
+  Machine &machine = grown(machines_, machine_index);
+  if (machine.last_good_start > at_s) return;
+  if (machine.blames.empty()) machine.failing_since = at_s;
+  const std::string &id = jobs_[job_index].spec.id;
+  const bool verified = jobs_[job_index].done > 0;
+  auto it = std::find_if(machine.blames.begin(), machine.blames.end(), [&](const Blame &b) { return b.job == id; });
+  if (it == machine.blames.end())
+    machine.blames.push_back({id, verified});
   else
     it->verified |= verified;
-  const auto sure = std::count_if(n.blames.begin(), n.blames.end(), [](const Blame &b) { return b.verified; });
-  if (n.quarantined || (sure < 2 && n.blames.size() < 3 && !(sure && n.errors >= 3))) return;
-  n.quarantined = true;
-  events_.publish(MachineQuarantined{m, n.blames.size()});
+  const auto sure =
+      std::count_if(machine.blames.begin(), machine.blames.end(), [](const Blame &b) { return b.verified; });
+  if (machine.quarantined || (sure < 2 && machine.blames.size() < 3 && !(sure && machine.errors >= 3))) return;
+  machine.quarantined = true;
+  events_.publish(MachineQuarantined{machine_index, machine.blames.size()});
 }
 
-void FailureAttribution::absolve(int j) {
-  for (const auto &f : grown(jobs_at_, j).failures) {
-    Machine &n = grown(machines_, f.machine);
-    std::erase_if(n.blames, [&](const Blame &b) { return b.job == jobs_[j].spec.id; });
-    if (n.blames.empty()) n.errors = 0;
+void FailureAttribution::absolve(int job_index) {
+  for (const auto &f : grown(jobs_at_, job_index).failures) {
+    Machine &machine = grown(machines_, f.machine);
+    std::erase_if(machine.blames, [&](const Blame &b) { return b.job == jobs_[job_index].spec.id; });
+    if (machine.blames.empty()) machine.errors = 0;
   }
 }
 
-void FailureAttribution::on(const JobCancelled &e) {
-  if (jobs_[e.job].done == 0) absolve(e.job); // its failures were more likely its own
+void FailureAttribution::on(const JobCancelled &event) {
+  if (jobs_[event.job].done == 0) absolve(event.job); // its failures were more likely its own
 }
 
-void FailureAttribution::on(const MachineRemoved &e) {
-  grown(machines_, e.machine) = {};
+void FailureAttribution::on(const MachineRemoved &event) {
+  grown(machines_, event.machine) = {};
   for (auto &k : jobs_at_)
-    std::erase_if(k.failures, [&](const Failure &f) { return f.machine == e.machine; });
+    std::erase_if(k.failures, [&](const Failure &f) { return f.machine == event.machine; });
 }
 
 void FailureAttribution::on(const TermEnded &) {
--- a/src/core/jobs/job_table.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -18,117 +18,117 @@
 
 int JobTable::add(OpenRecord record, std::uint64_t mod_revision) {
   assert(!index_.contains(record.spec.id));
-  int j;
+  int job_index;
   if (!free_.empty()) {
-    j = free_.back();
+    job_index = free_.back();
     free_.pop_back();
   } else {
-    j = static_cast<int>(jobs_.size());
+    job_index = static_cast<int>(jobs_.size());
     jobs_.emplace_back();
   }
-  assert(!jobs_[static_cast<std::size_t>(j)]);
-  jobs_[static_cast<std::size_t>(j)] = std::make_unique<Job>();
-  Job &n = at(j);
-  n.spec = std::move(record.spec);
-  n.submit_wall = record.submit_wall;
-  n.cancelled = record.cancelled;
-  n.open_mod_revision = mod_revision;
-  n.serial = ++serial_;
-  n.tasks.resize(n.spec.tasks);
+  assert(!jobs_[static_cast<std::size_t>(job_index)]);
+  jobs_[static_cast<std::size_t>(job_index)] = std::make_unique<Job>();
+  Job &job = at(job_index);
+  job.spec = std::move(record.spec);
+  job.submit_wall = record.submit_wall;
+  job.cancelled = record.cancelled;
+  job.open_mod_revision = mod_revision;
+  job.serial = ++serial_;
+  job.tasks.resize(job.spec.tasks);
   if (record.delegated) {
     // Accounts and queues tell it apart from this cell's own work; the name is no team's (JobApiHandler refuses it).
-    n.spec.team = "@" + record.delegated->origin;
-    n.delegated_here = std::move(record.delegated);
-    n.paused = true;
-    std::vector<char> mine(n.spec.tasks, 0);
-    for (auto [a, b] : n.delegated_here->tasks)
-      for (auto i = a; i < b && i < n.spec.tasks; ++i)
+    job.spec.team = "@" + record.delegated->origin;
+    job.delegated_here = std::move(record.delegated);
+    job.paused = true;
+    std::vector<char> mine(job.spec.tasks, 0);
+    for (auto [a, b] : job.delegated_here->tasks)
+      for (auto i = a; i < b && i < job.spec.tasks; ++i)
         mine[i] = 1;
-    for (std::uint32_t i = 0; i < n.spec.tasks; ++i)
-      if (!mine[i]) set(j, i, TaskState::Done);
+    for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
+      if (!mine[i]) set(job_index, i, TaskState::Done);
   }
-  n.team = team_names_.find(n.spec.team);
-  n.image = image_names_.get(n.spec.image);
-  index_[n.spec.id] = j;
+  job.team = team_names_.find(job.spec.team);
+  job.image = image_names_.get(job.spec.image);
+  index_[job.spec.id] = job_index;
   ++arrivals_;
-  return j;
+  return job_index;
 }
 
-void JobTable::restore(int j, const ProgressRecord &progress) {
-  Job &n = at(j);
-  assert(n.placed == 0);
+void JobTable::restore(int job_index, const ProgressRecord &progress) {
+  Job &job = at(job_index);
+  assert(job.placed == 0);
   for (auto [a, b] : progress.started)
-    for (auto i = a; i < b && i < n.spec.tasks; ++i)
-      if (n.tasks[i].state == TaskState::Pending) set(j, i, TaskState::Unaccounted);
+    for (auto i = a; i < b && i < job.spec.tasks; ++i)
+      if (job.tasks[i].state == TaskState::Pending) set(job_index, i, TaskState::Unaccounted);
   for (auto [a, b] : progress.finished)
-    for (auto i = a; i < b && i < n.spec.tasks; ++i)
-      set(j, i, TaskState::Done);
+    for (auto i = a; i < b && i < job.spec.tasks; ++i)
+      set(job_index, i, TaskState::Done);
   for (const auto &delegation : progress.delegations) {
-    n.delegations.push_back(delegation);
+    job.delegations.push_back(delegation);
     for (auto [a, b] : delegation.lapsed ? Ranges{} : delegation.tasks)
-      for (auto i = a; i < b && i < n.spec.tasks; ++i)
-        if (n.tasks[i].state != TaskState::Done) set(j, i, TaskState::DelegationSource);
+      for (auto i = a; i < b && i < job.spec.tasks; ++i)
+        if (job.tasks[i].state != TaskState::Done) set(job_index, i, TaskState::DelegationSource);
   }
-  assert(consistent(j));
+  assert(consistent(job_index));
 }
 
 // ---- lent to another cell ----
 
-void JobTable::delegate(int j, DelegationRecord delegation) {
+void JobTable::delegate(int job_index, DelegationRecord delegation) {
   for (auto [a, b] : delegation.tasks)
     for (auto i = a; i < b; ++i) {
-      assert(at(j).tasks[i].state == TaskState::Pending);
-      set(j, i, TaskState::DelegationSource);
+      assert(at(job_index).tasks[i].state == TaskState::Pending);
+      set(job_index, i, TaskState::DelegationSource);
     }
-  at(j).delegations.push_back(std::move(delegation));
-  changed(j, true);
+  at(job_index).delegations.push_back(std::move(delegation));
+  changed(job_index, true);
 }
 
-void JobTable::charge_delegation(int j, std::uint64_t generation, const accounts::Usage &charged) {
-  for (auto &l : at(j).delegations)
+void JobTable::charge_delegation(int job_index, std::uint64_t generation, const accounts::Usage &charged) {
+  for (auto &l : at(job_index).delegations)
     if (l.generation == generation) l.charged = charged;
 }
 
-void JobTable::free_delegated(int j, const Ranges &tasks) {
+void JobTable::free_delegated(int job_index, const Ranges &tasks) {
   for (auto [a, b] : tasks)
     for (auto i = a; i < b; ++i)
-      if (at(j).tasks[i].state == TaskState::DelegationSource) set(j, i, TaskState::Pending);
+      if (at(job_index).tasks[i].state == TaskState::DelegationSource) set(job_index, i, TaskState::Pending);
 }
 
-void JobTable::expire_delegation(int j, std::uint64_t generation) {
-  for (auto &l : at(j).delegations)
-    if (l.generation == generation && !std::exchange(l.lapsed, true)) free_delegated(j, l.tasks);
-  changed(j, true);
+void JobTable::expire_delegation(int job_index, std::uint64_t generation) {
+  for (auto &l : at(job_index).delegations)
+    if (l.generation == generation && !std::exchange(l.lapsed, true)) free_delegated(job_index, l.tasks);
+  changed(job_index, true);
 }
 
-void JobTable::remove_delegation(int j, std::uint64_t generation) {
-  auto &delegations = at(j).delegations;
+void JobTable::remove_delegation(int job_index, std::uint64_t generation) {
+  auto &delegations = at(job_index).delegations;
   const auto it =
       std::find_if(delegations.begin(), delegations.end(), [&](const auto &l) { return l.generation == generation; });
   if (it == delegations.end()) return;
-  if (!it->lapsed) free_delegated(j, it->tasks);
+  if (!it->lapsed) free_delegated(job_index, it->tasks);
   delegations.erase(it);
-  changed(j, true);
+  changed(job_index, true);
 }
 
-void JobTable::pause(int j, bool paused) {
-  if (std::exchange(at(j).paused, paused) && !paused) ++arrivals_;
+void JobTable::pause(int job_index, bool paused) {
+  if (std::exchange(at(job_index).paused, paused) && !paused) ++arrivals_;
 }
 
-void JobTable::readied(int j) {
+void JobTable::readied(int job_index) {
   ++arrivals_;
-  changed(j, true);
+  changed(job_index, true);
 }
 
-void JobTable::settle(int j) {
-  at(j).settled = true;
-  changed(j, true);
+void JobTable::settle(int job_index) {
+  at(job_index).settled = true;
+  changed(job_index, true);
 }
 
-void JobTable::remove(int j) {
-  events_.publish(JobFinalized{j, at(j).spec.id});
-  index_.erase(at(j).spec.id);
-  jobs_[static_cast<std::size_t>(j)].reset();
+void JobTable::remove(int job_index) {
+  events_.publish(JobFinalized{job_index, at(job_index).spec.id});
+  index_.erase(at(job_index).spec.id);
+  jobs_[static_cast<std::size_t>(job_index)].reset();
 }
 
 void JobTable::on(const TermEnded &) {
@@ -137,45 +137,45 @@
   index_.clear();
 }
 
-void JobTable::cancel(int j) {
-  Job &n = at(j);
-  if (n.cancelled) return;
-  n.cancelled = true;
-  events_.publish(JobCancelled{j});
-  if (n.finishable()) changed(j, true);
+void JobTable::cancel(int job_index) {
+  Job &job = at(job_index);
+  if (job.cancelled) return;
+  job.cancelled = true;
+  events_.publish(JobCancelled{job_index});
+  if (job.finishable()) changed(job_index, true);
 }
 
-bool JobTable::update_mod_revision(int j, std::uint64_t mod_revision) {
-  Job &n = at(j);
-  if (mod_revision <= n.open_mod_revision) return false;
-  n.open_mod_revision = mod_revision;
+bool JobTable::update_mod_revision(int job_index, std::uint64_t mod_revision) {
+  Job &job = at(job_index);
+  if (mod_revision <= job.open_mod_revision) return false;
+  job.open_mod_revision = mod_revision;
   return true;
 }
 
-void JobTable::set_ending(int j, bool ending) {
-  at(j).ending = ending;
+void JobTable::set_ending(int job_index, bool ending) {
+  at(job_index).ending = ending;
 }
 
-void JobTable::changed(int j, bool urgent) {
-  events_.publish(JobChanged{j, at(j).finishable(), urgent});
+void JobTable::changed(int job_index, bool urgent) {
+  events_.publish(JobChanged{job_index, at(job_index).finishable(), urgent});
 }
 
-void JobTable::set(int j, std::uint32_t i, TaskState state, int machine, int zone) {
-  Job &n = at(j);
-  Task &t = n.tasks[i];
+void JobTable::set(int job_index, std::uint32_t i, TaskState state, int machine, int zone) {
+  Job &job = at(job_index);
+  Task &t = job.tasks[i];
   switch (t.state) {
   case TaskState::Placed:
-    --n.placed;
-    --grown(n.zone_used, t.zone);
+    --job.placed;
+    --grown(job.zone_used, t.zone);
     break;
   case TaskState::Unaccounted:
-    --n.unaccounted;
+    --job.unaccounted;
     break;
   case TaskState::Done:
-    --n.done;
+    --job.done;
     break;
   case TaskState::DelegationSource:
-    --n.delegated;
+    --job.delegated;
     break;
   case TaskState::Pending:
     break;
@@ -183,86 +183,86 @@
   t = {state, machine, zone};
   switch (state) {
   case TaskState::Placed:
-    ++n.placed;
-    ++grown(n.zone_used, zone);
+    ++job.placed;
+    ++grown(job.zone_used, zone);
     break;
   case TaskState::Unaccounted:
-    ++n.unaccounted;
+    ++job.unaccounted;
     break;
   case TaskState::Done:
-    ++n.done;
+    ++job.done;
     break;
   case TaskState::DelegationSource:
-    ++n.delegated;
+    ++job.delegated;
     break;
   case TaskState::Pending:
     ++arrivals_;
     break;
   }
-  assert(n.done + n.placed + n.unaccounted + n.delegated <= n.spec.tasks);
+  assert(job.done + job.placed + job.unaccounted + job.delegated <= job.spec.tasks);
 }
 
-void JobTable::place(int j, std::uint32_t i, int machine, int zone) {
+void JobTable::place(int job_index, std::uint32_t i, int machine, int zone) {
   // Guards against a second start of a task that may still run: only a waiting one is placed, and one of an earlier
   // leader's when its worker shows it.
-  assert(at(j).tasks[i].state == TaskState::Pending || at(j).tasks[i].state == TaskState::Unaccounted);
-  set(j, i, TaskState::Placed, machine, zone);
+  assert(at(job_index).tasks[i].state == TaskState::Pending || at(job_index).tasks[i].state == TaskState::Unaccounted);
+  set(job_index, i, TaskState::Placed, machine, zone);
 }
 
-void JobTable::finish(int j, std::uint32_t i) {
-  set(j, i, TaskState::Done);
-  changed(j, at(j).finishable());
+void JobTable::finish(int job_index, std::uint32_t i) {
+  set(job_index, i, TaskState::Done);
+  changed(job_index, at(job_index).finishable());
 }
 
-void JobTable::release(int j, std::uint32_t i, int machine, bool unaccounted) {
-  const Task &t = at(j).tasks[i];
+void JobTable::release(int job_index, std::uint32_t i, int machine, bool unaccounted) {
+  const Task &t = at(job_index).tasks[i];
   if (t.state == TaskState::Placed && t.machine == machine)
-    set(j, i, unaccounted ? TaskState::Unaccounted : TaskState::Pending);
-  if (at(j).finishable()) changed(j, true);
+    set(job_index, i, unaccounted ? TaskState::Unaccounted : TaskState::Pending);
+  if (at(job_index).finishable()) changed(job_index, true);
 }
 
-std::uint64_t JobTable::next_gang_attempt(int j, std::uint64_t fresh) {
-  Job &n = at(j);
-  assert(n.placed == 0);
-  n.gang_attempt = std::max(n.gang_attempt + 1, fresh);
-  n.gang_closed = false;
-  return n.gang_attempt;
+std::uint64_t JobTable::next_gang_attempt(int job_index, std::uint64_t fresh) {
+  Job &job = at(job_index);
+  assert(job.placed == 0);
+  job.gang_attempt = std::max(job.gang_attempt + 1, fresh);
+  job.gang_closed = false;
+  return job.gang_attempt;
 }
 
-void JobTable::adopt_gang_attempt(int j, std::uint64_t attempt) {
-  at(j).gang_attempt = std::max(at(j).gang_attempt, attempt);
+void JobTable::adopt_gang_attempt(int job_index, std::uint64_t attempt) {
+  at(job_index).gang_attempt = std::max(at(job_index).gang_attempt, attempt);
 }
 
-void JobTable::close_gang(int j, bool closed) {
-  at(j).gang_closed = closed;
+void JobTable::close_gang(int job_index, bool closed) {
+  at(job_index).gang_closed = closed;
 }
 
 std::vector<int> JobTable::age() {
   std::vector<int> concerned;
   if (unaccounted_until_ <= 0 || runtime_.now() < unaccounted_until_) return concerned;
   unaccounted_until_ = 0;
-  for (int j = 0; j < static_cast<int>(jobs_.size()); ++j) {
-    if (!find(j) || at(j).unaccounted == 0) continue;
-    events_.publish(TasksAbandoned{j, at(j).unaccounted});
-    for (std::uint32_t i = 0; i < at(j).spec.tasks; ++i)
-      if (at(j).tasks[i].state == TaskState::Unaccounted) set(j, i, TaskState::Pending);
-    if (at(j).finishable()) changed(j, true);
-    concerned.push_back(j);
+  for (int job_index = 0; job_index < static_cast<int>(jobs_.size()); ++job_index) {
+    if (!find(job_index) || at(job_index).unaccounted == 0) continue;
+    events_.publish(TasksAbandoned{job_index, at(job_index).unaccounted});
+    for (std::uint32_t i = 0; i < at(job_index).spec.tasks; ++i)
+      if (at(job_index).tasks[i].state == TaskState::Unaccounted) set(job_index, i, TaskState::Pending);
+    if (at(job_index).finishable()) changed(job_index, true);
+    concerned.push_back(job_index);
   }
   return concerned;
 }
 
-bool JobTable::consistent(int j) const {
-  const Job &n = *find(j);
+bool JobTable::consistent(int job_index) const {
+  const Job &job = *find(job_index);
   std::uint32_t done = 0, placed = 0, unaccounted = 0, delegated = 0;
-  for (const auto &t : n.tasks) {
+  for (const auto &t : job.tasks) {
     delegated += t.state == TaskState::DelegationSource;
     done += t.state == TaskState::Done;
     placed += t.state == TaskState::Placed;
     unaccounted += t.state == TaskState::Unaccounted;
     if ((t.state == TaskState::Placed) != (t.machine >= 0)) return false;
   }
-  return done == n.done && placed == n.placed && unaccounted == n.unaccounted && delegated == n.delegated;
+  return done == job.done && placed == job.placed && unaccounted == job.unaccounted && delegated == job.delegated;
 }
 
 const EndRecord *EndedJobs::find(const std::string &id) const {
--- a/src/core/jobs/pending_reasons.cpp
+++ b/src/core/jobs/pending_reasons.cpp
@@ -8,54 +8,55 @@
   return fmt::format("stopped: job {}, which it waits for, was cancelled", id);
 }
 
-const std::string &PendingReasons::of(int j) const {
+const std::string &PendingReasons::of(int job_index) const {
   static const std::string none;
-  return static_cast<std::size_t>(j) < last_.size() ? last_[static_cast<std::size_t>(j)] : none;
+  return static_cast<std::size_t>(job_index) < last_.size() ? last_[static_cast<std::size_t>(job_index)] : none;
 }
 
 // It stays until the next such thing.
-void PendingReasons::set(int j, std::string_view what) {
-  grown(last_, j) = fmt::format("{} ({})", what, wire::clock_time(runtime_.wall()));
+void PendingReasons::set(int job_index, std::string_view what) {
+  grown(last_, job_index) = fmt::format("{} ({})", what, wire::clock_time(runtime_.wall()));
 }
 
-void PendingReasons::on(const TaskRetried &e) {
-  set(e.job, fmt::format("a task failed on machine {} and is started again elsewhere", e.machine));
+void PendingReasons::on(const TaskRetried &event) {
+  set(event.job, fmt::format("a task failed on machine {} and is started again elsewhere", event.machine));
 }
 
-void PendingReasons::on(const TaskLost &e) {
-  set(e.job, fmt::format("machine {} was lost, {}: its tasks are started again", e.machine, e.why));
+void PendingReasons::on(const TaskLost &event) {
+  set(event.job, fmt::format("machine {} was lost, {}: its tasks are started again", event.machine, event.why));
 }
 
-void PendingReasons::on(const TaskPreempted &e) {
-  set(e.job, fmt::format("a task was stopped to make room for job {} of higher priority", e.by));
+void PendingReasons::on(const TaskPreempted &event) {
+  set(event.job, fmt::format("a task was stopped to make room for job {} of higher priority", event.by));
 }
 
-void PendingReasons::on(const TasksStoppedByBudget &e) {
-  set(e.job, fmt::format("its tasks were stopped because team {} had used its budget", jobs_[e.job].spec.team));
+void PendingReasons::on(const TasksStoppedByBudget &event) {
+  set(event.job, fmt::format("its tasks were stopped because team {} had used its budget", jobs_[event.job].spec.team));
 }
 
-EndRecord PendingReasons::end_record(int j) const {
-  const Job &n = jobs_[j];
-  EndRecord e;
-  e.cancelled = n.cancelled;
-  e.tasks = n.spec.tasks;
-  e.job_class = n.spec.job_class;
-  e.team = n.spec.team;
-  e.submit_wall = n.submit_wall;
-  e.end_wall = runtime_.wall();
-  const double took = runtime_.wall() - dependencies_.ready_wall(j);
-  const auto wanted = objectives_.wanted_after(n.spec, dependencies_.own_deadline(j));
-  e.late = !n.cancelled && wanted && took > *wanted;
-  if (const auto &with = dependencies_.stopped_with(j); n.cancelled && !with.empty())
-    e.reason = stopped_with(with);
-  else if (n.cancelled)
-    e.reason = failure_attribution_.failed_on(j)
-                   ? fmt::format("stopped: cancelled by its user; it had failed on {} machines",
-                                 failure_attribution_.failed_on(j))
-                   : "stopped: cancelled by its user";
-  else if (e.late)
-    e.reason = fmt::format("finished {:.0f} s late{}{}", took - *wanted, of(j).empty() ? "" : "; ", of(j));
-  return e;
+EndRecord PendingReasons::end_record(int job_index) const {
+  const Job &job = jobs_[job_index];
+  EndRecord end;
+  end.cancelled = job.cancelled;
+  end.tasks = job.spec.tasks;
+  end.job_class = job.spec.job_class;
+  end.team = job.spec.team;
+  end.submit_wall = job.submit_wall;
+  end.end_wall = runtime_.wall();
+  const double took = runtime_.wall() - dependencies_.ready_wall(job_index);
+  const auto wanted = objectives_.wanted_after(job.spec, dependencies_.own_deadline(job_index));
+  end.late = !job.cancelled && wanted && took > *wanted;
+  if (const auto &with = dependencies_.stopped_with(job_index); job.cancelled && !with.empty())
+    end.reason = stopped_with(with);
+  else if (job.cancelled)
+    end.reason = failure_attribution_.failed_on(job_index)
+                     ? fmt::format("stopped: cancelled by its user; it had failed on {} machines",
+                                   failure_attribution_.failed_on(job_index))
+                     : "stopped: cancelled by its user";
+  else if (end.late)
+    end.reason =
+        fmt::format("finished {:.0f} s late{}{}", took - *wanted, of(job_index).empty() ? "" : "; ", of(job_index));
+  return end;
 }
 
 } // namespace loftrouter::core
--- a/src/core/liveness/failure_detector.cpp
+++ b/src/core/liveness/failure_detector.cpp
@@ -13,32 +13,32 @@
 constexpr double kUnheardLeast = 10.0;  // s, that a machine which is up by the list may take to report to a new leader
 } // namespace
 
-std::size_t FailureDetector::way(const Machine &m) const {
-  return m.heard ? static_cast<std::size_t>(m.forwarding_replica + 1) : settings_.replicas.size() + 1;
+std::size_t FailureDetector::way(const Machine &machine) const {
+  return machine.heard ? static_cast<std::size_t>(machine.forwarding_replica + 1) : settings_.replicas.size() + 1;
 }
 
-std::optional<double> FailureDetector::late_from(const Machine &m) const {
-  if (m.returning || m.listed_failed || m.type < 0) return std::nullopt;
-  if (!m.heard && !m.listed_running) return std::nullopt; // it boots
-  const double since = m.heard ? m.last_answer : m.known_since;
+std::optional<double> FailureDetector::late_from(const Machine &machine) const {
+  if (machine.returning || machine.listed_failed || machine.type < 0) return std::nullopt;
+  if (!machine.heard && !machine.listed_running) return std::nullopt; // it boots
+  const double since = machine.heard ? machine.last_answer : machine.known_since;
   return runtime_.now() - since > late_after(settings_) ? std::optional(since) : std::nullopt;
 }
 
-double FailureDetector::hold_s(const Machine &m) const {
-  return kMinimumCharge + (m.type >= 0 ? catalog_.type(m.type).boot_s : 0);
+double FailureDetector::hold_s(const Machine &machine) const {
+  return kMinimumCharge + (machine.type >= 0 ? catalog_.type(machine.type).boot_s : 0);
 }
 
 void FailureDetector::tick() {
   if (!leadership_.leading() || runtime_.now() < next_) return;
   next_ = runtime_.now() + kEvery;
   table_.assign(settings_.replicas.size() + 2, {});
-  workers_.each([this](int, const Machine &m) {
-    if (m.type < 0 || m.returning || m.listed_failed) return;
-    const bool late = late_from(m).has_value();
-    if (!m.heard && !late) return;
-    Count &c = grown(table_[way(m)], m.zone);
-    ++c.known;
-    c.late += late;
+  workers_.each([this](int, const Machine &machine) {
+    if (machine.type < 0 || machine.returning || machine.listed_failed) return;
+    const bool late = late_from(machine).has_value();
+    if (!machine.heard && !late) return;
+    Count &count = grown(table_[way(machine)], machine.zone);
+    ++count.known;
+    count.late += late;
   });
   ways_.resize(table_.size());
   for (auto *groups : {&ways_, &zones_})
@@ -59,7 +59,7 @@
   if (all_.silent()) {
     what = "all";
     all_silent_at_ = runtime_.now();
-    workers_.each([this](int m, const Machine &) { nobody_heard_ |= expected(m); });
+    workers_.each([this](int machine_index, const Machine &) { nobody_heard_ |= expected(machine_index); });
   } else {
     for (std::size_t w = 0; w + 1 < ways_.size(); ++w)
       if (ways_[w].count.silent())
@@ -84,39 +84,39 @@
         {{"which", what}, {"machines", all_.known}, {"late", all_.late}, {"then", "waited for, not given back"}});
 }
 
-FailureDetector::Cause FailureDetector::cause(int m) const {
-  const Machine &n = workers_[m];
-  if (!late_from(n)) return Cause::None;
+FailureDetector::Cause FailureDetector::cause(int machine_index) const {
+  const Machine &machine = workers_[machine_index];
+  if (!late_from(machine)) return Cause::None;
   if (runtime_.now() - all_silent_at_ < late_after(settings_)) return Cause::All;
-  const auto w = way(n), z = static_cast<std::size_t>(n.zone);
+  const auto w = way(machine), z = static_cast<std::size_t>(machine.zone);
   const bool by_way = w + 1 < ways_.size() && silent(ways_[w]), by_zone = z < zones_.size() && silent(zones_[z]);
   if (by_way && by_zone) // the larger explains both
     return ways_[w].count.known > zones_[z].count.known ? Cause::Way : Cause::Zone;
   return by_way ? Cause::Way : by_zone ? Cause::Zone : Cause::Machine;
 }
 
-bool FailureDetector::awaited(int m) const {
-  const Machine &n = workers_[m];
-  const auto from = late_from(n);
+bool FailureDetector::awaited(int machine_index) const {
+  const Machine &machine = workers_[machine_index];
+  const auto from = late_from(machine);
   if (!from) return false;
   const double silent = runtime_.now() - *from;
-  if (cause(m) != Cause::Machine) return silent < hold_s(n);
-  return !n.heard && silent < std::max(kUnheardLeast, settings_.lease_s + 2 * settings_.heartbeat_interval_s);
+  if (cause(machine_index) != Cause::Machine) return silent < hold_s(machine);
+  return !machine.heard && silent < std::max(kUnheardLeast, settings_.lease_s + 2 * settings_.heartbeat_interval_s);
 }
 
-bool FailureDetector::expected(int m) const {
-  const Machine &n = workers_[m];
-  const auto from = late_from(n);
-  if (!from) return !n.heard && n.listed_running; // it was up, and has still time to report
+bool FailureDetector::expected(int machine_index) const {
+  const Machine &machine = workers_[machine_index];
+  const auto from = late_from(machine);
+  if (!from) return !machine.heard && machine.listed_running; // it was up, and has still time to report
   const double silent = runtime_.now() - *from;
-  switch (cause(m)) {
+  switch (cause(machine_index)) {
   case Cause::All:
-    return silent < hold_s(n);
+    return silent < hold_s(machine);
   case Cause::Way: // by then they have tried every node
-    return silent <
-           std::min(hold_s(n), kTryNode * static_cast<double>(ways_.size() - 1) + 2 * settings_.heartbeat_interval_s);
+    return silent < std::min(hold_s(machine),
+                             kTryNode * static_cast<double>(ways_.size() - 1) + 2 * settings_.heartbeat_interval_s);
   default:
-    return !n.heard && silent < 2 * late_after(settings_);
+    return !machine.heard && silent < 2 * late_after(settings_);
   }
 }
 
--- a/src/core/quotas/quota_changes.cpp
+++ b/src/core/quotas/quota_changes.cpp
@@ -24,8 +24,8 @@
   return std::string(wire::kConfigChange) + std::to_string(number);
 }
 
-bool larger(const wire::Amounts &a, const wire::Amounts &b) {
-  return a.cpus > b.cpus + kSlack || a.gpus > b.gpus + kSlack;
+bool larger(const wire::Amounts &a, const wire::Amounts &amounts) {
+  return a.cpus > amounts.cpus + kSlack || a.gpus > amounts.gpus + kSlack;
 }
 } // namespace
 
@@ -96,9 +96,9 @@
   const auto key = quota_key(team);
   auto value = wire::to_json(record);
   runtime_.store(StoreCommit{{{key, revision}}, {{key, value, 0}}}, kCommitWithin,
-                 [this, key, value, done = std::move(done)](const wire::StoreReply &r) {
-                   if (r.status == 200) configuration_.learn(key, value, r.revision);
-                   done(r.status == 200);
+                 [this, key, value, done = std::move(done)](const wire::StoreReply &reply) {
+                   if (reply.status == 200) configuration_.learn(key, value, reply.revision);
+                   done(reply.status == 200);
                  });
 }
 
@@ -112,33 +112,33 @@
   waiting_[number] = {std::move(done), runtime_.now() + kForwardWithin};
   auto value = wire::to_json(wire::ForwardedChange{change, settings_.node, 0, ""});
   runtime_.store(StoreCommit{{{key, 0}}, {{key, value, 0}}}, kCommitWithin,
-                 [this, key, value](const wire::StoreReply &r) {
-                   if (r.status == 200) configuration_.learn(key, value, r.revision);
+                 [this, key, value](const wire::StoreReply &reply) {
+                   if (reply.status == 200) configuration_.learn(key, value, reply.revision);
                  });
 }
 
-void QuotaChanges::on(const ConfigurationChanged &e) {
-  if (!e.key.starts_with(wire::kConfigChange)) return;
-  const auto *found = configuration_.find(e.key);
+void QuotaChanges::on(const ConfigurationChanged &event) {
+  if (!event.key.starts_with(wire::kConfigChange)) return;
+  const auto *found = configuration_.find(event.key);
   const auto change = found ? wire::forwarded_from_json(found->value) : std::nullopt;
   if (!change || change->status == 0 || change->node != settings_.node) return;
   std::uint64_t number = 0;
-  const auto rest = std::string_view(e.key).substr(wire::kConfigChange.size());
+  const auto rest = std::string_view(event.key).substr(wire::kConfigChange.size());
   std::from_chars(rest.data(), rest.data() + rest.size(), number);
   if (const auto it = waiting_.find(number); it != waiting_.end()) {
     const auto done = std::move(it->second.done);
     waiting_.erase(it);
     done({change->status, change->text});
   }
-  forget(e.key);
+  forget(event.key);
 }
 
 void QuotaChanges::forget(const std::string &key) {
   const auto *found = configuration_.find(key);
   if (!found) return;
   runtime_.store(StoreCommit{{{key, found->revision}}, {{key, std::nullopt, 0}}}, kCommitWithin,
-                 [this, key](const wire::StoreReply &r) {
-                   if (r.status == 200) configuration_.learn(key, std::nullopt, r.revision);
+                 [this, key](const wire::StoreReply &reply) {
+                   if (reply.status == 200) configuration_.learn(key, std::nullopt, reply.revision);
                  });
 }
 
--- a/src/core/quotas/quotas.cpp
+++ b/src/core/quotas/quotas.cpp
@@ -22,8 +22,8 @@
   return std::isfinite(limit) ? std::max(limit, std::numeric_limits<double>::min()) : 0;
 }
 
-Amounts smaller(const Amounts &a, const Amounts &b) {
-  return {std::min(a.cpus, b.cpus), std::min(a.gpus, b.gpus)};
+Amounts smaller(const Amounts &a, const Amounts &amounts) {
+  return {std::min(a.cpus, amounts.cpus), std::min(a.gpus, amounts.gpus)};
 }
 
 Team with_limits(const Team &team, const wire::QuotaLimits &limits) {
@@ -53,8 +53,9 @@
 }
 
 wire::QuotaLimits Quotas::platform(int team) const {
-  const Team &t = settings_.teams[static_cast<std::size_t>(team)];
-  return {{t.cpus, t.gpus}, {unlimited_if_none(t.cpus_max), unlimited_if_none(t.gpus_max)}};
+  const Team &team_quota = settings_.teams[static_cast<std::size_t>(team)];
+  return {{team_quota.cpus, team_quota.gpus},
+          {unlimited_if_none(team_quota.cpus_max), unlimited_if_none(team_quota.gpus_max)}};
 }
 
 int Quotas::find_team(const std::string &name) const {
@@ -69,13 +70,13 @@
 }
 
 void Quotas::read(int team) {
-  const Team &t = settings_.teams[static_cast<std::size_t>(team)];
+  const Team &team_quota = settings_.teams[static_cast<std::size_t>(team)];
   const auto file = platform(team);
   const auto even = cells::even_part(file.most, cells_.size());
   wire::QuotaLimits whole = file, mine = file;
   mine.most = even;
   largest_share_[static_cast<std::size_t>(team)] = std::isfinite(even.cpus) ? even.cpus : 0;
-  if (const auto r = record(t.name)) {
+  if (const auto r = record(team_quota.name)) {
     whole.most = smaller(file.most, r->limits.most);
     whole.guaranteed = r->limits.guaranteed;
     mine.guaranteed = r->limits.guaranteed;
@@ -89,16 +90,17 @@
       largest_share_[static_cast<std::size_t>(team)] = std::isfinite(largest) ? largest : 0;
     }
   }
-  here_[static_cast<std::size_t>(team)] = with_limits(t, mine);
-  whole_[static_cast<std::size_t>(team)] = with_limits(t, whole);
+  here_[static_cast<std::size_t>(team)] = with_limits(team_quota, mine);
+  whole_[static_cast<std::size_t>(team)] = with_limits(team_quota, whole);
 }
 
-void Quotas::on(const ConfigurationChanged &e) {
-  if (!e.key.starts_with(wire::kConfigQuota)) return;
-  const int team = find_team(e.key.substr(wire::kConfigQuota.size()));
+void Quotas::on(const ConfigurationChanged &event) {
+  if (!event.key.starts_with(wire::kConfigQuota)) return;
+  const int team = find_team(event.key.substr(wire::kConfigQuota.size()));
   if (team < 0) return;
-  if (const auto *found = configuration_.find(e.key); found && !wire::quota_from_json(found->value))
-    runtime_.log(LogLevel::Error, "quota_record_rejected", {{"record", e.key}, {"then", "the settings file's limit"}});
+  if (const auto *found = configuration_.find(event.key); found && !wire::quota_from_json(found->value))
+    runtime_.log(LogLevel::Error, "quota_record_rejected",
+                 {{"record", event.key}, {"then", "the settings file's limit"}});
   read(team);
   if (leadership_.leading()) withdraw_beyond(team);
 }
@@ -110,10 +112,10 @@
 
 std::vector<Resources> Quotas::used() const {
   std::vector<Resources> out(here_.size());
-  jobs_.each([&out](int, const Job &n) {
-    if (n.team < 0) return;
-    const double on = n.placed + n.unaccounted + n.delegated; // the limit holds over all cells together
-    out[static_cast<std::size_t>(n.team)].add(n.spec.need, on);
+  jobs_.each([&out](int, const Job &job) {
+    if (job.team < 0) return;
+    const double on = job.placed + job.unaccounted + job.delegated; // the limit holds over all cells together
+    out[static_cast<std::size_t>(job.team)].add(job.spec.need, on);
   });
   return out;
 }
@@ -140,12 +142,12 @@
 void Quotas::withdraw_beyond(int team) {
   if (!beyond(used()[static_cast<std::size_t>(team)], here(team))) return;
   std::vector<int> jobs;
-  jobs_.each([&](int j, const Job &n) {
-    if (n.team == team && n.placed > 0) jobs.push_back(j);
+  jobs_.each([&](int job_index, const Job &job) {
+    if (job.team == team && job.placed > 0) jobs.push_back(job_index);
   });
-  for (int j : jobs) {
+  for (int job_index : jobs) {
     if (!beyond(used()[static_cast<std::size_t>(team)], here(team))) return;
-    workers_.withdraw(j);
+    workers_.withdraw(job_index);
   }
 }
 
@@ -180,16 +182,16 @@
   const bool cpus = limit.cpus_max > 0 && left.cpus > limit.cpus_max,
              gpus = limit.gpus_max > 0 && left.gpus > limit.gpus_max;
   std::vector<Place> places;
-  workers_.each([&](int m, const Machine &n) {
-    for (std::size_t s = 0; s < n.allocations.size(); ++s) {
-      const Allocation &allocation = n.allocations[s];
+  workers_.each([&](int machine_index, const Machine &machine) {
+    for (std::size_t s = 0; s < machine.allocations.size(); ++s) {
+      const Allocation &allocation = machine.allocations[s];
       if (allocation.job < 0 || allocation.finished || jobs_[allocation.job].team != team) continue;
       if (!(cpus && allocation.need.cpus > 0) && !(gpus && allocation.need.gpus > 0))
         continue; // its end would help nobody
       if (allocation.stop)
         left.add(allocation.need, -1);
       else
-        places.push_back({jobs_[allocation.job].submit_wall, allocation.placed_at, allocation.job, m, s});
+        places.push_back({jobs_[allocation.job].submit_wall, allocation.placed_at, allocation.job, machine_index, s});
     }
   });
   std::sort(places.begin(), places.end(), [](const Place &a, const Place &b) { return a.order() > b.order(); });
@@ -197,11 +199,11 @@
   std::vector<std::pair<int, std::size_t>> stops;
   std::vector<int> jobs;
   for (const auto &p : places) {
-    const Job &n = jobs_[p.job];
-    const bool whole = n.spec.shape == Shape::Gang;
+    const Job &job = jobs_[p.job];
+    const bool whole = job.spec.shape == Shape::Gang;
     if (!beyond(left, limit) && !(whole && p.job == gang)) break;
     gang = whole ? p.job : -1;
-    left.add(n.spec.need, -1);
+    left.add(job.spec.need, -1);
     if (!whole)
       stops.emplace_back(p.machine, p.allocation);
     else if (std::find(jobs.begin(), jobs.end(), p.job) == jobs.end())
@@ -210,8 +212,8 @@
   std::sort(stops.rbegin(), stops.rend()); // a slot that goes at once moves those after it
   for (auto [m, s] : stops)
     workers_.stop(m, s, jobs_[workers_[m].allocations[s].job].spec.save_s + 1);
-  for (int j : jobs)
-    workers_.stop_all(j, jobs_[j].spec.save_s + 1);
+  for (int job_index : jobs)
+    workers_.stop_all(job_index, jobs_[job_index].spec.save_s + 1);
   if (!stops.empty() || !jobs.empty())
     runtime_.log(LogLevel::Info, "over_quota_tasks_stopped",
                  {{"team", limit.name}, {"tasks", stops.size()}, {"gangs", jobs.size()}});
--- a/src/core/runtime/runtime.cpp
+++ b/src/core/runtime/runtime.cpp
@@ -94,13 +94,13 @@
   }
   const auto it = proxied_requests_.find(r.req);
   if (it == proxied_requests_.end()) return;
-  wire::PeerMessage m;
-  m.kind = wire::PeerMessage::Kind::Told;
-  m.nonce = it->second.second;
-  m.status = static_cast<std::uint16_t>(r.status);
-  m.retry_s = static_cast<std::uint16_t>(std::max(0, r.retry_after.value_or(0)));
-  m.body = std::move(r.body);
-  send({-1, it->second.first, std::move(m)});
+  wire::PeerMessage message;
+  message.kind = wire::PeerMessage::Kind::Told;
+  message.nonce = it->second.second;
+  message.status = static_cast<std::uint16_t>(r.status);
+  message.retry_s = static_cast<std::uint16_t>(std::max(0, r.retry_after.value_or(0)));
+  message.body = std::move(r.body);
+  send({-1, it->second.first, std::move(message)});
   proxied_requests_.erase(it);
 }
 
--- a/src/core/runtime/state_service_limits.cpp
+++ b/src/core/runtime/state_service_limits.cpp
@@ -11,8 +11,8 @@
 constexpr double kUserReads = 0.75, kUserWrites = 0.6, kAllWrites = 0.95;
 } // namespace
 
-StateServiceLimits::StateServiceLimits(const Settings &s)
-    : settings_(s), rps_(s.state_rps), write_rps_(s.state_write_rps) {
+StateServiceLimits::StateServiceLimits(const Settings &settings)
+    : settings_(settings), rps_(settings.state_rps), write_rps_(settings.state_write_rps) {
   share_evenly(0);
 }
 
--- a/src/core/scheduling/placement.cpp
+++ b/src/core/scheduling/placement.cpp
@@ -8,39 +8,40 @@
 
 namespace loftrouter::core {
 
-bool allowed(const PlaceJob &job, const PlaceMachine &m) {
-  if (m.type < 0 || static_cast<std::size_t>(m.type) >= job.types.size() ||
-      !job.types[static_cast<std::size_t>(m.type)])
+bool allowed(const PlaceJob &job, const PlaceMachine &machine) {
+  if (machine.type < 0 || static_cast<std::size_t>(machine.type) >= job.types.size() ||
+      !job.types[static_cast<std::size_t>(machine.type)])
     return false;
-  if (job.zone >= 0 && job.zone != m.zone) return false;
-  if (m.spot && !job.spot) return false;
-  if (!m.spot && m.price_premium > job.max_price_premium) return false;
-  if (m.held_for >= 0 && m.held_for != job.self) return false;
-  return std::find(job.barred.begin(), job.barred.end(), m.id) == job.barred.end();
+  if (job.zone >= 0 && job.zone != machine.zone) return false;
+  if (machine.spot && !job.spot) return false;
+  if (!machine.spot && machine.price_premium > job.max_price_premium) return false;
+  if (machine.held_for >= 0 && machine.held_for != job.self) return false;
+  return std::find(job.barred.begin(), job.barred.end(), machine.id) == job.barred.end();
 }
 
-bool has_room(const PlaceJob &job, const PlaceMachine &m) {
-  return job.need.fits(m.free) && !(m.kept && job.small && !job.need.fits(m.spare));
+bool has_room(const PlaceJob &job, const PlaceMachine &machine) {
+  return job.need.fits(machine.free) && !(machine.kept && job.small && !job.need.fits(machine.spare));
 }
 
-static void occupy(const PlaceJob &job, PlaceMachine &m, double times) {
-  m.free.add(job.need, -times);
-  if (m.kept && job.small) m.spare.add(job.need, -times);
+static void occupy(const PlaceJob &job, PlaceMachine &machine, double times) {
+  machine.free.add(job.need, -times);
+  if (machine.kept && job.small) machine.spare.add(job.need, -times);
 }
 
-double fit_score(const PlaceJob &job, const PlaceMachine &m) {
+double fit_score(const PlaceJob &job, const PlaceMachine &machine) {
   auto part = [](double free, double size, double need) {
     return size > 0 ? std::max(0.0, free / size) * (need / size) : 0.0;
   };
-  return part(m.free.cpus, m.size.cpus, job.need.cpus) + part(m.free.gpus, m.size.gpus, job.need.gpus) +
-         part(m.free.memory, m.size.memory, job.need.memory);
+  return part(machine.free.cpus, machine.size.cpus, job.need.cpus) +
+         part(machine.free.gpus, machine.size.gpus, job.need.gpus) +
+         part(machine.free.memory, machine.size.memory, job.need.memory);
 }
 
-double place_score(const PlaceJob &job, const PlaceMachine &m, const PlaceOptions &o) {
-  double score = fit_score(job, m);
-  if (job.image >= 0 && std::find(m.images.begin(), m.images.end(), job.image) != m.images.end())
-    score += o.image_weight;
-  return score - o.price_weight * m.price_premium;
+double place_score(const PlaceJob &job, const PlaceMachine &machine, const PlaceOptions &options) {
+  double score = fit_score(job, machine);
+  if (job.image >= 0 && std::find(machine.images.begin(), machine.images.end(), job.image) != machine.images.end())
+    score += options.image_weight;
+  return score - options.price_weight * machine.price_premium;
 }
 
 namespace {
@@ -80,7 +81,7 @@
 
 // Placing a task changes the score of its machine alone, so a heap of scores gives each task the best
 // machine without trying them all again; of equal scores the lower index wins.
-Plan greedy(const PlaceJob &job, Field &field, std::uint32_t want, int only_zone, const PlaceOptions &o) {
+Plan greedy(const PlaceJob &job, Field &field, std::uint32_t want, int only_zone, const PlaceOptions &options) {
   auto &machines = field.machines;
   Plan plan;
   std::vector<int> zone_used;
@@ -89,7 +90,7 @@
   for (int i : field.open) {
     const auto &m = machines[static_cast<std::size_t>(i)];
     if (has_room(job, m) && (only_zone < 0 || m.zone == only_zone) && allowed(job, m))
-      heap.emplace_back(place_score(job, m, o), -i);
+      heap.emplace_back(place_score(job, m, options), -i);
   }
   std::make_heap(heap.begin(), heap.end());
   while (plan.machines.size() < want && !heap.empty()) {
@@ -104,7 +105,7 @@
     plan.machines.push_back(-negative);
     plan.score += score;
     if (!has_room(job, m)) continue;
-    heap.emplace_back(place_score(job, m, o), negative);
+    heap.emplace_back(place_score(job, m, options), negative);
     std::push_heap(heap.begin(), heap.end());
   }
   for (int i : plan.machines)
@@ -113,7 +114,7 @@
   return plan;
 }
 
-Plan plan_job(const PlaceJob &job, Field &field, const Resources &room, const PlaceOptions &o) {
+Plan plan_job(const PlaceJob &job, Field &field, const Resources &room, const PlaceOptions &options) {
   std::uint32_t want = std::min(job.ready, job.limit);
   auto cap = [&](double left, double need) {
     if (left < 0 || need <= 0) return;
@@ -127,14 +128,14 @@
     int fixed = -1;
     for (std::size_t z = 0; z < job.zone_used.size(); ++z)
       if (job.zone_used[z] > 0) fixed = static_cast<int>(z);
-    for (int z : fixed >= 0 ? std::vector<int>{fixed} : field.zones) {
-      Plan p = greedy(job, field, want, z, o);
-      if (p.machines.size() > best.machines.size() ||
-          (p.machines.size() == best.machines.size() && p.score > best.score))
-        best = std::move(p);
+    for (int zone_index : fixed >= 0 ? std::vector<int>{fixed} : field.zones) {
+      Plan plan = greedy(job, field, want, zone_index, options);
+      if (plan.machines.size() > best.machines.size() ||
+          (plan.machines.size() == best.machines.size() && plan.score > best.score))
+        best = std::move(plan);
     }
   } else {
-    best = greedy(job, field, want, -1, o);
+    best = greedy(job, field, want, -1, options);
   }
   if (job.gang && best.machines.size() < job.ready) return {};
   return best;
@@ -167,10 +168,10 @@
 } // namespace
 
 std::vector<Assignment> place_round(std::vector<PlaceMachine> machines, const std::vector<const PlaceJob *> &jobs,
-                                    std::vector<Resources> team_room, const PlaceOptions &o,
+                                    std::vector<Resources> team_room, const PlaceOptions &options,
                                     std::vector<Reservation> *reserved) {
   std::vector<Assignment> out;
-  auto waits_long = [&](const PlaceJob &j) { return !j.started && j.wait_s > o.reserve_after_s; };
+  auto waits_long = [&](const PlaceJob &job) { return !job.started && job.wait_s > options.reserve_after_s; };
   auto rank = [&](std::size_t i) {
     const auto &j = *jobs[i];
     if (j.delegated_here) return -1;
@@ -191,25 +192,27 @@
   };
   std::vector<std::size_t> changed(machines.size(), 0); // the commit that last touched it
   std::size_t commits = 1;
-  auto draw_up = [&](Draft &d) {
-    const auto &job = *jobs[d.job];
+  auto draw_up = [&](Draft &draft) {
+    const auto &job = *jobs[draft.job];
     auto team = static_cast<std::size_t>(job.team);
-    d.plan = plan_job(job, field, team < team_room.size() ? team_room[team] : none, o);
-    d.made = d.checked = commits;
-    d.outdated = false;
-    if (d.plan.machines.empty()) return;
-    double age = o.age_weight * job.wait_s + (job.in_time ? o.in_time_bonus : 0);
-    d.value = d.plan.score / static_cast<double>(d.plan.machines.size()) + (d.plan.whole ? o.full_plan_bonus : 0) + age;
+    draft.plan = plan_job(job, field, team < team_room.size() ? team_room[team] : none, options);
+    draft.made = draft.checked = commits;
+    draft.outdated = false;
+    if (draft.plan.machines.empty()) return;
+    double age = options.age_weight * job.wait_s + (job.in_time ? options.in_time_bonus : 0);
+    draft.value = draft.plan.score / static_cast<double>(draft.plan.machines.size()) +
+                  (draft.plan.whole ? options.full_plan_bonus : 0) + age;
     // A plan that loses tasks loses the bonus, but its mean may rise up to the first task's score.
-    d.bound = std::max(d.value, d.plan.first + age);
+    draft.bound = std::max(draft.value, draft.plan.first + age);
   };
-  auto current = [&](const Draft &d) {
-    if (d.outdated) return false;
-    const auto &job = *jobs[d.job];
+  auto current = [&](const Draft &draft) {
+    if (draft.outdated) return false;
+    const auto &job = *jobs[draft.job];
     auto team = static_cast<std::size_t>(job.team);
     if (team < team_room.size() && (team_room[team].cpus >= 0 || team_room[team].gpus >= 0)) return false;
-    return std::all_of(d.plan.machines.begin(), d.plan.machines.end(),
-                       [&](int m) { return changed[static_cast<std::size_t>(m)] <= d.made; });
+    return std::all_of(draft.plan.machines.begin(), draft.plan.machines.end(), [&](int machine_index) {
+      return changed[static_cast<std::size_t>(machine_index)] <= draft.made;
+    });
   };
   std::vector<std::size_t> order(jobs.size());
   for (std::size_t i = 0; i < order.size(); ++i)
@@ -226,13 +229,13 @@
       std::fill(changed.begin(), changed.end(), ++commits);
     };
     for (std::size_t k = begin; k < end; ++k) {
-      Draft d;
-      d.job = order[k];
-      draw_up(d);
-      if (d.plan.machines.empty())
-        give_up(*jobs[d.job]);
+      Draft draft;
+      draft.job = order[k];
+      draw_up(draft);
+      if (draft.plan.machines.empty())
+        give_up(*jobs[draft.job]);
       else
-        drafts.push_back(std::move(d));
+        drafts.push_back(std::move(draft));
     }
     while (!drafts.empty()) {
       std::size_t best = 0;
@@ -252,14 +255,14 @@
         continue;
       }
       ++commits;
-      for (int m : d.plan.machines) {
-        auto &machine = machines[static_cast<std::size_t>(m)];
+      for (int machine_index : d.plan.machines) {
+        auto &machine = machines[static_cast<std::size_t>(machine_index)];
         occupy(job, machine, 1);
-        changed[static_cast<std::size_t>(m)] = commits;
+        changed[static_cast<std::size_t>(machine_index)] = commits;
         if (job.image >= 0 &&
             std::find(machine.images.begin(), machine.images.end(), job.image) == machine.images.end())
           machine.images.push_back(job.image);
-        out.push_back({static_cast<int>(d.job), m});
+        out.push_back({static_cast<int>(d.job), machine_index});
         auto team = static_cast<std::size_t>(job.team);
         if (team < team_room.size()) {
           auto &room = team_room[team];
@@ -275,13 +278,13 @@
         std::fill(changed.begin(), changed.end(), commits);
       }
       if (machines.size() == 1) // what no longer fits need not be planned again
-        std::erase_if(drafts, [&](const Draft &x) { return !has_room(*jobs[x.job], machines[0]); });
+        std::erase_if(drafts, [&](const Draft &draft) { return !has_room(*jobs[draft.job], machines[0]); });
       // The one thing that makes a machine better for another job: it now holds that job's image.
       if (job.image >= 0)
         for (auto &other : drafts)
           if (jobs[other.job]->image == job.image) {
             other.outdated = true;
-            other.bound += std::max(0.0, o.image_weight);
+            other.bound += std::max(0.0, options.image_weight);
           }
     }
   }
@@ -289,12 +292,12 @@
 }
 
 std::vector<Assignment> place_round(std::vector<PlaceMachine> machines, const std::vector<PlaceJob> &jobs,
-                                    std::vector<Resources> team_room, const PlaceOptions &o,
+                                    std::vector<Resources> team_room, const PlaceOptions &options,
                                     std::vector<Reservation> *reserved) {
   std::vector<const PlaceJob *> all;
   for (const auto &j : jobs)
     all.push_back(&j);
-  return place_round(std::move(machines), all, std::move(team_room), o, reserved);
+  return place_round(std::move(machines), all, std::move(team_room), options, reserved);
 }
 
 } // namespace loftrouter::core
