--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -29,15 +29,15 @@
   nominations_.clear();
 }
 
-void Scheduler::on(const MachineRemoved &e) {
-  if (held(e.machine)) grown(nominations_, e.machine) = {};
+void Scheduler::on(const MachineRemoved &event) {
+  if (held(event.machine)) grown(nominations_, event.machine) = {};
 }
 
 // A job that may not use spot machines and fits only one type needs those machines whole when it
 // comes: small work that can go elsewhere keeps off them.
-void Scheduler::on(const JobAccepted &e) {
-  const JobSpec &spec = jobs_[e.job].spec;
-  if (spec.spot || jobs_[e.job].cancelled) return;
+void Scheduler::on(const JobAccepted &event) {
+  const JobSpec &spec = jobs_[event.job].spec;
+  if (spec.spot || jobs_[event.job].cancelled) return;
   int only = -1;
   for (int t = 0; t < static_cast<int>(catalog_.types().size()); ++t) {
     const auto &type = catalog_.type(t);
@@ -60,9 +60,11 @@
   return it != kept_.end() && runtime_.now() - it->second.seen < within_s ? &it->second : nullptr;
 }
 
-bool Scheduler::deferrable(int j) const {
-  if (!dependencies_.needed_by(j).empty() || !jobs_[j].spec.waits_for.empty()) return false; // others wait with it
-  return objectives_.deferrable(jobs_[j].spec, dependencies_.urgency(j), dependencies_.deadline(j), age(j));
+bool Scheduler::deferrable(int job_index) const {
+  if (!dependencies_.needed_by(job_index).empty() || !jobs_[job_index].spec.waits_for.empty())
+    return false; // others wait with it
+  return objectives_.deferrable(jobs_[job_index].spec, dependencies_.urgency(job_index),
+                                dependencies_.deadline(job_index), age(job_index));
 }
 
 PlaceOptions Scheduler::options() const {
@@ -76,43 +78,45 @@
                                               const std::function<bool(int)> &silent_too) const {
   std::vector<PlaceMachine> out;
   const double cheapest = catalog_.cheapest_cpu();
-  auto small = [this](const Allocation &s) {
-    return s.job >= 0 && is_small(jobs_[s.job].spec, jobs_[s.job].spec.urgency);
+  auto small = [this](const Allocation &allocation) {
+    return allocation.job >= 0 && is_small(jobs_[allocation.job].spec, jobs_[allocation.job].spec.urgency);
   };
   const int first = std::max(0, only), end = only >= 0 ? only + 1 : static_cast<int>(workers_.index_limit());
-  for (int m = first; m < end; ++m) {
-    const Machine *p = workers_.find(m);
+  for (int machine_index = first; machine_index < end; ++machine_index) {
+    const Machine *p = workers_.find(machine_index);
     if (!p || p->returning || p->taken_at || p->draining || p->order || p->type < 0) continue;
     // Probably dead, hanging or cut off.
     if ((!p->heard || p->lost || p->silent(runtime_.now(), settings_.heartbeat_interval_s) || !p->accepts_commands()) &&
-        !(silent_too && silent_too(m)))
+        !(silent_too && silent_too(machine_index)))
       continue;
-    PlaceMachine pm;
-    pm.id = m;
-    pm.size = p->size;
-    pm.free = p->size;
-    pm.free.add(p->used, -1);
-    pm.type = p->type;
-    pm.zone = p->zone;
-    pm.spot = p->spot;
+    PlaceMachine machine;
+    machine.id = machine_index;
+    machine.size = p->size;
+    machine.free = p->size;
+    machine.free.add(p->used, -1);
+    machine.type = p->type;
+    machine.zone = p->zone;
+    machine.spot = p->spot;
     const auto &type = catalog_.type(p->type);
-    pm.price_premium = 1 - cheapest / std::max(cheapest, InstanceTypeCatalog::cpu_price(type, p->spot));
-    if (const Nomination *h = held(m); h && runtime_.now() < h->until) pm.held_for = jobs_.index(h->job);
-    pm.speed_gb_s = type.fetch_gb_per_s;
+    machine.price_premium = 1 - cheapest / std::max(cheapest, InstanceTypeCatalog::cpu_price(type, p->spot));
+    if (const Nomination *nomination = held(machine_index); nomination && runtime_.now() < nomination->until)
+      machine.held_for = jobs_.index(nomination->job);
+    machine.speed_gb_s = type.fetch_gb_per_s;
     for (const auto &[image, gb] : p->images)
-      pm.images.push_back(image);
+      machine.images.push_back(image);
     if (const LargeTaskReservation *k = p->spot ? nullptr : kept(p->type, kKeptFor)) {
-      pm.kept = true;
-      pm.spare = p->size;
-      pm.spare.add(k->need, -1);
+      machine.kept = true;
+      machine.spare = p->size;
+      machine.spare.add(k->need, -1);
       for (const auto &s : p->allocations)
-        if (!s.finished && small(s)) pm.spare.add(s.need, -1);
+        if (!s.finished && small(s)) machine.spare.add(s.need, -1);
     }
-    out.push_back(std::move(pm));
-    index.push_back(m);
+    out.push_back(std::move(machine));
+    index.push_back(machine_index);
   }
   if (only >= 0) {
-    if (const Nomination *h = held(only); !out.empty() && h) out[0].kept &= !h->open_to_small;
+    if (const Nomination *nomination = held(only); !out.empty() && nomination)
+      out[0].kept &= !nomination->open_to_small;
     return out;
   }
   // Of the kept machines that hold no large task one a type, the one with least small work, is reserved
@@ -121,7 +125,7 @@
   auto small_only = [&](int k) {
     const auto &allocations = workers_[index[static_cast<std::size_t>(k)]].allocations;
     return std::all_of(allocations.begin(), allocations.end(),
-                       [&](const Allocation &s) { return s.finished || small(s); });
+                       [&](const Allocation &allocation) { return allocation.finished || small(allocation); });
   };
   for (int k = 0; k < static_cast<int>(out.size()); ++k) {
     auto &m = out[static_cast<std::size_t>(k)];
@@ -139,74 +143,75 @@
   return out;
 }
 
-PlaceJob Scheduler::place_job(int j) const {
-  const Job &n = jobs_[j];
+PlaceJob Scheduler::place_job(int job_index) const {
+  const Job &n = jobs_[job_index];
   const auto &types = catalog_.types();
-  const bool suspect = failure_attribution_.suspect(j);
-  PlaceJob p;
-  p.self = j;
-  p.need = n.spec.need;
-  p.types.assign(types.size(), 1);
+  const bool suspect = failure_attribution_.suspect(job_index);
+  PlaceJob job;
+  job.self = job_index;
+  job.need = n.spec.need;
+  job.types.assign(types.size(), 1);
   if (n.spec.types)
     for (std::size_t t = 0; t < types.size(); ++t)
-      p.types[t] = std::find(n.spec.types->begin(), n.spec.types->end(), types[t].name) != n.spec.types->end();
+      job.types[t] = std::find(n.spec.types->begin(), n.spec.types->end(), types[t].name) != n.spec.types->end();
   if (n.spec.zone) {
-    const int z = catalog_.find_zone(*n.spec.zone);
-    p.zone = z >= 0 ? z : 1'000'000;
+    const int zone_index = catalog_.find_zone(*n.spec.zone);
+    job.zone = zone_index >= 0 ? zone_index : 1'000'000;
   }
-  p.spot = n.spec.spot;
-  p.gang = n.spec.shape == Shape::Gang;
-  p.one_zone = n.spec.one_zone;
-  p.zone_used = n.zone_used;
-  if (n.spec.spread) p.zone_cap = static_cast<int>((n.spec.tasks + 1) / 2);
-  p.barred = failure_attribution_.barred(j);
-  p.ready = n.pending();
+  job.spot = n.spec.spot;
+  job.gang = n.spec.shape == Shape::Gang;
+  job.one_zone = n.spec.one_zone;
+  job.zone_used = n.zone_used;
+  if (n.spec.spread) job.zone_cap = static_cast<int>((n.spec.tasks + 1) / 2);
+  job.barred = failure_attribution_.barred(job_index);
+  job.ready = n.pending();
   bool held = n.cancelled || n.ending || n.paused || ledger_.spent(n.team) || // of its team's budget, not an end
-              !dependencies_.ready(j);
+              !dependencies_.ready(job_index);
   if (suspect) { // one task, or one gang, at a time and seldom
-    held |= runtime_.now() < failure_attribution_.retry_at(j) || n.placed > 0 || n.unaccounted > 0;
-    if (n.spec.shape != Shape::Gang) p.ready = std::min(p.ready, 1U);
+    held |= runtime_.now() < failure_attribution_.retry_at(job_index) || n.placed > 0 || n.unaccounted > 0;
+    if (n.spec.shape != Shape::Gang) job.ready = std::min(job.ready, 1U);
   }
   // Where unaccounted tasks are is not known, so neither are their zones.
   if ((n.spec.one_zone || n.spec.spread) && n.unaccounted) held = true;
-  if (p.gang) {
+  if (job.gang) {
     if (n.unaccounted) held = true;
     if (n.placed && n.gang_closed) held = true; // the old attempt has to be gone first
   }
-  p.limit = held ? 0 : p.ready;
-  p.urgency = dependencies_.urgency(j);
-  p.wait_s = std::max(0.0, age(j));
-  p.delegated_here = n.delegated_here.has_value();
-  p.started = n.placed + n.done > 0 || suspect || p.delegated_here; // a suspect reserves nothing, nor does others' work
+  job.limit = held ? 0 : job.ready;
+  job.urgency = dependencies_.urgency(job_index);
+  job.wait_s = std::max(0.0, age(job_index));
+  job.delegated_here = n.delegated_here.has_value();
+  job.started =
+      n.placed + n.done > 0 || suspect || job.delegated_here; // a suspect reserves nothing, nor does others' work
   // Work that nobody wants at a certain time waits for cheap places, of which it may have what others leave.
-  if (deferrable(j)) p.max_price_premium = 1 - 1 / kExpensiveRatio;
+  if (deferrable(job_index)) job.max_price_premium = 1 - 1 / kExpensiveRatio;
   // The last of its tasks starts once the others have had their turn on the fleet.
-  const auto deadline = dependencies_.deadline(j);
-  p.in_time = objectives_.wanted_after(n.spec, deadline) &&
-              p.wait_s + n.spec.estimate_s * (1 + p.ready * p.need.cpus / std::max(1.0, up_cpus_)) <=
-                  objectives_.due_after(n.spec, deadline, age(j));
-  p.image = n.image;
-  p.image_gb = n.spec.image_gb;
-  p.small = is_small(n.spec, n.spec.urgency); // whatever it is wanted for
-  p.team = std::max(0, n.team);
-  return p;
+  const auto deadline = dependencies_.deadline(job_index);
+  job.in_time = objectives_.wanted_after(n.spec, deadline) &&
+                job.wait_s + n.spec.estimate_s * (1 + job.ready * job.need.cpus / std::max(1.0, up_cpus_)) <=
+                    objectives_.due_after(n.spec, deadline, age(job_index));
+  job.image = n.image;
+  job.image_gb = n.spec.image_gb;
+  job.small = is_small(n.spec, n.spec.urgency); // whatever it is wanted for
+  job.team = std::max(0, n.team);
+  return job;
 }
 
-bool Scheduler::passed_over(int j) const {
-  if (static_cast<std::size_t>(j) >= waits_.size()) return false;
-  const Wait &w = waits_[static_cast<std::size_t>(j)];
-  return w.serial == jobs_[j].serial && w.seen - w.since > kPassedOver;
+bool Scheduler::passed_over(int job_index) const {
+  if (static_cast<std::size_t>(job_index) >= waits_.size()) return false;
+  const Wait &w = waits_[static_cast<std::size_t>(job_index)];
+  return w.serial == jobs_[job_index].serial && w.seen - w.since > kPassedOver;
 }
 
 // What keeps work off places that have room for it (the price of small work, machines kept for work that needs them
 // whole) puts it off and no more. Guards against a job that waits beside room for it, for as long as those that the
 // machine is up for run. What is rented does not follow: places that are there anyhow cost nothing.
-PlaceJob Scheduler::candidate(int j) const {
-  PlaceJob p = place_job(j);
-  if (!passed_over(j)) return p;
-  p.max_price_premium = 1;
-  p.small = false;
-  return p;
+PlaceJob Scheduler::candidate(int job_index) const {
+  PlaceJob job = place_job(job_index);
+  if (!passed_over(job_index)) return job;
+  job.max_price_premium = 1;
+  job.small = false;
+  return job;
 }
 
 // ---- rounds ----
@@ -223,31 +228,33 @@
   if (wanted() && runtime_.now() >= next_round_) round();
 }
 
-void Scheduler::offer(int m) {
-  if (!wanted() || workers_[m].returning || !workers_[m].accepts_commands() || !leadership_.active() ||
-      !quotas_.ready() || line_.empty())
+void Scheduler::offer(int machine_index) {
+  if (!wanted() || workers_[machine_index].returning || !workers_[machine_index].accepts_commands() ||
+      !leadership_.active() || !quotas_.ready() || line_.empty())
     return;
   std::vector<int> index;
-  auto machines = snapshot(index, m);
+  auto machines = snapshot(index, machine_index);
   if (machines.empty()) return;
   std::vector<const PlaceJob *> jobs;
   std::vector<int> order;
   for (std::size_t k = 0; k < line_.size(); ++k) {
-    PlaceJob &p = line_[k];
-    if (!has_room(p, machines[0])) continue;
-    const Job *n = jobs_.find(p.self);
-    if (!n || n->serial != line_serials_[k] || n->cancelled || n->ending || n->paused || ledger_.spent(n->team))
+    PlaceJob &place_job = line_[k];
+    if (!has_room(place_job, machines[0])) continue;
+    const Job *job = jobs_.find(place_job.self);
+    if (!job || job->serial != line_serials_[k] || job->cancelled || job->ending || job->paused ||
+        ledger_.spent(job->team))
       continue;
-    if (p.gang || p.one_zone || p.zone_cap >= 0 || failure_attribution_.failed_lately(p.self)) {
-      const bool guaranteed = p.guaranteed;
-      p = candidate(p.self);
-      p.guaranteed = guaranteed;
+    if (place_job.gang || place_job.one_zone || place_job.zone_cap >= 0 ||
+        failure_attribution_.failed_lately(place_job.self)) {
+      const bool guaranteed = place_job.guaranteed;
+      place_job = candidate(place_job.self);
+      place_job.guaranteed = guaranteed;
     } else {
-      p.ready = p.limit = n->pending();
+      place_job.ready = place_job.limit = job->pending();
     }
-    if (p.limit == 0) continue;
-    jobs.push_back(&p);
-    order.push_back(p.self);
+    if (place_job.limit == 0) continue;
+    jobs.push_back(&place_job);
+    order.push_back(place_job.self);
   }
   if (jobs.empty()) return;
   carry_out(place_round(std::move(machines), jobs, quotas_.room(), options()), order, index);
@@ -259,38 +266,38 @@
   std::vector<std::uint32_t> cursor(order.size(), 0), placed(order.size(), 0);
   for (const auto &a : plan) {
     const auto p = static_cast<std::size_t>(a.job);
-    const Job &n = jobs_[order[p]];
+    const Job &job = jobs_[order[p]];
     auto &i = cursor[p];
-    while (i < n.spec.tasks && n.tasks[i].state != TaskState::Pending)
+    while (i < job.spec.tasks && job.tasks[i].state != TaskState::Pending)
       ++i;
-    if (i >= n.spec.tasks) continue;
+    if (i >= job.spec.tasks) continue;
     place(order[p], i, index[static_cast<std::size_t>(a.machine)]);
     ++placed[p];
   }
   return placed;
 }
 
-void Scheduler::place(int j, std::uint32_t i, int m) {
-  const Job &n = jobs_[j];
+void Scheduler::place(int job_index, std::uint32_t i, int machine_index) {
+  const Job &job = jobs_[job_index];
   std::uint64_t attempt;
-  if (n.spec.shape != Shape::Gang)
+  if (job.spec.shape != Shape::Gang)
     attempt = (leadership_.term() << 20) + ++attempts_;
-  else if (n.placed == 0)
-    attempt = jobs_.next_gang_attempt(j, (leadership_.term() << 20) + ++attempts_);
+  else if (job.placed == 0)
+    attempt = jobs_.next_gang_attempt(job_index, (leadership_.term() << 20) + ++attempts_);
   else
-    attempt = n.gang_attempt;
-  state_writer_.start(j, i);
-  jobs_.place(j, i, m, workers_[m].zone);
-  workers_.put(m, j, i, attempt);
-  grown(waits_, j).since = runtime_.now();
-  if (!state_writer_.recorded(j, i)) jobs_.changed(j, true);
-  if (n.placed == 1 && runtime_.shows(LogLevel::Debug))
+    attempt = job.gang_attempt;
+  state_writer_.start(job_index, i);
+  jobs_.place(job_index, i, machine_index, workers_[machine_index].zone);
+  workers_.put(machine_index, job_index, i, attempt);
+  grown(waits_, job_index).since = runtime_.now();
+  if (!state_writer_.recorded(job_index, i)) jobs_.changed(job_index, true);
+  if (job.placed == 1 && runtime_.shows(LogLevel::Debug))
     runtime_.log(LogLevel::Debug, "job_started",
-                 {{"job", n.spec.id},
-                  {"class", n.spec.job_class},
-                  {"machine", workers_[m].name},
-                  {"type", catalog_.type_name(workers_[m].type)},
-                  {"after_s", age(j)}});
+                 {{"job", job.spec.id},
+                  {"class", job.spec.job_class},
+                  {"machine", workers_[machine_index].name},
+                  {"type", catalog_.type_name(workers_[machine_index].type)},
+                  {"after_s", age(job_index)}});
 }
 
 void Scheduler::round() {
@@ -308,23 +315,24 @@
   }
   std::vector<Resources> wanted(settings_.teams.size());
   std::vector<int> order;
-  jobs_.each([&](int j, const Job &n) {
-    if (n.team >= 0 && !n.cancelled && n.pending() > 0 && dependencies_.ready(j)) order.push_back(j);
+  jobs_.each([&](int job_index, const Job &job) {
+    if (job.team >= 0 && !job.cancelled && job.pending() > 0 && dependencies_.ready(job_index))
+      order.push_back(job_index);
   });
   // Oldest first, so that a team's guarantee covers its earliest unfinished jobs.
   std::sort(order.begin(), order.end(), [this](int a, int b) { return jobs_[a].submit_wall < jobs_[b].submit_wall; });
-  for (int j : order) {
-    const Job &n = jobs_[j];
-    Wait &wait = grown(waits_, j);
+  for (int job_index : order) {
+    const Job &n = jobs_[job_index];
+    Wait &wait = grown(waits_, job_index);
     if (wait.serial != n.serial || runtime_.now() - wait.seen > 4 * kRound)
       wait = {n.serial, runtime_.now(), runtime_.now()};
     wait.seen = runtime_.now();
-    PlaceJob p = candidate(j);
-    const Team &t = quotas_.here(n.team);
+    PlaceJob job = candidate(job_index);
+    const Team &team = quotas_.here(n.team);
     auto &w = wanted[static_cast<std::size_t>(n.team)];
     w.add(n.spec.need, n.spec.tasks - n.done);
-    p.guaranteed = (t.cpus > 0 || t.gpus > 0) && w.cpus <= t.cpus + 1e-6 && w.gpus <= t.gpus + 1e-6;
-    line_.push_back(std::move(p));
+    job.guaranteed = (team.cpus > 0 || team.gpus > 0) && w.cpus <= team.cpus + 1e-6 && w.gpus <= team.gpus + 1e-6;
+    line_.push_back(std::move(job));
     line_serials_.push_back(n.serial);
   }
   if (line_.empty()) return;
@@ -349,17 +357,18 @@
 void Scheduler::plan_ahead() {
   next_ahead_ = runtime_.now() + kAheadEvery;
   std::vector<std::tuple<int, bool, double, int>> line;
-  jobs_.each([&](int j, const Job &n) {
-    if (n.cancelled || n.spec.shape == Shape::Gang || n.pending() == 0 || !dependencies_.ready(j)) return;
-    line.emplace_back(-static_cast<int>(dependencies_.urgency(j)), !place_job(j).in_time, n.submit_wall, j);
+  jobs_.each([&](int job_index, const Job &job) {
+    if (job.cancelled || job.spec.shape == Shape::Gang || job.pending() == 0 || !dependencies_.ready(job_index)) return;
+    line.emplace_back(-static_cast<int>(dependencies_.urgency(job_index)), !place_job(job_index).in_time,
+                      job.submit_wall, job_index);
   });
   std::sort(line.begin(), line.end());
   double left = kAheadShare * up_cpus_;
   for (auto [urgency, late, submitted, j] : line) {
-    const Job &n = jobs_[j];
-    const double fits = std::max(0.0, left / std::max(0.01, n.spec.need.cpus));
-    const auto ahead = std::min(n.pending(), std::max(kAheadLeast, static_cast<std::uint32_t>(std::min(1e6, fits))));
-    left -= ahead * n.spec.need.cpus;
+    const Job &job = jobs_[j];
+    const double fits = std::max(0.0, left / std::max(0.01, job.spec.need.cpus));
+    const auto ahead = std::min(job.pending(), std::max(kAheadLeast, static_cast<std::uint32_t>(std::min(1e6, fits))));
+    left -= ahead * job.spec.need.cpus;
     state_writer_.set_ahead(j, ahead);
   }
 }
@@ -371,11 +380,12 @@
   for (int team = 0; team < static_cast<int>(settings_.teams.size()); ++team)
     if (const auto *b = ledger_.budget(team); b && b->stop && ledger_.spent(team)) {
       std::vector<int> running;
-      jobs_.each([&](int j, const Job &n) {
-        if (n.team == team && n.placed > 0) running.push_back(j);
+      jobs_.each([&](int job_index, const Job &job) {
+        if (job.team == team && job.placed > 0) running.push_back(job_index);
       });
-      for (int j : running)
-        if (workers_.stop_all(j, jobs_[j].spec.save_s + 1)) events_.publish(TasksStoppedByBudget{j});
+      for (int job_index : running)
+        if (workers_.stop_all(job_index, jobs_[job_index].spec.save_s + 1))
+          events_.publish(TasksStoppedByBudget{job_index});
     }
 }
 
@@ -407,85 +417,87 @@
 };
 
 // The places that cost least, for as many of the job's tasks as there are places: for a gang all or none.
-std::vector<Scheduler::Offer> Scheduler::seek_places(const PlaceJob &p, const std::vector<PlaceMachine> &machines,
+std::vector<Scheduler::Offer> Scheduler::seek_places(const PlaceJob &job, const std::vector<PlaceMachine> &machines,
                                                      const std::vector<int> &index, int zone) const {
   std::vector<Offer> offers;
   for (std::size_t i = 0; i < machines.size(); ++i) {
     const auto &pm = machines[i];
-    if ((zone >= 0 && pm.zone != zone) || !allowed(p, pm) || !p.need.fits(pm.size)) continue;
-    Offer o;
-    o.position = i;
-    o.free = pm.free;
+    if ((zone >= 0 && pm.zone != zone) || !allowed(job, pm) || !job.need.fits(pm.size)) continue;
+    Offer offer;
+    offer.position = i;
+    offer.free = pm.free;
     const auto &allocations = workers_[index[i]].allocations;
     for (std::size_t s = 0; s < allocations.size(); ++s) {
       const Allocation &allocation = allocations[s];
       const Job *owner = allocation.job >= 0 ? jobs_.find(allocation.job) : nullptr;
       if (allocation.finished) continue;
       if (allocation.stop) { // going anyway
-        o.free.add(allocation.need);
-        o.at_once &= owner && owner->spec.checkpoint_s <= 0;
-      } else if (owner && (dependencies_.urgency(allocation.job) < p.urgency || owner->delegated_here) &&
+        offer.free.add(allocation.need);
+        offer.at_once &= owner && owner->spec.checkpoint_s <= 0;
+      } else if (owner && (dependencies_.urgency(allocation.job) < job.urgency || owner->delegated_here) &&
                  owner->spec.shape == Shape::Array) {
         const double ran = allocation.running_since >= 0 ? runtime_.now() - allocation.running_since : 0.1;
-        o.victims.push_back({ran * allocation.need.cpus, s, allocation.need});
-        o.at_once &= owner->spec.checkpoint_s <= 0;
+        offer.victims.push_back({ran * allocation.need.cpus, s, allocation.need});
+        offer.at_once &= owner->spec.checkpoint_s <= 0;
       }
     }
-    std::sort(o.victims.begin(), o.victims.end(), [](const auto &a, const auto &b) { return a.lost < b.lost; });
+    std::sort(offer.victims.begin(), offer.victims.end(), [](const auto &a, const auto &b) { return a.lost < b.lost; });
     // A machine that holds the image spares its fetch, during which the places stand idle.
-    if (p.image >= 0 && std::find(pm.images.begin(), pm.images.end(), p.image) != pm.images.end())
-      o.cost -= kImageWorth * p.need.cpus * p.image_gb / std::max(0.01, pm.speed_gb_s);
-    if (o.room_for(p.need)) offers.push_back(std::move(o));
+    if (job.image >= 0 && std::find(pm.images.begin(), pm.images.end(), job.image) != pm.images.end())
+      offer.cost -= kImageWorth * job.need.cpus * job.image_gb / std::max(0.01, pm.speed_gb_s);
+    if (offer.room_for(job.need)) offers.push_back(std::move(offer));
   }
   std::vector<std::pair<double, std::size_t>> heap; // -cost, offer
   for (std::size_t k = 0; k < offers.size(); ++k)
     heap.emplace_back(-offers[k].cost, k);
   std::make_heap(heap.begin(), heap.end());
   std::uint32_t found = 0;
-  for (; found < p.ready && !heap.empty(); ++found) {
+  for (; found < job.ready && !heap.empty(); ++found) {
     std::pop_heap(heap.begin(), heap.end());
-    Offer &o = offers[heap.back().second];
-    ++o.places;
-    o.goes = o.tried;
-    o.free.add(p.need, -1);
-    o.cost = 0;
-    if (o.room_for(p.need)) {
-      heap.back().first = -o.cost;
+    Offer &offer = offers[heap.back().second];
+    ++offer.places;
+    offer.goes = offer.tried;
+    offer.free.add(job.need, -1);
+    offer.cost = 0;
+    if (offer.room_for(job.need)) {
+      heap.back().first = -offer.cost;
       std::push_heap(heap.begin(), heap.end());
     } else {
       heap.pop_back();
     }
   }
-  if (p.gang && found < p.ready) return {};
-  std::erase_if(offers, [](const Offer &o) { return o.places == 0; });
+  if (job.gang && found < job.ready) return {};
+  std::erase_if(offers, [](const Offer &offer) { return offer.places == 0; });
   return offers;
 }
 
 // A job that fits nowhere may take the place of work of lower priority, where the least work is lost. Tasks
 // that cannot save exit as soon as they are told, so their successors are started by the very same answer.
 void Scheduler::preempt(std::vector<int> starved) {
-  std::erase_if(starved, [this](int j) { return dependencies_.urgency(j) == Urgency::Low || jobs_[j].delegated_here; });
+  std::erase_if(starved, [this](int job_index) {
+    return dependencies_.urgency(job_index) == Urgency::Low || jobs_[job_index].delegated_here;
+  });
   if (starved.empty()) return;
   std::stable_sort(starved.begin(), starved.end(),
                    [this](int a, int b) { return dependencies_.urgency(a) > dependencies_.urgency(b); });
   std::vector<int> index;
   auto machines = snapshot(index, -1);
-  for (int j : starved) {
-    const Job &n = jobs_[j];
-    const PlaceJob p = place_job(j);
-    const Team &team = quotas_.here(p.team);
+  for (int job_index : starved) {
+    const Job &n = jobs_[job_index];
+    const PlaceJob job = place_job(job_index);
+    const Team &team = quotas_.here(job.team);
     std::vector<int> zones{-1};
-    if (p.one_zone) {
+    if (job.one_zone) {
       zones.clear();
       for (const auto &m : machines)
         if (std::find(zones.begin(), zones.end(), m.zone) == zones.end()) zones.push_back(m.zone);
-      for (std::size_t z = 0; z < p.zone_used.size(); ++z)
-        if (p.zone_used[z] > 0) zones = {static_cast<int>(z)};
+      for (std::size_t z = 0; z < job.zone_used.size(); ++z)
+        if (job.zone_used[z] > 0) zones = {static_cast<int>(z)};
     }
     std::vector<Offer> best;
     double best_cost = 0;
-    for (int z : zones) {
-      auto offers = seek_places(p, machines, index, z);
+    for (int zone_index : zones) {
+      auto offers = seek_places(job, machines, index, zone_index);
       double cost = 0;
       for (const auto &o : offers)
         for (std::size_t v = 0; v < o.goes; ++v)
@@ -497,35 +509,37 @@
     }
     if (best.empty()) continue;
     // Victims count against their team until they are gone, so a team with a limit waits for that.
-    const bool at_once = p.zone_cap < 0 && team.cpus_max <= 0 && team.gpus_max <= 0 &&
-                         std::all_of(best.begin(), best.end(), [](const Offer &o) { return o.at_once; });
+    const bool at_once = job.zone_cap < 0 && team.cpus_max <= 0 && team.gpus_max <= 0 &&
+                         std::all_of(best.begin(), best.end(), [](const Offer &offer) { return offer.at_once; });
     std::uint32_t next = 0;
     for (const auto &o : best) {
-      const int m = index[o.position];
+      const int machine_index = index[o.position];
       if (o.goes)
-        runtime_.log(
-            LogLevel::Info, "preemption_started",
-            {{"job", n.spec.id}, {"machine", workers_[m].name}, {"places", o.places}, {"tasks_stopped", o.goes}});
+        runtime_.log(LogLevel::Info, "preemption_started",
+                     {{"job", n.spec.id},
+                      {"machine", workers_[machine_index].name},
+                      {"places", o.places},
+                      {"tasks_stopped", o.goes}});
       if (!at_once) { // small work must not move in while the last tasks are being stopped
-        grown(nominations_, m).job = n.spec.id;
-        grown(nominations_, m).until = runtime_.now() + kHoldForJob;
+        grown(nominations_, machine_index).job = n.spec.id;
+        grown(nominations_, machine_index).until = runtime_.now() + kHoldForJob;
       }
-      machines[o.position].held_for = j;
+      machines[o.position].held_for = job_index;
       machines[o.position].free = {}; // taken, as far as the next job is concerned
       std::vector<std::size_t> allocations;
       for (std::size_t v = 0; v < o.goes; ++v)
         allocations.push_back(o.victims[v].allocation);
       std::sort(allocations.rbegin(), allocations.rend()); // a slot that goes at once moves those after it
       for (std::size_t s : allocations) {
-        const int victim = workers_[m].allocations[s].job;
+        const int victim = workers_[machine_index].allocations[s].job;
         const JobSpec &owner = jobs_[victim].spec;
         events_.publish(TaskPreempted{victim, n.spec.id});
-        workers_.stop(m, s, owner.checkpoint_s > 0 ? owner.save_s + 1 : 0);
+        workers_.stop(machine_index, s, owner.checkpoint_s > 0 ? owner.save_s + 1 : 0);
       }
       for (std::uint32_t k = 0; at_once && k < o.places; ++k) {
         while (next < n.spec.tasks && n.tasks[next].state != TaskState::Pending)
           ++next;
-        if (next < n.spec.tasks) place(j, next, m);
+        if (next < n.spec.tasks) place(job_index, next, machine_index);
       }
     }
   }
--- a/src/core/state/cancellations.cpp
+++ b/src/core/state/cancellations.cpp
@@ -13,8 +13,8 @@
 } // namespace
 
 bool Cancellations::mark(const std::string &id) {
-  if (const int j = jobs_.index(id); j >= 0) {
-    jobs_.cancel(j);
+  if (const int job_index = jobs_.index(id); job_index >= 0) {
+    jobs_.cancel(job_index);
     return true;
   }
   if (awaited_.size() >= kMaxAwaited && !awaited_.contains(id)) return false;
@@ -73,10 +73,11 @@
   std::fill(words_.begin(), words_.end(), -1e9);
 }
 
-void Cancellations::on(const JobAccepted &e) {
-  if (const auto it = jobs_.find(e.job) ? awaited_.find(jobs_[e.job].spec.id) : awaited_.end(); it != awaited_.end()) {
+void Cancellations::on(const JobAccepted &event) {
+  if (const auto it = jobs_.find(event.job) ? awaited_.find(jobs_[event.job].spec.id) : awaited_.end();
+      it != awaited_.end()) {
     awaited_.erase(it);
-    jobs_.cancel(e.job);
+    jobs_.cancel(event.job);
   }
 }
 
--- a/src/core/state/state_watch.cpp
+++ b/src/core/state/state_watch.cpp
@@ -23,20 +23,21 @@
 void StateWatch::audit() {
   next_audit_ = runtime_.now() + std::max(kAuditEvery, kAuditReads / settings_.state_rps);
   auditing_ = true;
-  runtime_.store(StoreList{"open/", audited_}, 2.0, [this, epoch = leadership_.epoch()](const wire::StoreReply &r) {
+  runtime_.store(StoreList{"open/", audited_}, 2.0, [this, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
     if (epoch != leadership_.epoch()) return;
     auditing_ = false;
-    if (r.status != 200) return;
-    const std::string from = std::exchange(audited_, r.more && !r.entries.empty() ? r.entries.back().key : "");
+    if (reply.status != 200) return;
+    const std::string from =
+        std::exchange(audited_, reply.more && !reply.entries.empty() ? reply.entries.back().key : "");
     std::set<std::string> there;
-    for (const auto &e : r.entries) {
+    for (const auto &e : reply.entries) {
       there.insert(e.key);
       if (e.mod_revision > follow_from_) continue; // the watch has yet to tell
       const auto news = state_writer_.compare(e);
       if (!news.empty())
         runtime_.log(LogLevel::Error, "audit_mismatch_found", {{"key", e.key.substr(0, 60)}, {"what", news}});
     }
-    for (const auto &key : state_writer_.not_there(from, audited_, there, r.revision))
+    for (const auto &key : state_writer_.not_there(from, audited_, there, reply.revision))
       runtime_.log(LogLevel::Error, "audit_mismatch_found", {{"key", key.substr(0, 60)}, {"what", "no longer open"}});
   });
 }
@@ -58,15 +59,15 @@
 // Progress is read before the open jobs: a job that ends in between is then simply not found open.
 void StateWatch::load_progress(std::string from) {
   runtime_.store(
-      StoreList{"progress/", from}, 2.0, [this, from, epoch = leadership_.epoch()](const wire::StoreReply &r) {
+      StoreList{"progress/", from}, 2.0, [this, from, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
         if (epoch != leadership_.epoch()) return;
-        if (r.status != 200) return again([this, from] { load_progress(from); });
-        for (const auto &e : r.entries)
+        if (reply.status != 200) return again([this, from] { load_progress(from); });
+        for (const auto &e : reply.entries)
           if (!state_writer_.load_progress(e)) { // what it may have said was started is not known, so nothing may be
             runtime_.log(LogLevel::Error, "record_rejected", {{"key", e.key.substr(0, 60)}, {"then", "term ended"}});
             return leadership_.step_down("a progress record cannot be read");
           }
-        if (r.more && !r.entries.empty()) return load_progress(r.entries.back().key);
+        if (reply.more && !reply.entries.empty()) return load_progress(reply.entries.back().key);
         load_open("");
       });
 }
@@ -74,39 +75,40 @@
 // All open records: before leading, and again whenever the watch has failed.
 void StateWatch::load_open(std::string from) {
   if (from.empty()) listed_from_ = runtime_.now();
-  runtime_.store(StoreList{"open/", from}, 2.0, [this, from, epoch = leadership_.epoch()](const wire::StoreReply &r) {
-    if (epoch != leadership_.epoch()) return;
-    if (r.status != 200) return again([this, from] { load_open(from); });
-    if (from.empty()) follow_from_ = r.revision;
-    for (const auto &e : r.entries) {
-      if (!relisting_) state_writer_.load_end(e);
-      state_writer_.take_open(e.key, e.value, e.mod_revision);
-    }
-    if (r.more && !r.entries.empty()) return load_open(r.entries.back().key);
-    cancellations_.news(listed_from_);
-    if (relisting_) {
-      relisting_ = false;
-      return;
-    }
-    leadership_.begin_term();
-  });
+  runtime_.store(StoreList{"open/", from}, 2.0,
+                 [this, from, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
+                   if (epoch != leadership_.epoch()) return;
+                   if (reply.status != 200) return again([this, from] { load_open(from); });
+                   if (from.empty()) follow_from_ = reply.revision;
+                   for (const auto &e : reply.entries) {
+                     if (!relisting_) state_writer_.load_end(e);
+                     state_writer_.take_open(e.key, e.value, e.mod_revision);
+                   }
+                   if (reply.more && !reply.entries.empty()) return load_open(reply.entries.back().key);
+                   cancellations_.news(listed_from_);
+                   if (relisting_) {
+                     relisting_ = false;
+                     return;
+                   }
+                   leadership_.begin_term();
+                 });
 }
 
 void StateWatch::follow() {
   if (following_ || relisting_) return;
   following_ = true;
   runtime_.store(StoreWatch{"open/", follow_from_, kFollowHold}, kFollowHold + 1.5,
-                 [this, sent = runtime_.now(), epoch = leadership_.epoch()](const wire::StoreReply &r) {
+                 [this, sent = runtime_.now(), epoch = leadership_.epoch()](const wire::StoreReply &reply) {
                    if (epoch != leadership_.epoch()) return;
                    following_ = false;
-                   if (r.status == 410 || r.status == 0) { // too far behind, or no answer: a list may get one
+                   if (reply.status == 410 || reply.status == 0) { // too far behind, or no answer: a list may get one
                      relisting_ = true;
                      return load_open("");
                    }
-                   if (r.status != 200) return; // tried again with the next tick
-                   for (const auto &e : r.events)
+                   if (reply.status != 200) return; // tried again with the next tick
+                   for (const auto &e : reply.events)
                      if (e.value) state_writer_.take_open(e.key, *e.value, e.mod_revision);
-                   follow_from_ = std::max(follow_from_, r.revision);
+                   follow_from_ = std::max(follow_from_, reply.revision);
                    cancellations_.news(sent);
                    follow();
                  });
--- a/src/core/state/state_writer.cpp
+++ b/src/core/state/state_writer.cpp
@@ -31,13 +31,13 @@
 
 // ---- what is read ----
 
-bool StateWriter::load_progress(const wire::KeyValue &e) {
-  auto shard = wire::progress_from_json(e.key, e.value);
+bool StateWriter::load_progress(const wire::KeyValue &record) {
+  auto shard = wire::progress_from_json(record.key, record.value);
   if (!shard) return false;
   Shard s;
-  s.key = e.key;
-  s.mod_revision = e.mod_revision;
-  s.oversize = e.value.dump().size() > max_chars();
+  s.key = record.key;
+  s.mod_revision = record.mod_revision;
+  s.oversize = record.value.dump().size() > max_chars();
   ledger_.load_sums(shards_.size(), std::move(shard->sums));
   for (auto &[id, p] : shard->jobs) {
     // Guards against what an earlier loan of the same job has done here being taken for this one's: its entry goes
@@ -59,10 +59,10 @@
   return true;
 }
 
-void StateWriter::load_end(const wire::KeyValue &e) {
-  auto end = wire::final_from_json(e.value);
+void StateWriter::load_end(const wire::KeyValue &record) {
+  auto end = wire::final_from_json(record.value);
   if (!end) return;
-  moves_.push_back({e.key.substr(5), e.mod_revision, wire::to_json(*end)});
+  moves_.push_back({record.key.substr(5), record.mod_revision, wire::to_json(*end)});
   ended_.remember(moves_.back().id, std::move(*end));
 }
 
@@ -75,28 +75,29 @@
   }
   // Guards against news that is older than what this leader itself has ended since.
   if (ended_.find(record->spec.id)) return;
-  const int j = jobs_.index(record->spec.id);
-  if (j < 0) return accept(std::move(*record), mod_revision);
-  if (jobs_.update_mod_revision(j, mod_revision) && record->cancelled) jobs_.cancel(j);
-}
-
-std::string StateWriter::compare(const wire::KeyValue &e) {
-  if (wire::final_from_json(e.value)) return {};
-  const auto record = wire::open_from_json(e.value);
-  if (!record || e.key != "open/" + record->spec.id || ended_.find(record->spec.id)) return {};
-  const int j = jobs_.index(record->spec.id);
-  const bool missed = j < 0,
-             late = j >= 0 && record->cancelled && !jobs_[j].cancelled && e.mod_revision > jobs_[j].open_mod_revision;
-  if (missed || late) take_open(e.key, e.value, e.mod_revision);
+  const int job_index = jobs_.index(record->spec.id);
+  if (job_index < 0) return accept(std::move(*record), mod_revision);
+  if (jobs_.update_mod_revision(job_index, mod_revision) && record->cancelled) jobs_.cancel(job_index);
+}
+
+std::string StateWriter::compare(const wire::KeyValue &key_value) {
+  if (wire::final_from_json(key_value.value)) return {};
+  const auto record = wire::open_from_json(key_value.value);
+  if (!record || key_value.key != "open/" + record->spec.id || ended_.find(record->spec.id)) return {};
+  const int job_index = jobs_.index(record->spec.id);
+  const bool missed = job_index < 0, late = job_index >= 0 && record->cancelled && !jobs_[job_index].cancelled &&
+                                            key_value.mod_revision > jobs_[job_index].open_mod_revision;
+  if (missed || late) take_open(key_value.key, key_value.value, key_value.mod_revision);
   return missed ? "a job that was not known here" : late ? "a cancellation that was not known here" : "";
 }
 
 std::vector<std::string> StateWriter::not_there(const std::string &from, const std::string &to,
                                                 const std::set<std::string> &there, std::uint64_t revision) {
   std::vector<std::string> out;
-  jobs_.each([&](int, const Job &n) {
-    const std::string key = "open/" + n.spec.id;
-    if (key <= from || (!to.empty() && key > to) || there.contains(key) || n.ending || n.open_mod_revision > revision)
+  jobs_.each([&](int, const Job &job) {
+    const std::string key = "open/" + job.spec.id;
+    if (key <= from || (!to.empty() && key > to) || there.contains(key) || job.ending ||
+        job.open_mod_revision > revision)
       return;
     out.push_back(key);
   });
@@ -105,29 +106,29 @@
   return out;
 }
 
-static std::pair<std::string, std::uint64_t> loaded_key(const Job &n) {
-  return {n.spec.id, n.delegated_here ? n.delegated_here->generation : 0};
+static std::pair<std::string, std::uint64_t> loaded_key(const Job &job) {
+  return {job.spec.id, job.delegated_here ? job.delegated_here->generation : 0};
 }
 
 void StateWriter::accept(OpenRecord record, std::uint64_t mod_revision) {
-  const int j = jobs_.add(std::move(record), mod_revision);
-  const Job &n = jobs_[j];
-  grown(entries_, j) = {};
-  marks(j).assign(n.spec.tasks, 0);
-  assign_shard(j);
-  ledger_.open(j, entry(j).shard);
-  if (auto it = loaded_.find(loaded_key(n)); it != loaded_.end()) {
+  const int job_index = jobs_.add(std::move(record), mod_revision);
+  const Job &job = jobs_[job_index];
+  grown(entries_, job_index) = {};
+  marks(job_index).assign(job.spec.tasks, 0);
+  assign_shard(job_index);
+  ledger_.open(job_index, entry(job_index).shard);
+  if (auto it = loaded_.find(loaded_key(job)); it != loaded_.end()) {
     for (auto [a, b] : it->second.started)
-      for (auto i = a; i < b && i < n.spec.tasks; ++i)
-        marks(j)[i] = kStarted | kRecorded;
-    jobs_.restore(j, it->second);
+      for (auto i = a; i < b && i < job.spec.tasks; ++i)
+        marks(job_index)[i] = kStarted | kRecorded;
+    jobs_.restore(job_index, it->second);
     for (const auto &l : it->second.delegations)
-      entry(j).delegations_recorded.push_back(l.generation);
-    failure_attribution_.restore(j, it->second.failed_on);
-    ledger_.restore(j, it->second);
+      entry(job_index).delegations_recorded.push_back(l.generation);
+    failure_attribution_.restore(job_index, it->second.failed_on);
+    ledger_.restore(job_index, it->second);
   }
-  events_.publish(JobAccepted{j});
-  jobs_.changed(j, n.spec.urgency != Urgency::Low && n.spec.waits_for.empty());
+  events_.publish(JobAccepted{job_index});
+  jobs_.changed(job_index, job.spec.urgency != Urgency::Low && job.spec.waits_for.empty());
 }
 
 void StateWriter::on(const LeaderElected &) {
@@ -156,19 +157,19 @@
 
 // ---- what is to be written ----
 
-void StateWriter::mark(int j, bool ends, bool urgent) {
-  Entry &e = entry(j);
+void StateWriter::mark(int job_index, bool ends, bool urgent) {
+  Entry &e = entry(job_index);
   e.dirty = true;
   if (ends) {
-    if (!e.to_end) ending_.push_back(j);
+    if (!e.to_end) ending_.push_back(job_index);
     e.to_end = true;
   } else {
     mark_shard(static_cast<std::size_t>(e.shard), urgent);
   }
 }
 
-void StateWriter::mark_again(int j) {
-  mark(j, jobs_[j].finishable(), true);
+void StateWriter::mark_again(int job_index) {
+  mark(job_index, jobs_[job_index].finishable(), true);
 }
 
 void StateWriter::mark_shard(std::size_t s, bool urgent) {
@@ -190,11 +191,11 @@
 
 // Room that is reserved besides is that of the sums of its teams, half of the record at most: which teams they are
 // matters in between alone. (After a takeover every job is tried on every record.)
-bool StateWriter::has_room(std::size_t s, int j) const {
-  const std::size_t chars = shards_[s].reserved + entry_chars(jobs_[j]), most = max_chars();
+bool StateWriter::has_room(std::size_t s, int job_index) const {
+  const std::size_t chars = shards_[s].reserved + entry_chars(jobs_[job_index]), most = max_chars();
   if (!ledger_.on() || chars > most) return chars <= most;
   if (chars <= most - most / 2) return true;
-  std::set<std::string> teams{jobs_[j].spec.team};
+  std::set<std::string> teams{jobs_[job_index].spec.team};
   for (int k : shards_[s].jobs)
     teams.insert(jobs_[k].spec.team);
   for (const auto &[key, row] : ledger_.sums(s))
@@ -204,35 +205,36 @@
 
 // With accounts, room for one full set and a short one: tasks are started in their order, so those that were are one
 // range.
-std::size_t StateWriter::entry_chars(const Job &n) const {
-  const std::size_t set = std::min<std::size_t>(n.spec.tasks / 4 + 3, set_chars());
+std::size_t StateWriter::entry_chars(const Job &job) const {
+  const std::size_t set = std::min<std::size_t>(job.spec.tasks / 4 + 3, set_chars());
   const std::size_t delegations = settings_.cells.name.empty() ? 0 : kMaxDelegations * kDelegationChars;
-  return (ledger_.on() ? kAccountChars + n.spec.id.size() + set : kEntryChars + 2 * set) + delegations;
+  return (ledger_.on() ? kAccountChars + job.spec.id.size() + set : kEntryChars + 2 * set) + delegations;
 }
 
 // A job stays in its shard for as long as this node leads; room for its largest form is reserved. One that an earlier
 // leader kept where values may be larger than now may have to move.
-void StateWriter::assign_shard(int j) {
-  if (auto it = loaded_shard_.find(loaded_key(jobs_[j])); it != loaded_shard_.end()) {
-    if (has_room(it->second, j) || shards_[it->second].jobs.empty()) return put_in(j, it->second);
-    return move(j, it->second);
+void StateWriter::assign_shard(int job_index) {
+  if (auto it = loaded_shard_.find(loaded_key(jobs_[job_index])); it != loaded_shard_.end()) {
+    if (has_room(it->second, job_index) || shards_[it->second].jobs.empty()) return put_in(job_index, it->second);
+    return move(job_index, it->second);
   }
   for (std::size_t s = 0; s < shards_.size(); ++s)
-    if (has_room(s, j)) return put_in(j, s);
-  put_in(j, fresh_shard('s'));
+    if (has_room(s, job_index)) return put_in(job_index, s);
+  put_in(job_index, fresh_shard('s'));
 }
 
-void StateWriter::put_in(int j, std::size_t s) {
-  entry(j).shard = static_cast<int>(s);
-  shards_[s].jobs.push_back(j);
-  shards_[s].reserved += entry_chars(jobs_[j]);
+void StateWriter::put_in(int job_index, std::size_t s) {
+  entry(job_index).shard = static_cast<int>(s);
+  shards_[s].jobs.push_back(job_index);
+  shards_[s].reserved += entry_chars(jobs_[job_index]);
 }
 
 std::size_t StateWriter::fresh_shard(char series) {
   Shard fresh;
   for (std::size_t name = 0; fresh.key.empty(); ++name) {
     auto key = fmt::format("progress/{}{}", series, name);
-    if (std::none_of(shards_.begin(), shards_.end(), [&](const Shard &x) { return x.key == key; })) fresh.key = key;
+    if (std::none_of(shards_.begin(), shards_.end(), [&](const Shard &shard) { return shard.key == key; }))
+      fresh.key = key;
   }
   shards_.push_back(std::move(fresh));
   return shards_.size() - 1;
@@ -241,99 +243,104 @@
 // In steps, each of them safe by itself: a job that stands in two records has been started as far as either says, and
 // what it has used is what the newer says (load_progress). Its sums stay where they were charged. The new record comes
 // after the old one in the list, since earlier versions take the last for the newer.
-void StateWriter::move(int j, std::size_t from) {
+void StateWriter::move(int job_index, std::size_t from) {
   std::size_t to = shards_.size();
   for (std::size_t s = 0; s < shards_.size() && to == shards_.size(); ++s)
-    if (s != from && shards_[s].key > shards_[from].key && shards_[s].leaving.empty() && has_room(s, j)) to = s;
-  put_in(j, to < shards_.size() ? to : fresh_shard('t'));
-  entry(j).from = static_cast<int>(from);
-  shards_[from].leaving.push_back(j);
-  entry(j).dirty = true;
-  mark_shard(static_cast<std::size_t>(entry(j).shard), true);
+    if (s != from && shards_[s].key > shards_[from].key && shards_[s].leaving.empty() && has_room(s, job_index)) to = s;
+  put_in(job_index, to < shards_.size() ? to : fresh_shard('t'));
+  entry(job_index).from = static_cast<int>(from);
+  shards_[from].leaving.push_back(job_index);
+  entry(job_index).dirty = true;
+  mark_shard(static_cast<std::size_t>(entry(job_index).shard), true);
 }
 
 // After a write that the state service has confirmed.
-void StateWriter::move_on(const Transaction &t) {
-  for (const auto &id : t.jobs) {
-    const int j = jobs_.index(id);
-    if (j < 0 || entry(j).from < 0 || entry(j).copied) continue;
-    entry(j).copied = true;
-    if (const auto from = static_cast<std::size_t>(entry(j).from); !blocked(shards_[from])) mark_shard(from, true);
+void StateWriter::move_on(const Transaction &transaction) {
+  for (const auto &id : transaction.jobs) {
+    const int job_index = jobs_.index(id);
+    if (job_index < 0 || entry(job_index).from < 0 || entry(job_index).copied) continue;
+    entry(job_index).copied = true;
+    if (const auto from = static_cast<std::size_t>(entry(job_index).from); !blocked(shards_[from]))
+      mark_shard(from, true);
   }
-  for (const auto *list : {&t.shards, &t.emptied})
+  for (const auto *list : {&transaction.shards, &transaction.emptied})
     for (std::size_t s : *list)
-      for (int j : std::exchange(shards_[s].leaving, {})) { // it no longer holds them
-        entry(j).from = -1;
-        entry(j).copied = false;
+      for (int job_index : std::exchange(shards_[s].leaving, {})) { // it no longer holds them
+        entry(job_index).from = -1;
+        entry(job_index).copied = false;
       }
 }
 
 // Jobs leave it that are not known to be elsewhere; or it has too much in it that is about to be settled.
-bool StateWriter::blocked(const Shard &s) const {
-  return (s.oversize && !s.ghosts.empty()) || std::any_of(s.leaving.begin(), s.leaving.end(), [this](int j) {
-           return !entries_[static_cast<std::size_t>(j)].copied;
-         });
+bool StateWriter::blocked(const Shard &shard) const {
+  return (shard.oversize && !shard.ghosts.empty()) ||
+         std::any_of(shard.leaving.begin(), shard.leaving.end(),
+                     [this](int job_index) { return !entries_[static_cast<std::size_t>(job_index)].copied; });
 }
 
 // Guards against a record that is refused for its size for ever, and others with it: which one it is shows when they
 // are written one by one; that one is made smaller.
-void StateWriter::refused(const Transaction &t) {
+void StateWriter::refused(const Transaction &transaction) {
   flush_after_ = runtime_.now() + 0.3;
-  const std::size_t writes = t.shards.size() + t.emptied.size() + t.ends.size() + t.moves.size();
-  const std::string what = t.shards.size() == 1 ? shards_[t.shards[0]].key
-                           : t.ends.size() == 1 ? "the end of " + t.ends[0]
-                                                : fmt::format("{} records", writes);
+  const std::size_t writes =
+      transaction.shards.size() + transaction.emptied.size() + transaction.ends.size() + transaction.moves.size();
+  const std::string what = transaction.shards.size() == 1 ? shards_[transaction.shards[0]].key
+                           : transaction.ends.size() == 1 ? "the end of " + transaction.ends[0]
+                                                          : fmt::format("{} records", writes);
   runtime_.log(LogLevel::Error, "record_write_refused",
                {{"record", what}, {"then", writes > 1 ? "one by one" : "made smaller"}});
   alone_until_ = runtime_.now() + 5;
   if (writes != 1) return;
-  if (!t.folded.empty()) left_alone_.insert(t.folded);
-  for (const auto &id : t.ends)
-    if (const int j = jobs_.index(id); j >= 0) entry(j).coarser = std::max(1, entry(j).coarser);
-  for (std::size_t s : t.shards) {
+  if (!transaction.folded.empty()) left_alone_.insert(transaction.folded);
+  for (const auto &id : transaction.ends)
+    if (const int job_index = jobs_.index(id); job_index >= 0)
+      entry(job_index).coarser = std::max(1, entry(job_index).coarser);
+  for (std::size_t s : transaction.shards) {
     auto jobs = shards_[s].jobs;
-    for (int j : jobs)
-      ++entry(j).coarser;
+    for (int job_index : jobs)
+      ++entry(job_index).coarser;
     for (std::size_t k = 1; k < jobs.size(); k += 2)
       if (entry(jobs[k]).from < 0) {
         std::erase(shards_[s].jobs, jobs[k]);
         shards_[s].reserved -= entry_chars(jobs_[jobs[k]]);
         move(jobs[k], s);
       }
-    for (int j : shards_[s].jobs)
-      entry(j).dirty = true;
+    for (int job_index : shards_[s].jobs)
+      entry(job_index).dirty = true;
   }
 }
 
-void StateWriter::remove(int j) {
-  const auto s = static_cast<std::size_t>(entry(j).shard);
-  if (entry(j).from >= 0) std::erase(shards_[static_cast<std::size_t>(entry(j).from)].leaving, j);
-  std::erase(shards_[s].jobs, j);
-  shards_[s].reserved -= entry_chars(jobs_[j]);
+void StateWriter::remove(int job_index) {
+  const auto s = static_cast<std::size_t>(entry(job_index).shard);
+  if (entry(job_index).from >= 0)
+    std::erase(shards_[static_cast<std::size_t>(entry(job_index).from)].leaving, job_index);
+  std::erase(shards_[s].jobs, job_index);
+  shards_[s].reserved -= entry_chars(jobs_[job_index]);
   mark_shard(s, false);
-  std::erase(ending_, j);
-  entry(j) = {};
-  jobs_.remove(j);
+  std::erase(ending_, job_index);
+  entry(job_index) = {};
+  jobs_.remove(job_index);
 }
 
-void StateWriter::set_ahead(int j, std::uint32_t tasks) {
-  entry(j).ahead = tasks;
-  const Job &n = jobs_[j];
+void StateWriter::set_ahead(int job_index, std::uint32_t tasks) {
+  entry(job_index).ahead = tasks;
+  const Job &job = jobs_[job_index];
   std::uint32_t there = 0;
-  for (std::uint32_t i = 0; i < n.spec.tasks; ++i)
-    there += n.tasks[i].state == TaskState::Pending && (marks(j)[i] & kStarted);
-  if (there < (tasks + 1) / 2) jobs_.changed(j, true);
+  for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
+    there += job.tasks[i].state == TaskState::Pending && (marks(job_index)[i] & kStarted);
+  if (there < (tasks + 1) / 2) jobs_.changed(job_index, true);
 }
 
 // The next tasks in line count as started before they are placed. Too many "started" are safe: after a takeover they
 // wait until leases have run out.
-void StateWriter::record_ahead(int j) {
-  const Job &n = jobs_[j];
-  if (n.cancelled || !dependencies_.ready(j)) return;
-  std::uint32_t ahead = n.spec.shape == Shape::Gang ? (n.spec.tasks <= 64 ? n.spec.tasks : 0) : entry(j).ahead;
-  for (std::uint32_t i = 0; i < n.spec.tasks && ahead > 0; ++i)
-    if (n.tasks[i].state == TaskState::Pending) {
-      start(j, i);
+void StateWriter::record_ahead(int job_index) {
+  const Job &job = jobs_[job_index];
+  if (job.cancelled || !dependencies_.ready(job_index)) return;
+  std::uint32_t ahead =
+      job.spec.shape == Shape::Gang ? (job.spec.tasks <= 64 ? job.spec.tasks : 0) : entry(job_index).ahead;
+  for (std::uint32_t i = 0; i < job.spec.tasks && ahead > 0; ++i)
+    if (job.tasks[i].state == TaskState::Pending) {
+      start(job_index, i);
       --ahead;
     }
 }
@@ -357,11 +364,12 @@
   const double level = state_limits_.leader_writes(runtime_.now());
   const bool alone = runtime_.now() < alone_until_;
   const std::size_t max_ops = alone ? 1 : static_cast<std::size_t>(settings_.state_txn_ops);
-  Transaction t;
-  t.preconditions = {{"leader", leadership_.term()}};
+  Transaction transaction;
+  transaction.preconditions = {{"leader", leadership_.term()}};
   bool full = false;
   auto room = [&](std::size_t ops) {
-    full |= t.writes.size() + ops > max_ops || static_cast<double>(t.writes.size() + ops) > level || t.bytes > 48'000;
+    full |= transaction.writes.size() + ops > max_ops || static_cast<double>(transaction.writes.size() + ops) > level ||
+            transaction.bytes > 48'000;
     return !full;
   };
   // Where many jobs end at once, one write says so for each and the record is moved later: three writes
@@ -369,22 +377,22 @@
   const bool in_place = alone || (ending_.size() > kManyEnds && moves_.size() < kMaxMoves);
   auto put_ends = [&] {
     for (std::size_t k = ending_.size(); k-- > 0 && !full;) {
-      const int j = ending_.front();
-      if (!jobs_[j].finishable()) { // a task of a cancelled job has turned up
+      const int job_index = ending_.front();
+      if (!jobs_[job_index].finishable()) { // a task of a cancelled job has turned up
         ending_.pop_front();
-        entry(j).to_end = false;
-        mark(j, false, false);
-      } else if (entry(j).from >= 0) { // its move has to be over: what it has used must not be counted twice
+        entry(job_index).to_end = false;
+        mark(job_index, false, false);
+      } else if (entry(job_index).from >= 0) { // its move has to be over: what it has used must not be counted twice
         ending_.pop_front();
-        ending_.push_back(j);
-      } else if (entry(j).needs_resync) {
-        resync(j);
+        ending_.push_back(job_index);
+      } else if (entry(job_index).needs_resync) {
+        resync(job_index);
         ending_.pop_front();
-        ending_.push_back(j);
+        ending_.push_back(job_index);
       } else if (room(in_place ? 1 : 2)) {
         ending_.pop_front();
-        entry(j).to_end = false;
-        add_end(j, t, in_place);
+        entry(job_index).to_end = false;
+        add_end(job_index, transaction, in_place);
       }
     }
   };
@@ -393,7 +401,7 @@
       if (shards_[s].needs_resync)
         resync_shard(s);
       else if (room(1))
-        add_shard(s, t);
+        add_shard(s, transaction);
     }
   };
   // They take turns at the front, as either alone may use up the budget.
@@ -401,122 +409,125 @@
   if (ends_first_) put_ends();
   put_shards();
   if (!ends_first_) put_ends();
-  if (t.writes.empty()) add_moves(t, level, max_ops);
-  if (t.writes.empty()) return;
-  commit(std::move(t));
+  if (transaction.writes.empty()) add_moves(transaction, level, max_ops);
+  if (transaction.writes.empty()) return;
+  commit(std::move(transaction));
 }
 
-void StateWriter::commit(Transaction &&t) {
-  state_limits_.take_leader_writes(runtime_.now(), static_cast<double>(t.writes.size()));
+void StateWriter::commit(Transaction &&transaction) {
+  state_limits_.take_leader_writes(runtime_.now(), static_cast<double>(transaction.writes.size()));
   flushing_ = true;
-  StoreCommit commit{t.preconditions, std::move(t.writes)};
-  runtime_.store(std::move(commit), 1.5,
-                 [this, t = std::move(t), epoch = leadership_.epoch()](const wire::StoreReply &r) {
-                   if (epoch == leadership_.epoch()) flushed(t, r);
-                 });
+  StoreCommit commit{transaction.preconditions, std::move(transaction.writes)};
+  runtime_.store(
+      std::move(commit), 1.5,
+      [this, transaction = std::move(transaction), epoch = leadership_.epoch()](const wire::StoreReply &reply) {
+        if (epoch == leadership_.epoch()) flushed(transaction, reply);
+      });
 }
 
 // Only with most of the budget at hand, so that nothing else waits for it.
-void StateWriter::add_moves(Transaction &t, double budget, std::size_t most) {
+void StateWriter::add_moves(Transaction &transaction, double budget, std::size_t most) {
   if (budget < 0.4 * settings_.state_write_rps) return;
-  while (!moves_.empty() && t.writes.size() + 2 <= std::min<std::size_t>(most, static_cast<std::size_t>(budget))) {
+  while (!moves_.empty() &&
+         transaction.writes.size() + 2 <= std::min<std::size_t>(most, static_cast<std::size_t>(budget))) {
     Move m = std::move(moves_.front());
     moves_.pop_front();
-    t.preconditions.push_back({"open/" + m.id, m.mod_revision});
-    t.preconditions.push_back({"end/" + m.id, 0});
-    t.writes.push_back({"open/" + m.id, std::nullopt, 0});
-    t.writes.push_back({"end/" + m.id, m.value, 0});
-    t.moves.push_back(std::move(m));
+    transaction.preconditions.push_back({"open/" + m.id, m.mod_revision});
+    transaction.preconditions.push_back({"end/" + m.id, 0});
+    transaction.writes.push_back({"open/" + m.id, std::nullopt, 0});
+    transaction.writes.push_back({"end/" + m.id, m.value, 0});
+    transaction.moves.push_back(std::move(m));
   }
 }
 
-void StateWriter::add_end(int j, Transaction &t, bool in_place) {
-  const Job &n = jobs_[j];
-  Entry &e = entry(j);
-  if (n.delegated_here) { // its home keeps how it ended
-    t.preconditions.push_back({"open/" + n.spec.id, n.open_mod_revision});
-    t.writes.push_back({"open/" + n.spec.id, std::nullopt, 0});
-    t.ends.push_back(n.spec.id);
-    return jobs_.set_ending(j, true);
+void StateWriter::add_end(int job_index, Transaction &transaction, bool in_place) {
+  const Job &job = jobs_[job_index];
+  Entry &e = entry(job_index);
+  if (job.delegated_here) { // its home keeps how it ended
+    transaction.preconditions.push_back({"open/" + job.spec.id, job.open_mod_revision});
+    transaction.writes.push_back({"open/" + job.spec.id, std::nullopt, 0});
+    transaction.ends.push_back(job.spec.id);
+    return jobs_.set_ending(job_index, true);
   }
-  e.end = pending_reasons_.end_record(j);
+  e.end = pending_reasons_.end_record(job_index);
   if (ledger_.on()) {
-    e.end.usage = ledger_.usage(j);
-    e.end.need = n.spec.need;
+    e.end.usage = ledger_.usage(job_index);
+    e.end.need = job.spec.need;
   }
   if (e.coarser) e.end.reason.clear();
   const double took = e.end.end_wall - e.end.submit_wall;
-  runtime_.log(e.end.late && !n.cancelled ? LogLevel::Info : LogLevel::Debug, "job_ended",
-               {{"job", n.spec.id},
-                {"class", n.spec.job_class},
-                {"team", n.spec.team},
-                {"outcome", n.cancelled ? "cancelled" : "done"},
-                {"tasks", n.spec.tasks},
-                {"estimate_s", n.spec.estimate_s},
+  runtime_.log(e.end.late && !job.cancelled ? LogLevel::Info : LogLevel::Debug, "job_ended",
+               {{"job", job.spec.id},
+                {"class", job.spec.job_class},
+                {"team", job.spec.team},
+                {"outcome", job.cancelled ? "cancelled" : "done"},
+                {"tasks", job.spec.tasks},
+                {"estimate_s", job.spec.estimate_s},
                 {"took_s", took},
-                {"wanted_after_s", objectives_.due_after(n.spec, n.spec.deadline_s, took)}});
-  t.preconditions.push_back({"open/" + n.spec.id, n.open_mod_revision});
-  t.preconditions.push_back({"end/" + n.spec.id, 0});
+                {"wanted_after_s", objectives_.due_after(job.spec, job.spec.deadline_s, took)}});
+  transaction.preconditions.push_back({"open/" + job.spec.id, job.open_mod_revision});
+  transaction.preconditions.push_back({"end/" + job.spec.id, 0});
   if (in_place) {
-    t.writes.push_back({"open/" + n.spec.id, wire::final_json(e.end), 0});
+    transaction.writes.push_back({"open/" + job.spec.id, wire::final_json(e.end), 0});
   } else {
-    t.writes.push_back({"open/" + n.spec.id, std::nullopt, 0});
-    t.writes.push_back({"end/" + n.spec.id, wire::to_json(e.end), 0});
+    transaction.writes.push_back({"open/" + job.spec.id, std::nullopt, 0});
+    transaction.writes.push_back({"end/" + job.spec.id, wire::to_json(e.end), 0});
   }
   e.ended_in_place = in_place;
-  t.bytes += 600;
-  t.ends.push_back(n.spec.id);
-  jobs_.set_ending(j, true);
-}
-
-void StateWriter::write_entry(int j, Transaction &t) {
-  const Job &n = jobs_[j];
-  Entry &e = entry(j);
-  record_ahead(j);
-  ProgressRecord p;
-  p.started = make_ranges(n.spec.tasks, [&](std::uint32_t i) { return (e.marks[i] & kStarted) != 0; });
-  p.finished = make_ranges(n.spec.tasks, [&](std::uint32_t i) { return n.tasks[i].state == TaskState::Done; });
+  transaction.bytes += 600;
+  transaction.ends.push_back(job.spec.id);
+  jobs_.set_ending(job_index, true);
+}
+
+void StateWriter::write_entry(int job_index, Transaction &transaction) {
+  const Job &job = jobs_[job_index];
+  Entry &e = entry(job_index);
+  record_ahead(job_index);
+  ProgressRecord progress;
+  progress.started = make_ranges(job.spec.tasks, [&](std::uint32_t i) { return (e.marks[i] & kStarted) != 0; });
+  progress.finished =
+      make_ranges(job.spec.tasks, [&](std::uint32_t i) { return job.tasks[i].state == TaskState::Done; });
   const std::size_t chars = set_chars() >> std::min(e.coarser, 8);
-  if (n.spec.tasks / 4 + 3 > chars) { // a range takes 14 characters at most
-    p.started = widen(std::move(p.started), std::max<std::size_t>(1, chars / 14));
-    p.finished = narrow(std::move(p.finished), chars / 14);
+  if (job.spec.tasks / 4 + 3 > chars) { // a range takes 14 characters at most
+    progress.started = widen(std::move(progress.started), std::max<std::size_t>(1, chars / 14));
+    progress.finished = narrow(std::move(progress.finished), chars / 14);
   }
-  p.failed_on = failure_attribution_.suspect(j) ? failure_attribution_.failed_on(j) : 0;
-  p.delegations = n.delegations;
-  p.delegated_here = n.delegated_here ? n.delegated_here->generation : 0;
+  progress.failed_on = failure_attribution_.suspect(job_index) ? failure_attribution_.failed_on(job_index) : 0;
+  progress.delegations = job.delegations;
+  progress.delegated_here = job.delegated_here ? job.delegated_here->generation : 0;
   e.delegations_covered.clear();
-  for (const auto &l : n.delegations)
+  for (const auto &l : job.delegations)
     e.delegations_covered.push_back(l.generation);
-  ledger_.write(j, p);
-  e.progress = wire::to_json(p);
+  ledger_.write(job_index, progress);
+  e.progress = wire::to_json(progress);
   // What the transaction covers: tasks placed, or done, from here on wait for the next one.
-  for (std::uint32_t i = 0; i < n.spec.tasks; ++i) {
+  for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
     auto &mark = e.marks[i];
     mark = static_cast<std::uint8_t>(mark & ~(kCovered | kDoneCovered));
     if (mark & kStarted) mark |= kCovered;
-    if (n.tasks[i].state == TaskState::Done) mark |= kDoneCovered;
+    if (job.tasks[i].state == TaskState::Done) mark |= kDoneCovered;
   }
   e.dirty = false;
-  t.jobs.push_back(n.spec.id);
+  transaction.jobs.push_back(job.spec.id);
 }
 
-void StateWriter::add_shard(std::size_t s, Transaction &t, const std::string &without_period) {
+void StateWriter::add_shard(std::size_t s, Transaction &transaction, const std::string &without_period) {
   Shard &shard = shards_[s];
-  for (int j : shard.jobs) {
-    if (entry(j).dirty || ledger_.changed(j)) write_entry(j, t);
-    t.bytes += jobs_[j].spec.tasks / 2 + kEntryChars;
+  for (int job_index : shard.jobs) {
+    if (entry(job_index).dirty || ledger_.changed(job_index)) write_entry(job_index, transaction);
+    transaction.bytes += jobs_[job_index].spec.tasks / 2 + kEntryChars;
   }
-  t.preconditions.push_back({shard.key, shard.mod_revision});
+  transaction.preconditions.push_back({shard.key, shard.mod_revision});
   const bool empty = shard.jobs.empty() && shard.ghosts.empty() && ledger_.sums(s).empty(); // of kept sums, too
-  t.writes.push_back({shard.key, empty ? std::nullopt : std::optional(shard_value(s, without_period)), 0});
+  transaction.writes.push_back({shard.key, empty ? std::nullopt : std::optional(shard_value(s, without_period)), 0});
   shard.dirty = shard.urgent = false;
-  (empty ? t.emptied : t.shards).push_back(s);
+  (empty ? transaction.emptied : transaction.shards).push_back(s);
 }
 
 wire::Json StateWriter::shard_value(std::size_t s, const std::string &without_period) const {
   std::vector<std::pair<std::string, wire::Json>> entries;
-  for (int j : shards_[s].jobs)
-    entries.emplace_back(jobs_[j].spec.id, entries_[static_cast<std::size_t>(j)].progress);
+  for (int job_index : shards_[s].jobs)
+    entries.emplace_back(jobs_[job_index].spec.id, entries_[static_cast<std::size_t>(job_index)].progress);
   for (const auto &[id, p] : shards_[s].ghosts)
     entries.emplace_back(id, wire::to_json(p));
   SumsByTeam sums = ledger_.sums(s);
@@ -524,102 +535,103 @@
   return wire::progress_shard(std::move(entries), sums);
 }
 
-void StateWriter::flushed(const Transaction &t, const wire::StoreReply &r) {
+void StateWriter::flushed(const Transaction &transaction, const wire::StoreReply &reply) {
   flushing_ = false;
   auto each = [&](const std::vector<std::string> &names, auto fn) {
     for (const auto &name : names)
-      if (const int j = jobs_.index(name); j >= 0) fn(j);
+      if (const int job_index = jobs_.index(name); job_index >= 0) fn(job_index);
   };
-  if (r.status == 200) {
-    move_on(t);
-    for (std::size_t s : t.shards) {
-      shards_[s].mod_revision = r.revision;
+  if (reply.status == 200) {
+    move_on(transaction);
+    for (std::size_t s : transaction.shards) {
+      shards_[s].mod_revision = reply.revision;
       shards_[s].folding.clear(); // whatever was under way before can no longer be applied
-      if (!t.folded.empty()) ledger_.forget(s, t.folded);
+      if (!transaction.folded.empty()) ledger_.forget(s, transaction.folded);
     }
-    for (std::size_t s : t.emptied)
+    for (std::size_t s : transaction.emptied)
       shards_[s].mod_revision = 0;
-    each(t.jobs, [&](int j) {
-      for (auto &mark : marks(j)) {
+    each(transaction.jobs, [&](int job_index) {
+      for (auto &mark : marks(job_index)) {
         if (mark & kCovered) mark |= kRecorded;
         if (mark & kDoneCovered) mark |= kDoneRecorded;
       }
-      delegations_recorded(j);
+      delegations_recorded(job_index);
     });
-    each(t.ends, [&](int j) {
-      const Entry &e = entry(j);
-      const std::string id = jobs_[j].spec.id;
-      if (jobs_[j].delegated_here) return remove(j);
-      if (e.ended_in_place) moves_.push_back({id, r.revision, wire::to_json(e.end)});
+    each(transaction.ends, [&](int job_index) {
+      const Entry &e = entry(job_index);
+      const std::string id = jobs_[job_index].spec.id;
+      if (jobs_[job_index].delegated_here) return remove(job_index);
+      if (e.ended_in_place) moves_.push_back({id, reply.revision, wire::to_json(e.end)});
       ended_.remember(id, e.end);
-      remove(j);
+      remove(job_index);
     });
     return;
   }
-  if (r.status == 409)
-    for (const auto &k : r.failed)
+  if (reply.status == 409)
+    for (const auto &k : reply.failed)
       if (k == "leader") return leadership_.step_down("the leader key has changed");
-  for (const auto &m : t.moves) // a record that is not there as it was has been moved already, without an answer
-    if (std::none_of(r.failed.begin(), r.failed.end(),
+  for (const auto &m :
+       transaction.moves) // a record that is not there as it was has been moved already, without an answer
+    if (std::none_of(reply.failed.begin(), reply.failed.end(),
                      [&](const auto &k) { return k == "open/" + m.id || k == "end/" + m.id; }))
       moves_.push_back(m);
-  if (r.status == 409) {
-    for (const auto &k : r.failed) {
+  if (reply.status == 409) {
+    for (const auto &k : reply.failed) {
       for (auto &shard : shards_)
         if (shard.key == k) shard.needs_resync = true;
-      each({k.substr(k.find('/') + 1)}, [&](int j) { entry(j).needs_resync = true; });
+      each({k.substr(k.find('/') + 1)}, [&](int job_index) { entry(job_index).needs_resync = true; });
     }
-  } else if (r.status == 0) {
+  } else if (reply.status == 0) {
     // May have been applied, or may be yet: the stamps are read again, and whichever of the
     // two writes comes second fails on them.
-    each(t.ends, [&](int j) { entry(j).needs_resync = true; });
-    for (const auto *list : {&t.shards, &t.emptied})
+    each(transaction.ends, [&](int job_index) { entry(job_index).needs_resync = true; });
+    for (const auto *list : {&transaction.shards, &transaction.emptied})
       for (std::size_t s : *list) {
         shards_[s].needs_resync = true;
-        if (!t.folded.empty()) shards_[s].folding = t.folded;
+        if (!transaction.folded.empty()) shards_[s].folding = transaction.folded;
       }
     flush_after_ = runtime_.now() + 0.2;
-  } else if (r.status == 400) {
-    refused(t);
+  } else if (reply.status == 400) {
+    refused(transaction);
   } else {
     flush_after_ = runtime_.now() + 0.3;
   }
-  each(t.ends, [&](int j) { jobs_.set_ending(j, false); });
-  each(t.ends, [&](int j) { mark_again(j); });
-  each(t.jobs, [&](int j) { mark_again(j); });
-  for (const auto *list : {&t.shards, &t.emptied})
+  each(transaction.ends, [&](int job_index) { jobs_.set_ending(job_index, false); });
+  each(transaction.ends, [&](int job_index) { mark_again(job_index); });
+  each(transaction.jobs, [&](int job_index) { mark_again(job_index); });
+  for (const auto *list : {&transaction.shards, &transaction.emptied})
     for (std::size_t s : *list)
-      mark_shard(s, list == &t.shards);
+      mark_shard(s, list == &transaction.shards);
 }
 
 // What a confirmed write has said of a job's loans.
-void StateWriter::delegations_recorded(int j) {
-  Entry &e = entry(j);
+void StateWriter::delegations_recorded(int job_index) {
+  Entry &e = entry(job_index);
   auto lacks = [](const auto &all, std::uint64_t g) { return std::find(all.begin(), all.end(), g) == all.end(); };
   for (auto g : e.delegations_covered)
-    if (lacks(e.delegations_recorded, g)) events_.publish(DelegationRecorded{j, g});
+    if (lacks(e.delegations_recorded, g)) events_.publish(DelegationRecorded{job_index, g});
   for (auto g : e.delegations_recorded)
-    if (lacks(e.delegations_covered, g)) events_.publish(DelegationRemoved{j, g});
+    if (lacks(e.delegations_covered, g)) events_.publish(DelegationRemoved{job_index, g});
   e.delegations_recorded = e.delegations_covered;
 }
 
 void StateWriter::resync_shard(std::size_t s) {
   if (shards_[s].resyncing) return;
   shards_[s].resyncing = true;
-  runtime_.store(StoreGet{shards_[s].key}, 1.0, [this, s, epoch = leadership_.epoch()](const wire::StoreReply &r) {
+  runtime_.store(StoreGet{shards_[s].key}, 1.0, [this, s, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
     if (epoch != leadership_.epoch()) return;
     shards_[s].resyncing = false;
-    if (r.status == 200 && r.entries.size() == 1) {
-      shards_[s].mod_revision = r.entries[0].mod_revision;
+    if (reply.status == 200 && reply.entries.size() == 1) {
+      shards_[s].mod_revision = reply.entries[0].mod_revision;
       // Whether the write that moved sums away was applied, it says itself. If not, it may be yet, until another
       // write has come before it.
       if (auto &period = shards_[s].folding; !period.empty()) {
-        auto there = wire::progress_from_json(shards_[s].key, r.entries[0].value);
+        auto there = wire::progress_from_json(shards_[s].key, reply.entries[0].value);
         if (there && std::none_of(there->sums.begin(), there->sums.end(),
                                   [&](const auto &x) { return x.first.first == period; }))
           ledger_.forget(s, std::exchange(period, {}));
       }
-    } else if (r.status == 404) {
+    } else if (reply.status == 404) {
       shards_[s].mod_revision = 0;
     } else {
       flush_after_ = runtime_.now() + 0.2;
@@ -644,12 +656,12 @@
   for (const auto &m : moves_)
     if (m.id == id) return settled(s, id, wire::end_from_json(m.value));
   settling_ = true;
-  runtime_.store(StoreGet{"end/" + id}, 1.0, [this, s, id, epoch = leadership_.epoch()](const wire::StoreReply &r) {
+  runtime_.store(StoreGet{"end/" + id}, 1.0, [this, s, id, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
     if (epoch != leadership_.epoch()) return;
     settling_ = false;
-    if (r.status == 200 && r.entries.size() == 1)
-      settled(s, id, wire::end_from_json(r.entries[0].value));
-    else if (r.status == 404) // being moved at this moment, or its end is not known to anybody
+    if (reply.status == 200 && reply.entries.size() == 1)
+      settled(s, id, wire::end_from_json(reply.entries[0].value));
+    else if (reply.status == 404) // being moved at this moment, or its end is not known to anybody
       settled(s, id, std::nullopt);
   });
 }
@@ -676,15 +688,16 @@
       continue;
     flushing_ = true;
     runtime_.store(
-        StoreGet{kAccounts + period}, 1.0, [this, s, period, epoch = leadership_.epoch()](const wire::StoreReply &r) {
+        StoreGet{kAccounts + period}, 1.0,
+        [this, s, period, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
           if (epoch != leadership_.epoch()) return;
           flushing_ = false;
           flush_after_ = runtime_.now() + 0.2;
           if (!leadership_.active() || shards_[s].needs_resync) return;
-          if (r.status == 404) return fold_into(s, period, {}, 0);
-          if (r.status != 200 || r.entries.size() != 1) return;
-          auto kept = wire::sums_from_json(r.entries[0].value);
-          if (kept) return fold_into(s, period, std::move(*kept), r.entries[0].mod_revision);
+          if (reply.status == 404) return fold_into(s, period, {}, 0);
+          if (reply.status != 200 || reply.entries.size() != 1) return;
+          auto kept = wire::sums_from_json(reply.entries[0].value);
+          if (kept) return fold_into(s, period, std::move(*kept), reply.entries[0].mod_revision);
           left_alone_.insert(period);
           runtime_.log(LogLevel::Error, "record_rejected", {{"key", kAccounts + period}, {"then", "left alone"}});
         });
@@ -693,28 +706,28 @@
 }
 
 void StateWriter::fold_into(std::size_t s, const std::string &period, SumsByTeam kept, std::uint64_t mod_revision) {
-  Transaction t;
-  t.preconditions = {{"leader", leadership_.term()}};
-  t.folded = period;
-  add_shard(s, t, period);
+  Transaction transaction;
+  transaction.preconditions = {{"leader", leadership_.term()}};
+  transaction.folded = period;
+  add_shard(s, transaction, period);
   for (const auto &[key, row] : ledger_.sums(s))
     if (key.first == period) kept[key] += row;
-  t.preconditions.push_back({kAccounts + period, mod_revision});
-  t.writes.push_back({kAccounts + period, wire::to_json(kept), 0});
-  commit(std::move(t));
+  transaction.preconditions.push_back({kAccounts + period, mod_revision});
+  transaction.writes.push_back({kAccounts + period, wire::to_json(kept), 0});
+  commit(std::move(transaction));
 }
 
 // Our own write, applied without an answer.
-void StateWriter::ended(int j, EndRecord end) {
-  if (end.usage) ledger_.correct(j, *end.usage);
-  ended_.remember(jobs_[j].spec.id, std::move(end));
-  remove(j);
+void StateWriter::ended(int job_index, EndRecord end) {
+  if (end.usage) ledger_.correct(job_index, *end.usage);
+  ended_.remember(jobs_[job_index].spec.id, std::move(end));
+  remove(job_index);
 }
 
-void StateWriter::resync(int j) {
-  if (entry(j).resyncing) return;
-  entry(j).resyncing = true;
-  const std::string id = jobs_[j].spec.id;
+void StateWriter::resync(int job_index) {
+  if (entry(job_index).resyncing) return;
+  entry(job_index).resyncing = true;
+  const std::string id = jobs_[job_index].spec.id;
   auto find = [this, id, epoch = leadership_.epoch()] { return epoch == leadership_.epoch() ? jobs_.index(id) : -1; };
   runtime_.store(StoreGet{"open/" + id}, 1.0, [this, id, find](const wire::StoreReply &r) {
     const int k = find();
@@ -734,11 +747,12 @@
       return;
     }
     if (jobs_[k].delegated_here) return remove(k);
-    runtime_.store(StoreGet{"end/" + id}, 1.0, [this, id, find](const wire::StoreReply &e) {
+    runtime_.store(StoreGet{"end/" + id}, 1.0, [this, id, find](const wire::StoreReply &reply) {
       const int jj = find();
       if (jj < 0) return;
       entry(jj).resyncing = false;
-      auto end = e.status == 200 && e.entries.size() == 1 ? wire::end_from_json(e.entries[0].value) : std::nullopt;
+      auto end =
+          reply.status == 200 && reply.entries.size() == 1 ? wire::end_from_json(reply.entries[0].value) : std::nullopt;
       if (!end) return;
       ended(jj, std::move(*end));
     });
--- a/src/core/state/usage_ledger.cpp
+++ b/src/core/state/usage_ledger.cpp
@@ -45,55 +45,55 @@
   std::erase_if(sums_at(record), [&](const auto &s) { return s.first.first == period; });
 }
 
-void Ledger::open(int j, int record) {
-  grown(accounts_, j) = {};
-  at(j).record = static_cast<std::size_t>(record);
+void Ledger::open(int job_index, int record) {
+  grown(accounts_, job_index) = {};
+  at(job_index).record = static_cast<std::size_t>(record);
 }
 
 // The attempts under way when this was written have held that much by then; how they went on is not known.
-void Ledger::restore(int j, const ProgressRecord &written) {
-  Account &a = at(j);
-  a.usage = written.usage;
-  a.at_ms = written.at_ms;
-  accounts::Usage u;
-  u[accounts::Unsorted] = written.running_ms;
-  if (on()) charge(j, u);
+void Ledger::restore(int job_index, const ProgressRecord &written) {
+  Account &account = at(job_index);
+  account.usage = written.usage;
+  account.at_ms = written.at_ms;
+  accounts::Usage usage;
+  usage[accounts::Unsorted] = written.running_ms;
+  if (on()) charge(job_index, usage);
 }
 
-std::int64_t Ledger::since_record(const Account &a) const {
-  return a.at_ms ? std::max<std::int64_t>(0, ms(runtime_.wall()) - a.at_ms) : 0;
+std::int64_t Ledger::since_record(const Account &account) const {
+  return account.at_ms ? std::max<std::int64_t>(0, ms(runtime_.wall()) - account.at_ms) : 0;
 }
 
 // Of a task that an earlier leader has recorded as started and that was not seen since that record: it may have held a
 // place all the time. One place at most, so this bounds all attempts of it.
-void Ledger::write(int j, ProgressRecord &out) {
+void Ledger::write(int job_index, ProgressRecord &out) {
   if (!on()) return;
-  Account &a = at(j);
-  charge(j, {});
-  if (const auto waited_for = jobs_[j].unaccounted) {
-    accounts::Usage u;
-    u[accounts::Uncertain] = waited_for * since_record(a);
-    charge(j, u);
+  Account &account = at(job_index);
+  charge(job_index, {});
+  if (const auto waited_for = jobs_[job_index].unaccounted) {
+    accounts::Usage usage;
+    usage[accounts::Uncertain] = waited_for * since_record(account);
+    charge(job_index, usage);
   }
-  a.at_ms = ms(runtime_.wall());
-  out.usage = a.usage;
-  out.running_ms = under_way(a);
-  out.at_ms = a.at_ms;
-  a.changed = false;
+  account.at_ms = ms(runtime_.wall());
+  out.usage = account.usage;
+  out.running_ms = under_way(account);
+  out.at_ms = account.at_ms;
+  account.changed = false;
 }
 
-accounts::Usage Ledger::usage(int j) {
-  charge(j, {});
-  return at(j).usage;
+accounts::Usage Ledger::usage(int job_index) {
+  charge(job_index, {});
+  return at(job_index).usage;
 }
 
 // Guards against a team's sums that hold more than its jobs: the answer to the write of an end was lost, and a worker
 // showed a task once more before it was known that the write had been carried out.
-void Ledger::correct(int j, const accounts::Usage &written) {
-  accounts::Sums excess = accounts::sums_of(at(j).usage - written, jobs_[j].spec.need);
-  auto &sums = sums_at(at(j).record);
+void Ledger::correct(int job_index, const accounts::Usage &written) {
+  accounts::Sums excess = accounts::sums_of(at(job_index).usage - written, jobs_[job_index].spec.need);
+  auto &sums = sums_at(at(job_index).record);
   for (auto it = sums.rbegin(); it != sums.rend(); ++it) // the newest period first
-    if (it->first.second == jobs_[j].spec.team)
+    if (it->first.second == jobs_[job_index].spec.team)
       for (std::size_t c = 0; c < accounts::kSumColumns; ++c) {
         const auto part = std::clamp<std::int64_t>(excess[c], 0, it->second[c]);
         it->second[c] -= part;
@@ -101,62 +101,63 @@
       }
 }
 
-void Ledger::charge(int j, accounts::Usage u) {
-  Account &a = at(j);
+void Ledger::charge(int job_index, accounts::Usage usage) {
+  Account &account = at(job_index);
   // Guards against a team's sums that hold more than its jobs: a worker may show a task of a cancelled job once more.
-  if (jobs_[j].ending) {
-    a.put_off += u;
+  if (jobs_[job_index].ending) {
+    account.put_off += usage;
     return;
   }
-  u += std::exchange(a.put_off, {});
-  if (u.none()) return;
-  a.usage += u;
-  a.changed = true;
-  sums_at(a.record)[{period(), jobs_[j].spec.team}] += accounts::sums_of(u, jobs_[j].spec.need);
+  usage += std::exchange(account.put_off, {});
+  if (usage.none()) return;
+  account.usage += usage;
+  account.changed = true;
+  sums_at(account.record)[{period(), jobs_[job_index].spec.team}] +=
+      accounts::sums_of(usage, jobs_[job_index].spec.need);
 }
 
 void Ledger::settle(std::size_t record, const std::string &team, const accounts::Usage &rest, const Resources &need) {
   if (!rest.none()) sums_at(record)[{period(), team}] += accounts::sums_of(rest, need);
 }
 
-void Ledger::on(const TaskAllocated &e) {
+void Ledger::on(const TaskAllocated &event) {
   if (!on()) return;
-  Account &a = at(e.job);
-  ++a.in_flight;
-  a.since_ms += ms(runtime_.now());
-  accounts::Usage u;
-  if (!e.found) u[accounts::Attempts] = 1;
-  if (e.unaccounted) u[accounts::Uncertain] = since_record(a);
-  charge(e.job, u);
-  if (e.found) jobs_.changed(e.job, false);
+  Account &account = at(event.job);
+  ++account.in_flight;
+  account.since_ms += ms(runtime_.now());
+  accounts::Usage usage;
+  if (!event.found) usage[accounts::Attempts] = 1;
+  if (event.unaccounted) usage[accounts::Uncertain] = since_record(account);
+  charge(event.job, usage);
+  if (event.found) jobs_.changed(event.job, false);
 }
 
-void Ledger::on(const TaskReleased &e) {
+void Ledger::on(const TaskReleased &event) {
   if (!on()) return;
-  Account &a = at(e.job);
-  const std::int64_t from = ms(e.held_since), to = ms(runtime_.now());
-  const std::int64_t runs = e.running_since >= 0 ? ms(e.running_since) : to;
-  const std::int64_t waits = e.waiting_since >= 0 ? ms(e.waiting_since) : runs;
-  assert(from <= waits && waits <= runs && runs <= to && a.in_flight > 0);
-  --a.in_flight;
-  a.since_ms -= from;
-  const bool useful = e.done || jobs_[e.job].spec.shape == Shape::Service; // those end by being stopped
-  accounts::Usage u;
-  u[accounts::Fetch] = waits - from;
-  u[accounts::Wait] = runs - waits;
-  u[useful ? accounts::Useful : accounts::Lost] = to - runs;
-  u[accounts::Retries] = !useful;
-  u[accounts::Cost] = cost(e, to - from);
-  charge(e.job, u);
-  jobs_.changed(e.job, false);
-}
-
-void Ledger::on(const TasksAbandoned &e) {
+  Account &account = at(event.job);
+  const std::int64_t from = ms(event.held_since), to = ms(runtime_.now());
+  const std::int64_t runs = event.running_since >= 0 ? ms(event.running_since) : to;
+  const std::int64_t waits = event.waiting_since >= 0 ? ms(event.waiting_since) : runs;
+  assert(from <= waits && waits <= runs && runs <= to && account.in_flight > 0);
+  --account.in_flight;
+  account.since_ms -= from;
+  const bool useful = event.done || jobs_[event.job].spec.shape == Shape::Service; // those end by being stopped
+  accounts::Usage usage;
+  usage[accounts::Fetch] = waits - from;
+  usage[accounts::Wait] = runs - waits;
+  usage[useful ? accounts::Useful : accounts::Lost] = to - runs;
+  usage[accounts::Retries] = !useful;
+  usage[accounts::Cost] = cost(event, to - from);
+  charge(event.job, usage);
+  jobs_.changed(event.job, false);
+}
+
+void Ledger::on(const TasksAbandoned &event) {
   if (!on()) return;
-  accounts::Usage u;
-  u[accounts::Uncertain] = e.tasks * since_record(at(e.job));
-  charge(e.job, u);
-  jobs_.changed(e.job, false);
+  accounts::Usage usage;
+  usage[accounts::Uncertain] = event.tasks * since_record(at(event.job));
+  charge(event.job, usage);
+  jobs_.changed(event.job, false);
 }
 
 void Ledger::on(const TermEnded &) {
@@ -165,14 +166,14 @@
   used_.clear();
 }
 
-std::int64_t Ledger::cost(const TaskReleased &e, std::int64_t held_ms) const {
-  if (e.type < 0) return 0;
-  const auto &type = catalog_.type(e.type);
-  const auto &need = jobs_[e.job].spec.need;
+std::int64_t Ledger::cost(const TaskReleased &event, std::int64_t held_ms) const {
+  if (event.type < 0) return 0;
+  const auto &type = catalog_.type(event.type);
+  const auto &need = jobs_[event.job].spec.need;
   auto share = [](double part, double all) { return all > 0 ? part / all : 0.0; };
   const double largest = std::max(
       {share(need.cpus, type.size.cpus), share(need.memory, type.size.memory), share(need.gpus, type.size.gpus)});
-  const double price = e.spot ? type.spot_price : type.price;
+  const double price = event.spot ? type.spot_price : type.price;
   return std::llround(1e6 * price * largest * static_cast<double>(held_ms) / 3.6e6);
 }
 
@@ -196,12 +197,12 @@
     for (const auto &[key, row] : record)
       if (const int team = jobs_.find_team(key.second); team >= 0 && key.first == period())
         used_[static_cast<std::size_t>(team)] += row.held();
-  jobs_.each([&](int j, const Job &n) {
-    if (n.team < 0) return;
-    const Account &a = at(j);
-    accounts::Usage u;
-    u[accounts::Useful] = under_way(a) + n.unaccounted * since_record(a);
-    used_[static_cast<std::size_t>(n.team)] += accounts::sums_of(u, n.spec.need).held();
+  jobs_.each([&](int job_index, const Job &job) {
+    if (job.team < 0) return;
+    const Account &account = at(job_index);
+    accounts::Usage usage;
+    usage[accounts::Useful] = under_way(account) + job.unaccounted * since_record(account);
+    used_[static_cast<std::size_t>(job.team)] += accounts::sums_of(usage, job.spec.need).held();
   });
   for (std::size_t t = 0; t < told_.size(); ++t) {
     const bool spent = this->spent(static_cast<int>(t));
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -67,62 +67,62 @@
   }
 }
 
-void HttpClient::start(Conn &c, Pending p) {
-  c.busy = true;
-  c.out = std::move(p.wire);
-  c.deadline = p.deadline;
-  c.done = std::move(p.done);
-  c.watch->want(EV_READ | EV_WRITE);
+void HttpClient::start(Conn &connection, Pending p) {
+  connection.busy = true;
+  connection.out = std::move(p.wire);
+  connection.deadline = p.deadline;
+  connection.done = std::move(p.done);
+  connection.watch->want(EV_READ | EV_WRITE);
 }
 
-void HttpClient::finish(Conn &c, int status, std::string body, bool reuse) {
-  auto done = std::move(c.done);
-  c.done = nullptr;
-  c.busy = false;
-  c.idle_since = loop_.now();
+void HttpClient::finish(Conn &connection, int status, std::string body, bool reuse) {
+  auto done = std::move(connection.done);
+  connection.done = nullptr;
+  connection.busy = false;
+  connection.idle_since = loop_.now();
   if (reuse) {
-    c.watch->want(EV_READ); // to notice the far end closing
+    connection.watch->want(EV_READ); // to notice the far end closing
   } else {
-    c.dead = true;
-    c.watch->want(0);
-    c.fd.reset();
+    connection.dead = true;
+    connection.watch->want(0);
+    connection.fd.reset();
   }
   if (done) done(status, std::move(body));
 }
 
-void HttpClient::on_io(Conn &c, int events) {
-  if (c.dead) return;
-  if ((events & EV_WRITE) && !c.out.empty()) {
-    ssize_t n = ::send(c.fd.get(), c.out.data(), c.out.size(), MSG_NOSIGNAL);
+void HttpClient::on_io(Conn &connection, int events) {
+  if (connection.dead) return;
+  if ((events & EV_WRITE) && !connection.out.empty()) {
+    ssize_t n = ::send(connection.fd.get(), connection.out.data(), connection.out.size(), MSG_NOSIGNAL);
     if (n < 0 && errno != EAGAIN && errno != EINTR) {
-      finish(c, 0, {}, false);
+      finish(connection, 0, {}, false);
       return pump();
     }
-    if (n > 0) c.out.erase(0, static_cast<std::size_t>(n));
-    if (c.out.empty()) c.watch->want(EV_READ);
+    if (n > 0) connection.out.erase(0, static_cast<std::size_t>(n));
+    if (connection.out.empty()) connection.watch->want(EV_READ);
   }
   if (!(events & EV_READ)) return;
   char buf[32768];
-  ssize_t n = ::recv(c.fd.get(), buf, sizeof buf, 0);
+  ssize_t n = ::recv(connection.fd.get(), buf, sizeof buf, 0);
   if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-  if (n <= 0 || !c.busy) { // closed, or bytes nobody asked for
-    bool whole = c.busy && n == 0 && c.parser.finish_at_close();
+  if (n <= 0 || !connection.busy) { // closed, or bytes nobody asked for
+    bool whole = connection.busy && n == 0 && connection.parser.finish_at_close();
     if (whole) {
-      auto msg = c.parser.take();
-      finish(c, msg.status, std::move(msg.body), false);
+      auto msg = connection.parser.take();
+      finish(connection, msg.status, std::move(msg.body), false);
     } else {
-      finish(c, 0, {}, false);
+      finish(connection, 0, {}, false);
     }
     return pump();
   }
-  c.parser.feed({buf, static_cast<std::size_t>(n)});
-  auto state = c.parser.poll();
+  connection.parser.feed({buf, static_cast<std::size_t>(n)});
+  auto state = connection.parser.poll();
   if (state == HttpParser::State::NeedMore) return;
   if (state == HttpParser::State::Failed) {
-    finish(c, 0, {}, false);
+    finish(connection, 0, {}, false);
   } else {
-    auto msg = c.parser.take();
-    finish(c, msg.status, std::move(msg.body), msg.keep_alive && c.out.empty());
+    auto msg = connection.parser.take();
+    finish(connection, msg.status, std::move(msg.body), msg.keep_alive && connection.out.empty());
   }
   pump();
 }
@@ -131,12 +131,12 @@
   double now = loop_.now();
   std::erase_if(conns_, [](auto &c) { return c->dead; });
   for (std::size_t i = 0; i < conns_.size(); ++i) {
-    Conn &c = *conns_[i];
-    if (c.dead) continue;
-    if (c.busy && now > c.deadline)
-      finish(c, 0, {}, false);
-    else if (!c.busy && now - c.idle_since > 30)
-      finish(c, 0, {}, false);
+    Conn &connection = *conns_[i];
+    if (connection.dead) continue;
+    if (connection.busy && now > connection.deadline)
+      finish(connection, 0, {}, false);
+    else if (!connection.busy && now - connection.idle_since > 30)
+      finish(connection, 0, {}, false);
   }
   while (!queue_.empty() && now > queue_.front().deadline) {
     auto p = std::move(queue_.front());
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -105,10 +105,10 @@
   return Address{ntohl(ip.s_addr), static_cast<std::uint16_t>(port), std::string(text)};
 }
 
-Fd &Fd::operator=(Fd &&o) noexcept {
-  if (this != &o) {
+Fd &Fd::operator=(Fd &&descriptor) noexcept {
+  if (this != &descriptor) {
     reset();
-    fd_ = std::exchange(o.fd_, -1);
+    fd_ = std::exchange(descriptor.fd_, -1);
   }
   return *this;
 }
--- a/src/net/outbound_request_pool.cpp
+++ b/src/net/outbound_request_pool.cpp
@@ -9,7 +9,7 @@
 }
 
 struct OutboundRequestPool::OutboundRequest {
-  OutboundRequest(Loop &loop, const Address &to) : client(loop, to, {1, 1, 256 * 1024}) {}
+  OutboundRequest(Loop &loop, const Address &address) : client(loop, address, {1, 1, 256 * 1024}) {}
   HttpClient client;
   bool over = false;
 };
@@ -19,9 +19,9 @@
 }
 OutboundRequestPool::~OutboundRequestPool() = default;
 
-void OutboundRequestPool::post(const Address &to, std::string_view target, std::string_view body) {
+void OutboundRequestPool::post(const Address &address, std::string_view target, std::string_view body) {
   if (requests_.size() >= kMax) return;
-  requests_.push_back(std::make_unique<OutboundRequest>(loop_, to));
+  requests_.push_back(std::make_unique<OutboundRequest>(loop_, address));
   OutboundRequest *e = requests_.back().get();
   e->client.request("POST", target, body, kDeadline, [e](int, std::string &&) { e->over = true; });
 }
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -88,34 +88,34 @@
     if (auto it = links_.find(id); it != links_.end()) flush(*it->second);
 }
 
-void PeerLinks::on_io(Link &l, int events) {
-  if (!l.fd) return;
-  if (events & EV_WRITE) flush(l);
-  if (!l.fd || !(events & EV_READ)) return;
+void PeerLinks::on_io(Link &link, int events) {
+  if (!link.fd) return;
+  if (events & EV_WRITE) flush(link);
+  if (!link.fd || !(events & EV_READ)) return;
   char buf[16384];
-  ssize_t n = ::recv(l.fd.get(), buf, sizeof buf, 0);
+  ssize_t n = ::recv(link.fd.get(), buf, sizeof buf, 0);
   if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-  if (n <= 0) return close(l);
-  l.heard = loop_.now();
-  l.in.append(buf, static_cast<std::size_t>(n));
-  if (!reader_(l.id, l.replica, l.in) || l.in.size() > kMaxBuffered) close(l);
+  if (n <= 0) return close(link);
+  link.heard = loop_.now();
+  link.in.append(buf, static_cast<std::size_t>(n));
+  if (!reader_(link.id, link.replica, link.in) || link.in.size() > kMaxBuffered) close(link);
 }
 
-void PeerLinks::flush(Link &l) {
-  while (!l.out.empty()) {
-    ssize_t n = ::send(l.fd.get(), l.out.data(), l.out.size(), MSG_NOSIGNAL);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR || errno == ENOTCONN)) return l.watch->want(EV_READ | EV_WRITE);
-    if (n <= 0) return close(l);
-    l.out.erase(0, static_cast<std::size_t>(n));
+void PeerLinks::flush(Link &link) {
+  while (!link.out.empty()) {
+    ssize_t n = ::send(link.fd.get(), link.out.data(), link.out.size(), MSG_NOSIGNAL);
+    if (n < 0 && (errno == EAGAIN || errno == EINTR || errno == ENOTCONN)) return link.watch->want(EV_READ | EV_WRITE);
+    if (n <= 0) return close(link);
+    link.out.erase(0, static_cast<std::size_t>(n));
   }
-  l.watch->want(EV_READ);
+  link.watch->want(EV_READ);
 }
 
 // The link's watcher may be running right now, so it is destroyed at the next sweep.
-void PeerLinks::close(Link &l) {
-  l.watch->want(0);
-  l.fd.reset();
-  auto it = links_.find(l.id);
+void PeerLinks::close(Link &link) {
+  link.watch->want(0);
+  link.fd.reset();
+  auto it = links_.find(link.id);
   if (it == links_.end()) return;
   graveyard_.push_back(std::move(it->second));
   links_.erase(it);
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -11,7 +11,7 @@
 namespace loftrouter::net {
 
 struct HttpServer::Conn {
-  Conn(ConnId i, Fd f) : id(i), fd(std::move(f)) {}
+  Conn(ConnId i, Fd descriptor) : id(i), fd(std::move(descriptor)) {}
   ConnId id;
   Fd fd;
   HttpParser parser{HttpParser::Kind::Request};
@@ -69,83 +69,84 @@
   if (oldest) close(oldest->id);
 }
 
-void HttpServer::on_io(Conn &c, int events) {
-  auto id = c.id;
+void HttpServer::on_io(Conn &connection, int events) {
+  auto id = connection.id;
   if (events & EV_WRITE) {
-    flush(c);
+    flush(connection);
     if (!conns_.contains(id)) return;
   }
   if (!(events & EV_READ)) return;
   char buf[16384];
-  ssize_t n = ::recv(c.fd.get(), buf, sizeof buf, 0);
+  ssize_t n = ::recv(connection.fd.get(), buf, sizeof buf, 0);
   if (n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR)) {
     close(id);
     return;
   }
   if (n < 0) return;
-  if (c.parser.idle()) c.since = loop_.now();
-  c.parser.feed({buf, static_cast<std::size_t>(n)});
+  if (connection.parser.idle()) connection.since = loop_.now();
+  connection.parser.feed({buf, static_cast<std::size_t>(n)});
   // While a request is being handled nothing more may be sent; a peer that floods is cut off.
-  if (c.waiting && c.parser.buffered() > 16 * 1024) {
+  if (connection.waiting && connection.parser.buffered() > 16 * 1024) {
     close(id);
     return;
   }
-  drive(c);
+  drive(connection);
 }
 
-void HttpServer::drive(Conn &c) {
-  if (c.waiting || c.closing || !c.out.empty()) return;
-  switch (c.parser.poll()) {
+void HttpServer::drive(Conn &connection) {
+  if (connection.waiting || connection.closing || !connection.out.empty()) return;
+  switch (connection.parser.poll()) {
   case HttpParser::State::NeedMore:
     return;
   case HttpParser::State::Failed:
-    c.closing = true;
-    c.out = format_response(c.parser.error_status(), c.parser.error_text(), {}, false, "text/plain");
-    flush(c);
+    connection.closing = true;
+    connection.out =
+        format_response(connection.parser.error_status(), connection.parser.error_text(), {}, false, "text/plain");
+    flush(connection);
     return;
   case HttpParser::State::Complete:
     break;
   }
-  auto msg = c.parser.take();
-  c.waiting = true;
-  c.request_keep_alive = msg.keep_alive;
-  c.since = loop_.now();
-  handler_(c.id, std::move(msg));
+  auto msg = connection.parser.take();
+  connection.waiting = true;
+  connection.request_keep_alive = msg.keep_alive;
+  connection.since = loop_.now();
+  handler_(connection.id, std::move(msg));
 }
 
 void HttpServer::respond(ConnId id, int status, std::string_view body, std::optional<int> retry_after,
                          std::string_view content_type) {
   auto it = conns_.find(id);
   if (it == conns_.end() || !it->second->waiting) return;
-  Conn &c = *it->second;
-  c.waiting = false;
-  c.closing = !c.request_keep_alive;
-  c.since = loop_.now();
-  c.out = format_response(status, body, retry_after, c.request_keep_alive, content_type);
-  flush(c);
+  Conn &connection = *it->second;
+  connection.waiting = false;
+  connection.closing = !connection.request_keep_alive;
+  connection.since = loop_.now();
+  connection.out = format_response(status, body, retry_after, connection.request_keep_alive, content_type);
+  flush(connection);
 }
 
-void HttpServer::flush(Conn &c) {
-  while (!c.out.empty()) {
-    ssize_t n = ::send(c.fd.get(), c.out.data(), c.out.size(), MSG_NOSIGNAL);
+void HttpServer::flush(Conn &connection) {
+  while (!connection.out.empty()) {
+    ssize_t n = ::send(connection.fd.get(), connection.out.data(), connection.out.size(), MSG_NOSIGNAL);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && errno == EAGAIN) {
-      c.watch->want(EV_READ | EV_WRITE);
+      connection.watch->want(EV_READ | EV_WRITE);
       return;
     }
     if (n <= 0) {
-      close(c.id);
+      close(connection.id);
       return;
     }
-    c.out.erase(0, static_cast<std::size_t>(n));
+    connection.out.erase(0, static_cast<std::size_t>(n));
   }
-  if (c.closing) {
-    ::shutdown(c.fd.get(), SHUT_WR);
-    close(c.id);
+  if (connection.closing) {
+    ::shutdown(connection.fd.get(), SHUT_WR);
+    close(connection.id);
     return;
   }
-  c.watch->want(EV_READ);
-  if (c.parser.buffered()) drive(c);
+  connection.watch->want(EV_READ);
+  if (connection.parser.buffered()) drive(connection);
 }
 
 // The connection's watcher may be running right now, so it is destroyed at the next sweep.
--- a/src/wire/admin_configuration.cpp
+++ b/src/wire/admin_configuration.cpp
@@ -8,34 +8,34 @@
 
 namespace {
 
-std::string dump(const Json &j) {
-  return j.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
+std::string dump(const Json &json) {
+  return json.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
-Json amounts_json(const Amounts &a) {
+Json amounts_json(const Amounts &amounts) {
   auto limit = [](double x) { return std::isfinite(x) ? Json(x) : Json(); };
-  return {{"cpus", limit(a.cpus)}, {"gpus", limit(a.gpus)}};
+  return {{"cpus", limit(amounts.cpus)}, {"gpus", limit(amounts.gpus)}};
 }
 
 Json by_cell_json(const AmountsByCell &all) {
-  Json j = Json::object();
+  Json json = Json::object();
   for (const auto &[cell, a] : all)
-    j[cell] = amounts_json(a);
-  return j;
+    json[cell] = amounts_json(a);
+  return json;
 }
 
-void put_limits(Json &j, const Team &t) {
-  j["cpus"] = t.cpus;
-  j["gpus"] = t.gpus;
-  j["cpus_max"] = t.cpus_max > 0 ? Json(t.cpus_max) : Json();
-  j["gpus_max"] = t.gpus_max > 0 ? Json(t.gpus_max) : Json();
+void put_limits(Json &json, const Team &team) {
+  json["cpus"] = team.cpus;
+  json["gpus"] = team.gpus;
+  json["cpus_max"] = team.cpus_max > 0 ? Json(team.cpus_max) : Json();
+  json["gpus_max"] = team.gpus_max > 0 ? Json(team.gpus_max) : Json();
 }
 
 Json times_json(const std::map<std::string, double> &since) {
-  Json j = Json::object();
+  Json json = Json::object();
   for (const auto &[name, wall] : since)
-    j[name] = clock_time(wall);
-  return j;
+    json[name] = clock_time(wall);
+  return json;
 }
 
 } // namespace
@@ -43,16 +43,16 @@
 std::string encode_quotas(const std::vector<AdminQuota> &quotas) {
   Json teams = Json::object();
   for (const auto &q : quotas) {
-    Json j = {{"version", q.version}}, here = Json::object();
-    put_limits(j, q.over_all_cells);
+    Json json = {{"version", q.version}}, here = Json::object();
+    put_limits(json, q.over_all_cells);
     put_limits(here, q.here);
-    j["here"] = std::move(here);
+    json["here"] = std::move(here);
     if (!q.owner.empty()) {
-      j["owner"] = q.owner;
-      j["caps"] = by_cell_json(q.caps);
-      j["held"] = by_cell_json(q.held);
+      json["owner"] = q.owner;
+      json["caps"] = by_cell_json(q.caps);
+      json["held"] = by_cell_json(q.held);
     }
-    teams[q.here.name] = std::move(j);
+    teams[q.here.name] = std::move(json);
   }
   return dump({{"teams", std::move(teams)}});
 }
@@ -65,13 +65,13 @@
 std::string encode_configuration(const AdminConfiguration &c) {
   Json records = Json::array();
   for (const auto &r : c.records) {
-    Json j = {{"record", r.key}, {"revision", r.revision}, {"in_force_since", times_json(r.in_force)}};
+    Json json = {{"record", r.key}, {"revision", r.revision}, {"in_force_since", times_json(r.in_force)}};
     Json missing = Json::array();
     for (const auto &node : c.nodes)
       if (!r.in_force.contains(node)) missing.push_back(node);
-    j["not_in_force_at"] = std::move(missing);
-    if (!r.acknowledged_cells.empty()) j["acknowledged_by_cells_since"] = times_json(r.acknowledged_cells);
-    records.push_back(std::move(j));
+    json["not_in_force_at"] = std::move(missing);
+    if (!r.acknowledged_cells.empty()) json["acknowledged_by_cells_since"] = times_json(r.acknowledged_cells);
+    records.push_back(std::move(json));
   }
   return dump({{"node", c.node},
                {"revision", c.revision},
--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -57,22 +57,22 @@
 
 private:
   template <class T> bool put(T &&v) { return add(Json(std::forward<T>(v))) != nullptr; }
-  Json *add(Json &&v) {
+  Json *add(Json &&json) {
     if (++items_ > limits_.items) return nullptr;
     if (stack_.empty()) {
-      root_ = std::move(v);
+      root_ = std::move(json);
       return &root_;
     }
     Json &top = *stack_.back();
     if (top.is_array()) {
-      top.push_back(std::move(v));
+      top.push_back(std::move(json));
       return &top.back();
     }
-    return &(top[key_] = std::move(v));
+    return &(top[key_] = std::move(json));
   }
-  bool open(Json &&v) {
+  bool open(Json &&json) {
     if (stack_.size() >= limits_.depth) return false;
-    Json *at = add(std::move(v));
+    Json *at = add(std::move(json));
     if (!at) return false;
     stack_.push_back(at);
     return true;
--- a/src/wire/cell.cpp
+++ b/src/wire/cell.cpp
@@ -20,23 +20,23 @@
 void put_amount(std::string &out, double v) {
   put(out, static_cast<std::uint64_t>(std::clamp(v, 0.0, 1e12) * 1000 + 0.5));
 }
-double get_amount(Reader &r) {
-  const auto v = r.get<std::uint64_t>();
-  if (v > static_cast<std::uint64_t>(1e15)) r.ok = false;
+double get_amount(Reader &reader) {
+  const auto v = reader.get<std::uint64_t>();
+  if (v > static_cast<std::uint64_t>(1e15)) reader.ok = false;
   return static_cast<double>(v) / 1000;
 }
-void put_resources(std::string &out, const Resources &n) {
-  for (double v : {n.cpus, n.gpus, n.memory})
+void put_resources(std::string &out, const Resources &resources) {
+  for (double v : {resources.cpus, resources.gpus, resources.memory})
     put_amount(out, v);
 }
-Resources get_resources(Reader &r) {
-  Resources n;
-  for (double *v : {&n.cpus, &n.gpus, &n.memory})
-    *v = get_amount(r);
-  return n;
+Resources get_resources(Reader &reader) {
+  Resources resources;
+  for (double *v : {&resources.cpus, &resources.gpus, &resources.memory})
+    *v = get_amount(reader);
+  return resources;
 }
-bool get_name(Reader &r, std::string &to) {
-  return r.text(to) && valid_utf8(to);
+bool get_name(Reader &reader, std::string &to) {
+  return reader.text(to) && valid_utf8(to);
 }
 
 void put_ranges(std::string &out, const Ranges &ranges) {
@@ -46,17 +46,17 @@
     put(out, ranges[i].second);
   }
 }
-bool get_ranges(Reader &r, Ranges &to) {
-  const auto n = r.get<std::uint16_t>();
-  if (n > kCellMaxRanges) return r.ok = false;
+bool get_ranges(Reader &reader, Ranges &ranges) {
+  const auto n = reader.get<std::uint16_t>();
+  if (n > kCellMaxRanges) return reader.ok = false;
   std::uint32_t last = 0;
-  for (unsigned i = 0; r.ok && i < n; ++i) {
-    const auto a = r.get<std::uint32_t>(), b = r.get<std::uint32_t>();
-    if (a >= b || b > 1'000'000 || (i && a < last)) return r.ok = false;
-    to.emplace_back(a, b);
+  for (unsigned i = 0; reader.ok && i < n; ++i) {
+    const auto a = reader.get<std::uint32_t>(), b = reader.get<std::uint32_t>();
+    if (a >= b || b > 1'000'000 || (i && a < last)) return reader.ok = false;
+    ranges.emplace_back(a, b);
     last = b;
   }
-  return r.ok;
+  return reader.ok;
 }
 
 void put_kinds(std::string &out, const std::vector<CellKind> &kinds) {
@@ -74,46 +74,46 @@
     put_amount(out, k.fetch_gb_per_s);
   }
 }
-bool get_kinds(Reader &r, std::vector<CellKind> &to) {
-  const auto n = r.get<std::uint8_t>();
-  if (n > kCellMaxKinds) return r.ok = false;
-  for (unsigned i = 0; r.ok && i < n; ++i) {
+bool get_kinds(Reader &reader, std::vector<CellKind> &to) {
+  const auto n = reader.get<std::uint8_t>();
+  if (n > kCellMaxKinds) return reader.ok = false;
+  for (unsigned i = 0; reader.ok && i < n; ++i) {
     CellKind k;
-    if (!get_name(r, k.type) || !get_name(r, k.zone)) return r.ok = false;
-    const auto flags = r.get<std::uint8_t>();
-    if (flags > 3) return r.ok = false;
+    if (!get_name(reader, k.type) || !get_name(reader, k.zone)) return reader.ok = false;
+    const auto flags = reader.get<std::uint8_t>();
+    if (flags > 3) return reader.ok = false;
     k.spot = flags & 1;
     k.refused = flags & 2;
-    k.machines = r.get<std::uint32_t>();
-    k.idle = r.get<std::uint32_t>();
-    k.size = get_resources(r);
-    k.free = get_resources(r);
-    k.boot_s = get_amount(r);
-    k.fetch_gb_per_s = get_amount(r);
+    k.machines = reader.get<std::uint32_t>();
+    k.idle = reader.get<std::uint32_t>();
+    k.size = get_resources(reader);
+    k.free = get_resources(reader);
+    k.boot_s = get_amount(reader);
+    k.fetch_gb_per_s = get_amount(reader);
     to.push_back(std::move(k));
   }
-  return r.ok;
+  return reader.ok;
 }
 
-void put_want(std::string &out, const CellMessage &m) {
-  put_resources(out, m.need);
-  put(out, m.tasks);
-  put(out, static_cast<std::uint8_t>(m.spot | m.whole << 1));
-  put(out, static_cast<std::uint8_t>(std::min<std::size_t>(m.types.size(), 100)));
-  for (std::size_t i = 0; i < m.types.size() && i < 100; ++i)
-    put_text(out, m.types[i]);
+void put_want(std::string &out, const CellMessage &message) {
+  put_resources(out, message.need);
+  put(out, message.tasks);
+  put(out, static_cast<std::uint8_t>(message.spot | message.whole << 1));
+  put(out, static_cast<std::uint8_t>(std::min<std::size_t>(message.types.size(), 100)));
+  for (std::size_t i = 0; i < message.types.size() && i < 100; ++i)
+    put_text(out, message.types[i]);
 }
-bool get_want(Reader &r, CellMessage &m) {
-  m.need = get_resources(r);
-  m.tasks = r.get<std::uint32_t>();
-  const auto flags = r.get<std::uint8_t>();
-  m.spot = flags & 1;
-  m.whole = flags & 2;
-  const auto n = r.get<std::uint8_t>();
-  if (flags > 3 || n > 100 || m.tasks > 100'000) return r.ok = false;
-  for (unsigned i = 0; r.ok && i < n; ++i)
-    if (!get_name(r, m.types.emplace_back())) return r.ok = false;
-  return r.ok;
+bool get_want(Reader &reader, CellMessage &message) {
+  message.need = get_resources(reader);
+  message.tasks = reader.get<std::uint32_t>();
+  const auto flags = reader.get<std::uint8_t>();
+  message.spot = flags & 1;
+  message.whole = flags & 2;
+  const auto n = reader.get<std::uint8_t>();
+  if (flags > 3 || n > 100 || message.tasks > 100'000) return reader.ok = false;
+  for (unsigned i = 0; reader.ok && i < n; ++i)
+    if (!get_name(reader, message.types.emplace_back())) return reader.ok = false;
+  return reader.ok;
 }
 
 void put_generations(std::string &out, const std::vector<std::uint64_t> &all) {
@@ -121,105 +121,105 @@
   for (std::size_t i = 0; i < all.size() && i < kCellMaxGenerations; ++i)
     put(out, all[i]);
 }
-bool get_generations(Reader &r, std::vector<std::uint64_t> &to) {
-  const auto n = r.get<std::uint16_t>();
-  if (n > kCellMaxGenerations) return r.ok = false;
-  for (unsigned i = 0; r.ok && i < n; ++i)
-    to.push_back(r.get<std::uint64_t>());
-  return r.ok;
+bool get_generations(Reader &reader, std::vector<std::uint64_t> &to) {
+  const auto n = reader.get<std::uint16_t>();
+  if (n > kCellMaxGenerations) return reader.ok = false;
+  for (unsigned i = 0; reader.ok && i < n; ++i)
+    to.push_back(reader.get<std::uint64_t>());
+  return reader.ok;
 }
 
-void put_told(std::string &out, const CellMessage &m) {
-  put(out, m.other_term);
-  put(out, static_cast<std::uint8_t>(m.yes));
-  put(out, m.running);
-  for (auto v : m.usage.v)
+void put_told(std::string &out, const CellMessage &message) {
+  put(out, message.other_term);
+  put(out, static_cast<std::uint8_t>(message.yes));
+  put(out, message.running);
+  for (auto v : message.usage.v)
     put(out, static_cast<std::uint64_t>(std::max<std::int64_t>(0, v)));
-  put_ranges(out, m.ranges);
+  put_ranges(out, message.ranges);
 }
-bool get_told(Reader &r, CellMessage &m) {
-  m.other_term = r.get<std::uint64_t>();
-  const auto yes = r.get<std::uint8_t>();
-  m.yes = yes == 1;
-  m.running = r.get<std::uint32_t>();
-  for (auto &v : m.usage.v) {
-    const auto n = r.get<std::uint64_t>();
-    if (n >= 1ULL << 53) return r.ok = false;
+bool get_told(Reader &reader, CellMessage &message) {
+  message.other_term = reader.get<std::uint64_t>();
+  const auto yes = reader.get<std::uint8_t>();
+  message.yes = yes == 1;
+  message.running = reader.get<std::uint32_t>();
+  for (auto &v : message.usage.v) {
+    const auto n = reader.get<std::uint64_t>();
+    if (n >= 1ULL << 53) return reader.ok = false;
     v = static_cast<std::int64_t>(n);
   }
-  return yes < 2 && get_ranges(r, m.ranges);
+  return yes < 2 && get_ranges(reader, message.ranges);
 }
 
 } // namespace
 
-std::string encode_cell(const CellMessage &m) {
+std::string encode_cell(const CellMessage &message) {
   std::string body;
-  put_text(body, m.from);
-  put_text(body, m.to);
-  put(body, m.term);
-  put(body, m.number);
-  switch (m.kind) {
+  put_text(body, message.from);
+  put_text(body, message.to);
+  put(body, message.term);
+  put(body, message.number);
+  switch (message.kind) {
   case Kind::Summary:
   case Kind::Summaries:
-    put_text(body, m.address);
-    put_amount(body, m.lease_s);
+    put_text(body, message.address);
+    put_amount(body, message.lease_s);
     for (std::size_t u = 0; u < 4; ++u)
-      put_amount(body, u < m.wait_s.size() ? m.wait_s[u] : 0);
-    put_kinds(body, m.kinds);
+      put_amount(body, u < message.wait_s.size() ? message.wait_s[u] : 0);
+    put_kinds(body, message.kinds);
     break;
   case Kind::Want:
-    put_want(body, m);
+    put_want(body, message);
     break;
   case Kind::Room:
-    put(body, m.tasks);
+    put(body, message.tasks);
     break;
   case Kind::Offer:
-    put(body, m.generation);
-    put_ranges(body, m.ranges);
-    put_body(body, m.body);
+    put(body, message.generation);
+    put_ranges(body, message.ranges);
+    put_body(body, message.body);
     break;
   case Kind::Taken:
-    put(body, m.generation);
-    put(body, static_cast<std::uint8_t>(m.yes));
-    put_body(body, m.body);
+    put(body, message.generation);
+    put(body, static_cast<std::uint8_t>(message.yes));
+    put_body(body, message.body);
     break;
   case Kind::Renew:
-    put_amount(body, m.lease_s);
-    put_generations(body, m.generations);
+    put_amount(body, message.lease_s);
+    put_generations(body, message.generations);
     break;
   case Kind::Renewed:
-    put_amount(body, m.grant_s);
-    put_generations(body, m.generations);
+    put_amount(body, message.grant_s);
+    put_generations(body, message.generations);
     break;
   case Kind::Told:
-    put(body, m.generation);
-    put_told(body, m);
+    put(body, message.generation);
+    put_told(body, message);
     break;
   case Kind::Settled:
   case Kind::Recall:
-    put(body, m.generation);
+    put(body, message.generation);
     break;
   case Kind::Quota:
   case Kind::QuotaApplied:
   case Kind::QuotaChange:
   case Kind::QuotaOutcome:
-    put(body, m.generation);
-    put(body, m.running);
-    put(body, static_cast<std::uint8_t>(m.yes));
-    put_body(body, m.body);
+    put(body, message.generation);
+    put(body, message.running);
+    put(body, static_cast<std::uint8_t>(message.yes));
+    put_body(body, message.body);
     break;
   }
   std::string out;
   put(out, kMagic);
   put(out, kVersion);
-  put(out, static_cast<std::uint16_t>(m.kind));
+  put(out, static_cast<std::uint16_t>(message.kind));
   put(out, static_cast<std::uint32_t>(body.size()));
   return out += body;
 }
 
 bool looks_like_cell(std::string_view buffer) {
-  Reader r{buffer};
-  return r.get<std::uint32_t>() == kMagic && r.ok;
+  Reader reader{buffer};
+  return reader.get<std::uint32_t>() == kMagic && reader.ok;
 }
 
 PeerRead read_cell(std::string_view &buffer, CellMessage &out) {
@@ -232,67 +232,67 @@
       length > kCellMaxBody)
     return PeerRead::Garbage;
   if (buffer.size() < kHeader + length) return PeerRead::NeedMore;
-  Reader r{buffer.substr(kHeader, length)};
+  Reader reader{buffer.substr(kHeader, length)};
   out = {};
   out.kind = static_cast<Kind>(kind);
-  bool good = get_name(r, out.from) && get_name(r, out.to) && !out.from.empty() && !out.to.empty();
-  out.term = r.get<std::uint64_t>();
-  out.number = r.get<std::uint64_t>();
+  bool good = get_name(reader, out.from) && get_name(reader, out.to) && !out.from.empty() && !out.to.empty();
+  out.term = reader.get<std::uint64_t>();
+  out.number = reader.get<std::uint64_t>();
   switch (good ? out.kind : Kind::Recall) {
   case Kind::Summary:
   case Kind::Summaries:
-    good &= get_name(r, out.address);
-    out.lease_s = get_amount(r);
+    good &= get_name(reader, out.address);
+    out.lease_s = get_amount(reader);
     for (int u = 0; u < 4; ++u)
-      out.wait_s.push_back(get_amount(r));
-    good &= get_kinds(r, out.kinds);
+      out.wait_s.push_back(get_amount(reader));
+    good &= get_kinds(reader, out.kinds);
     break;
   case Kind::Want:
-    good &= get_want(r, out);
+    good &= get_want(reader, out);
     break;
   case Kind::Room:
-    out.tasks = r.get<std::uint32_t>();
+    out.tasks = reader.get<std::uint32_t>();
     break;
   case Kind::Offer:
-    out.generation = r.get<std::uint64_t>();
-    good &= get_ranges(r, out.ranges) && !out.ranges.empty() && get_body(r, out.body);
+    out.generation = reader.get<std::uint64_t>();
+    good &= get_ranges(reader, out.ranges) && !out.ranges.empty() && get_body(reader, out.body);
     break;
   case Kind::Taken: {
-    out.generation = r.get<std::uint64_t>();
-    const auto yes = r.get<std::uint8_t>();
+    out.generation = reader.get<std::uint64_t>();
+    const auto yes = reader.get<std::uint8_t>();
     out.yes = yes == 1;
-    good &= yes < 2 && get_body(r, out.body) && valid_utf8(out.body);
+    good &= yes < 2 && get_body(reader, out.body) && valid_utf8(out.body);
     break;
   }
   case Kind::Renew:
-    out.lease_s = get_amount(r);
-    good &= get_generations(r, out.generations);
+    out.lease_s = get_amount(reader);
+    good &= get_generations(reader, out.generations);
     break;
   case Kind::Renewed:
-    out.grant_s = get_amount(r);
-    good &= get_generations(r, out.generations);
+    out.grant_s = get_amount(reader);
+    good &= get_generations(reader, out.generations);
     break;
   case Kind::Told:
-    out.generation = r.get<std::uint64_t>();
-    good &= get_told(r, out);
+    out.generation = reader.get<std::uint64_t>();
+    good &= get_told(reader, out);
     break;
   case Kind::Settled:
   case Kind::Recall:
-    out.generation = r.get<std::uint64_t>();
+    out.generation = reader.get<std::uint64_t>();
     break;
   case Kind::Quota:
   case Kind::QuotaApplied:
   case Kind::QuotaChange:
   case Kind::QuotaOutcome: {
-    out.generation = r.get<std::uint64_t>();
-    out.running = r.get<std::uint32_t>();
-    const auto yes = r.get<std::uint8_t>();
+    out.generation = reader.get<std::uint64_t>();
+    out.running = reader.get<std::uint32_t>();
+    const auto yes = reader.get<std::uint8_t>();
     out.yes = yes == 1;
-    good &= yes < 2 && get_body(r, out.body);
+    good &= yes < 2 && get_body(reader, out.body);
     break;
   }
   }
-  if (!good || !r.ok || !r.in.empty()) return PeerRead::Garbage;
+  if (!good || !reader.ok || !reader.in.empty()) return PeerRead::Garbage;
   buffer.remove_prefix(kHeader + length);
   return PeerRead::Frame;
 }
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -41,36 +41,37 @@
     if (s == names[i]) return static_cast<int>(i);
   return std::nullopt;
 }
-template <std::size_t N> std::optional<int> find_name(const char *const (&names)[N], const Json &j) {
-  if (!j.is_string()) return std::nullopt;
-  return find_name(names, j.get_ref<const std::string &>());
+template <std::size_t N> std::optional<int> find_name(const char *const (&names)[N], const Json &json) {
+  if (!json.is_string()) return std::nullopt;
+  return find_name(names, json.get_ref<const std::string &>());
 }
 
 const Json kNull;
 
-const Json &at(const Json &j, const char *name) {
-  if (!j.is_object()) return kNull;
-  auto it = j.find(name);
-  return it == j.end() ? kNull : *it;
+const Json &at(const Json &json, const char *name) {
+  if (!json.is_object()) return kNull;
+  auto it = json.find(name);
+  return it == json.end() ? kNull : *it;
 }
 
-std::optional<std::string> text(const Json &j, std::size_t max = 200) {
-  if (!j.is_string()) return std::nullopt;
-  const auto &s = j.get_ref<const std::string &>();
+std::optional<std::string> text(const Json &json, std::size_t max = 200) {
+  if (!json.is_string()) return std::nullopt;
+  const auto &s = json.get_ref<const std::string &>();
   if (s.empty() || s.size() > max) return std::nullopt;
   return s;
 }
 
-std::optional<double> amount(const Json &j, double max = 1e9) {
-  if (!j.is_number()) return std::nullopt;
-  double v = j.get<double>();
+std::optional<double> amount(const Json &json, double max = 1e9) {
+  if (!json.is_number()) return std::nullopt;
+  double v = json.get<double>();
   if (!std::isfinite(v) || v < 0 || v > max) return std::nullopt;
   return v;
 }
 
-std::optional<std::uint64_t> count(const Json &j) {
-  if (j.is_number_unsigned()) return j.get<std::uint64_t>();
-  if (j.is_number_integer() && j.get<std::int64_t>() >= 0) return static_cast<std::uint64_t>(j.get<std::int64_t>());
+std::optional<std::uint64_t> count(const Json &json) {
+  if (json.is_number_unsigned()) return json.get<std::uint64_t>();
+  if (json.is_number_integer() && json.get<std::int64_t>() >= 0)
+    return static_cast<std::uint64_t>(json.get<std::int64_t>());
   return std::nullopt;
 }
 
@@ -88,14 +89,14 @@
 
 // A set of task indices in the shorter of two forms: a list of range ends, or a bitmap in hexadecimal
 // digits of four tasks each, which scattered tasks need.
-Json set_json(const Ranges &r) {
+Json set_json(const Ranges &ranges) {
   std::size_t list_chars = 2;
-  for (auto [a, b] : r)
+  for (auto [a, b] : ranges)
     list_chars += fmt::formatted_size("{},{},", a, b);
-  const std::size_t digits = r.empty() ? 0 : (r.back().second + 3) / 4;
+  const std::size_t digits = ranges.empty() ? 0 : (ranges.back().second + 3) / 4;
   if (digits + 2 < list_chars) {
     std::string bits(digits, '\0');
-    for (auto [a, b] : r)
+    for (auto [a, b] : ranges)
       for (auto i = a; i < b; ++i)
         bits[i / 4] = static_cast<char>(bits[i / 4] | 1 << i % 4);
     for (char &c : bits)
@@ -103,18 +104,18 @@
     return bits;
   }
   Json out = Json::array();
-  for (auto [a, b] : r) {
+  for (auto [a, b] : ranges) {
     out.push_back(a);
     out.push_back(b);
   }
   return out;
 }
 
-std::optional<Ranges> set_from(const Json &j) {
+std::optional<Ranges> set_from(const Json &json) {
   Ranges out;
-  if (j.is_string()) {
+  if (json.is_string()) {
     std::uint32_t i = 0;
-    for (char c : j.get_ref<const std::string &>()) {
+    for (char c : json.get_ref<const std::string &>()) {
       int v = c >= '0' && c <= '9' ? c - '0' : c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
       if (v < 0) return std::nullopt;
       for (int bit = 0; bit < 4; ++bit, ++i) {
@@ -127,9 +128,9 @@
     }
     return out;
   }
-  if (!j.is_array() || j.size() % 2) return std::nullopt;
-  for (std::size_t i = 0; i < j.size(); i += 2) {
-    auto a = count(j[i]), b = count(j[i + 1]);
+  if (!json.is_array() || json.size() % 2) return std::nullopt;
+  for (std::size_t i = 0; i < json.size(); i += 2) {
+    auto a = count(json[i]), b = count(json[i + 1]);
     if (!a || !b || *a >= *b || *b > 1'000'000) return std::nullopt;
     out.emplace_back(*a, *b);
   }
@@ -148,39 +149,39 @@
     problem = "not a map";
     return std::nullopt;
   }
-  JobSpec s;
+  JobSpec spec;
   auto bad = [&](const char *field) {
     problem = fmt::format("field {} is missing or invalid", field);
     return std::nullopt;
   };
   auto id = text(at(j, f::id));
   if (!id || !valid_job_id(*id)) return bad(f::id);
-  s.id = *id;
+  spec.id = *id;
   auto get_text = [&](const char *name, std::string &out) {
     auto t = text(at(j, name));
     if (t) out = *t;
     return t.has_value();
   };
-  if (!get_text(f::job_class, s.job_class)) return bad(f::job_class);
-  if (!get_text(f::team, s.team)) return bad(f::team);
-  if (!get_text(f::image, s.image)) return bad(f::image);
+  if (!get_text(f::job_class, spec.job_class)) return bad(f::job_class);
+  if (!get_text(f::team, spec.team)) return bad(f::team);
+  if (!get_text(f::image, spec.image)) return bad(f::image);
   auto shape = find_name(kShapes, at(j, f::shape));
   if (!shape) return bad(f::shape);
-  s.shape = static_cast<Shape>(*shape);
+  spec.shape = static_cast<Shape>(*shape);
   auto urgency = find_name(kUrgencies, at(j, f::urgency));
   if (!urgency) return bad(f::urgency);
-  s.urgency = static_cast<Urgency>(*urgency);
+  spec.urgency = static_cast<Urgency>(*urgency);
   auto tasks = count(at(j, f::tasks));
   if (!tasks || *tasks < 1 || *tasks > 100'000) return bad(f::tasks);
-  s.tasks = static_cast<std::uint32_t>(*tasks);
+  spec.tasks = static_cast<std::uint32_t>(*tasks);
   struct Amount {
     const char *name;
     double *to;
   };
   for (auto [name, to] :
-       {Amount{f::cpus, &s.need.cpus}, Amount{f::gpus, &s.need.gpus}, Amount{f::memory, &s.need.memory},
-        Amount{f::image_gb, &s.image_gb}, Amount{f::estimate, &s.estimate_s}, Amount{f::checkpoint, &s.checkpoint_s},
-        Amount{f::save, &s.save_s}}) {
+       {Amount{f::cpus, &spec.need.cpus}, Amount{f::gpus, &spec.need.gpus}, Amount{f::memory, &spec.need.memory},
+        Amount{f::image_gb, &spec.image_gb}, Amount{f::estimate, &spec.estimate_s},
+        Amount{f::checkpoint, &spec.checkpoint_s}, Amount{f::save, &spec.save_s}}) {
     auto v = amount(at(j, name));
     if (!v) return bad(name);
     *to = *v;
@@ -189,64 +190,66 @@
     const char *name;
     bool *to;
   };
-  for (auto [name, to] : {Flag{f::one_zone, &s.one_zone}, Flag{f::spread, &s.spread}, Flag{f::spot, &s.spot}}) {
-    const Json &v = at(j, name);
-    if (!v.is_boolean()) return bad(name);
-    *to = v.get<bool>();
-  }
-  if (const Json &v = at(j, f::types); !v.is_null()) {
-    if (!v.is_array() || v.size() > 100) return bad(f::types);
-    s.types.emplace();
-    for (const auto &t : v) {
+  for (auto [name, to] :
+       {Flag{f::one_zone, &spec.one_zone}, Flag{f::spread, &spec.spread}, Flag{f::spot, &spec.spot}}) {
+    const Json &json = at(j, name);
+    if (!json.is_boolean()) return bad(name);
+    *to = json.get<bool>();
+  }
+  if (const Json &json = at(j, f::types); !json.is_null()) {
+    if (!json.is_array() || json.size() > 100) return bad(f::types);
+    spec.types.emplace();
+    for (const auto &t : json) {
       auto name = text(t);
       if (!name) return bad(f::types);
-      s.types->push_back(*name);
+      spec.types->push_back(*name);
     }
   }
-  if (const Json &v = at(j, f::zone); !v.is_null()) {
-    auto t = text(v);
+  if (const Json &json = at(j, f::zone); !json.is_null()) {
+    auto t = text(json);
     if (!t) return bad(f::zone);
-    s.zone = *t;
+    spec.zone = *t;
   }
-  if (const Json &v = at(j, f::deadline); !v.is_null()) {
-    auto d = amount(v);
+  if (const Json &json = at(j, f::deadline); !json.is_null()) {
+    auto d = amount(json);
     if (!d) return bad(f::deadline);
-    s.deadline_s = *d;
+    spec.deadline_s = *d;
   }
-  if (const Json &v = at(j, f::waits_for); !v.is_null()) {
-    if (!v.is_array() || v.size() > kMaxWaitsFor) return bad(f::waits_for);
-    for (const auto &name : v) {
+  if (const Json &json = at(j, f::waits_for); !json.is_null()) {
+    if (!json.is_array() || json.size() > kMaxWaitsFor) return bad(f::waits_for);
+    for (const auto &name : json) {
       const auto named = text(name);
-      if (!named || !valid_job_id(*named) || *named == s.id) return bad(f::waits_for);
-      if (std::find(s.waits_for.begin(), s.waits_for.end(), *named) == s.waits_for.end()) s.waits_for.push_back(*named);
+      if (!named || !valid_job_id(*named) || *named == spec.id) return bad(f::waits_for);
+      if (std::find(spec.waits_for.begin(), spec.waits_for.end(), *named) == spec.waits_for.end())
+        spec.waits_for.push_back(*named);
     }
   }
-  return s;
-}
-
-Json to_json(const JobSpec &s) {
-  Json j = {{f::id, s.id},
-            {f::job_class, s.job_class},
-            {f::team, s.team},
-            {f::shape, kShapes[static_cast<int>(s.shape)]},
-            {f::urgency, kUrgencies[static_cast<int>(s.urgency)]},
-            {f::tasks, s.tasks},
-            {f::cpus, s.need.cpus},
-            {f::gpus, s.need.gpus},
-            {f::memory, s.need.memory},
-            {f::image, s.image},
-            {f::image_gb, s.image_gb},
-            {f::one_zone, s.one_zone},
-            {f::spread, s.spread},
-            {f::spot, s.spot},
-            {f::estimate, s.estimate_s},
-            {f::checkpoint, s.checkpoint_s},
-            {f::save, s.save_s}};
-  if (s.types) j[f::types] = *s.types;
-  if (s.zone) j[f::zone] = *s.zone;
-  if (s.deadline_s) j[f::deadline] = *s.deadline_s;
-  if (!s.waits_for.empty()) j[f::waits_for] = s.waits_for;
-  return j;
+  return spec;
+}
+
+Json to_json(const JobSpec &spec) {
+  Json json = {{f::id, spec.id},
+               {f::job_class, spec.job_class},
+               {f::team, spec.team},
+               {f::shape, kShapes[static_cast<int>(spec.shape)]},
+               {f::urgency, kUrgencies[static_cast<int>(spec.urgency)]},
+               {f::tasks, spec.tasks},
+               {f::cpus, spec.need.cpus},
+               {f::gpus, spec.need.gpus},
+               {f::memory, spec.need.memory},
+               {f::image, spec.image},
+               {f::image_gb, spec.image_gb},
+               {f::one_zone, spec.one_zone},
+               {f::spread, spec.spread},
+               {f::spot, spec.spot},
+               {f::estimate, spec.estimate_s},
+               {f::checkpoint, spec.checkpoint_s},
+               {f::save, spec.save_s}};
+  if (spec.types) json[f::types] = *spec.types;
+  if (spec.zone) json[f::zone] = *spec.zone;
+  if (spec.deadline_s) json[f::deadline] = *spec.deadline_s;
+  if (!spec.waits_for.empty()) json[f::waits_for] = spec.waits_for;
+  return json;
 }
 
 std::variant<JobSpec, std::string> decode_job(std::string_view body) {
@@ -259,9 +262,10 @@
 }
 
 std::string encode_job_view(const JobView &v) {
-  Json j = {{f::id, v.id}, {f::state, kJobStates[static_cast<int>(v.state)]}, {"done", v.done}, {"running", v.running}};
-  if (!v.reason.empty()) j["reason"] = v.reason;
-  return encode(j);
+  Json json = {
+      {f::id, v.id}, {f::state, kJobStates[static_cast<int>(v.state)]}, {"done", v.done}, {"running", v.running}};
+  if (!v.reason.empty()) json["reason"] = v.reason;
+  return encode(json);
 }
 
 std::string encode_accepted(std::string_view id, JobState state) {
@@ -461,10 +465,10 @@
 static Json orders_json(const std::vector<TaskCommand> &orders) {
   Json list = Json::array();
   for (const auto &o : orders) {
-    Json e = {
+    Json json = {
         {f::verb, kVerbs[static_cast<int>(o.verb)]}, {f::task, task_name(o.job, o.index)}, {f::attempt, o.attempt}};
-    if (o.verb == TaskCommand::Verb::Stop) e[f::grace] = o.grace_s;
-    list.push_back(std::move(e));
+    if (o.verb == TaskCommand::Verb::Stop) json[f::grace] = o.grace_s;
+    list.push_back(std::move(json));
   }
   return list;
 }
@@ -483,22 +487,22 @@
   return encode({{f::redirect, node}});
 }
 
-std::string encode_heartbeat(const Heartbeat &r) {
+std::string encode_heartbeat(const Heartbeat &heartbeat) {
   Json tasks = Json::array();
-  for (const auto &t : r.tasks) {
-    Json e = {
+  for (const auto &t : heartbeat.tasks) {
+    Json json = {
         {f::task, task_name(t.job, t.index)}, {f::attempt, t.attempt}, {f::state, kPhases[static_cast<int>(t.phase)]}};
-    if (t.cause != ExitCause::None) e[f::cause] = kCauses[static_cast<int>(t.cause)];
-    if (t.saved) e[f::saved] = true;
-    tasks.push_back(std::move(e));
+    if (t.cause != ExitCause::None) json[f::cause] = kCauses[static_cast<int>(t.cause)];
+    if (t.saved) json[f::saved] = true;
+    tasks.push_back(std::move(json));
   }
-  Json j = {{f::machine, r.machine},     {f::address, r.address},
-            {f::type, r.type},           {f::zone, r.zone},
-            {f::spot, r.spot},           {f::incarnation, r.incarnation},
-            {f::sequence, r.sequence},   {f::fencing_token, r.fencing_token},
-            {f::tasks, std::move(tasks)}};
-  if (r.notice_s) j[f::notice] = *r.notice_s;
-  return encode(j);
+  Json json = {{f::machine, heartbeat.machine},   {f::address, heartbeat.address},
+               {f::type, heartbeat.type},         {f::zone, heartbeat.zone},
+               {f::spot, heartbeat.spot},         {f::incarnation, heartbeat.incarnation},
+               {f::sequence, heartbeat.sequence}, {f::fencing_token, heartbeat.fencing_token},
+               {f::tasks, std::move(tasks)}};
+  if (heartbeat.notice_s) json[f::notice] = *heartbeat.notice_s;
+  return encode(json);
 }
 
 std::optional<WorkerCommands> decode_commands(std::string_view body) {
@@ -509,35 +513,36 @@
   if (!fencing_token || !list.is_array()) return std::nullopt;
   WorkerCommands out{*fencing_token, {}};
   for (const auto &e : list) {
-    TaskCommand o;
+    TaskCommand command;
     auto verb = find_name(kVerbs, at(e, f::verb));
     auto name = text(at(e, f::task));
     auto attempt = count(at(e, f::attempt));
-    if (!verb || !name || !attempt || !split_task(*name, o.job, o.index)) return std::nullopt;
-    o.verb = static_cast<TaskCommand::Verb>(*verb);
-    o.attempt = *attempt;
-    o.grace_s = amount(at(e, f::grace)).value_or(0);
-    out.orders.push_back(std::move(o));
+    if (!verb || !name || !attempt || !split_task(*name, command.job, command.index)) return std::nullopt;
+    command.verb = static_cast<TaskCommand::Verb>(*verb);
+    command.attempt = *attempt;
+    command.grace_s = amount(at(e, f::grace)).value_or(0);
+    out.orders.push_back(std::move(command));
   }
   return out;
 }
 
-Json to_json(const OpenRecord &r) {
-  Json j = {{"spec", to_json(r.spec)}, {"at", r.submit_wall}};
-  if (r.cancelled) j["cancelled"] = true;
-  if (r.delegated)
-    j["lent"] = {
-        {"home", r.delegated->origin}, {"gen", r.delegated->generation}, {"tasks", set_json(r.delegated->tasks)}};
-  return j;
+Json to_json(const OpenRecord &record) {
+  Json json = {{"spec", to_json(record.spec)}, {"at", record.submit_wall}};
+  if (record.cancelled) json["cancelled"] = true;
+  if (record.delegated)
+    json["lent"] = {{"home", record.delegated->origin},
+                    {"gen", record.delegated->generation},
+                    {"tasks", set_json(record.delegated->tasks)}};
+  return json;
 }
 
-std::optional<OpenRecord> open_from_json(const Json &j) {
+std::optional<OpenRecord> open_from_json(const Json &json) {
   std::string problem;
-  auto spec = job_from_json(at(j, "spec"), problem);
-  auto when = amount(at(j, "at"), 1e12);
+  auto spec = job_from_json(at(json, "spec"), problem);
+  auto when = amount(at(json, "at"), 1e12);
   if (!spec || !when) return std::nullopt;
-  OpenRecord out{std::move(*spec), *when, at(j, "cancelled").is_boolean(), {}};
-  if (const Json &delegated = at(j, "lent"); !delegated.is_null()) {
+  OpenRecord out{std::move(*spec), *when, at(json, "cancelled").is_boolean(), {}};
+  if (const Json &delegated = at(json, "lent"); !delegated.is_null()) {
     const auto origin = text(at(delegated, "home"));
     const auto generation = count(at(delegated, "gen"));
     auto tasks = set_from(at(delegated, "tasks"));
@@ -547,63 +552,63 @@
   return out;
 }
 
-Json to_json(const EndRecord &r) {
-  Json j = {{"cancelled", r.cancelled}, {"tasks", r.tasks},  {"class", r.job_class}, {"team", r.team},
-            {"at", r.submit_wall},      {"end", r.end_wall}, {"late", r.late}};
-  if (!r.reason.empty()) j["reason"] = r.reason;
-  if (r.usage) {
-    j["used"] = accounts::pack(*r.usage);
-    j["need"] = {r.need.cpus, r.need.gpus, r.need.memory};
+Json to_json(const EndRecord &end) {
+  Json json = {{"cancelled", end.cancelled}, {"tasks", end.tasks},  {"class", end.job_class}, {"team", end.team},
+               {"at", end.submit_wall},      {"end", end.end_wall}, {"late", end.late}};
+  if (!end.reason.empty()) json["reason"] = end.reason;
+  if (end.usage) {
+    json["used"] = accounts::pack(*end.usage);
+    json["need"] = {end.need.cpus, end.need.gpus, end.need.memory};
   }
-  return j;
+  return json;
 }
 
-std::optional<EndRecord> end_from_json(const Json &j) {
-  EndRecord r;
-  const Json &cancelled = at(j, "cancelled");
-  auto tasks = count(at(j, "tasks"));
+std::optional<EndRecord> end_from_json(const Json &json) {
+  EndRecord end;
+  const Json &cancelled = at(json, "cancelled");
+  auto tasks = count(at(json, "tasks"));
   if (!cancelled.is_boolean() || !tasks) return std::nullopt;
-  r.cancelled = cancelled.get<bool>();
-  r.tasks = static_cast<std::uint32_t>(*tasks);
-  r.job_class = text(at(j, "class")).value_or("");
-  r.team = text(at(j, "team")).value_or("");
-  r.submit_wall = amount(at(j, "at"), 1e12).value_or(0);
-  r.end_wall = amount(at(j, "end"), 1e12).value_or(0);
-  r.late = at(j, "late").is_boolean() && at(j, "late").get<bool>();
-  r.reason = text(at(j, "reason"), 1000).value_or("");
-  const Json &need = at(j, "need");
-  if (auto used = text(at(j, "used"), 200); used && need.is_array() && need.size() == 3) {
-    r.usage = accounts::unpack<accounts::kUsageColumns>(*used);
-    r.need = {amount(need[0], 1e6).value_or(0), amount(need[1], 1e6).value_or(0), amount(need[2], 1e9).value_or(0)};
-  }
-  return r;
-}
-
-Json final_json(const EndRecord &r) {
-  return {{"final", to_json(r)}};
-}
-
-std::optional<EndRecord> final_from_json(const Json &j) {
-  return end_from_json(at(j, "final"));
-}
-
-Json to_json(const ProgressRecord &r) {
-  Json j = {{"s", set_json(r.started)}, {"f", set_json(r.finished)}};
-  if (r.failed_on) j["x"] = r.failed_on;
-  if (r.at_ms) { // used, held by attempts under way, when
-    j["u"] = accounts::pack(r.usage);
-    j["h"] = r.running_ms;
-    j["t"] = r.at_ms;
-  }
-  if (r.delegated_here) j["b"] = r.delegated_here;
-  for (const auto &l : r.delegations) {
-    Json e = {{"g", l.generation},
-              {"c", l.cell},
-              {"l", l.lease_s},
-              {"u", accounts::pack(l.charged)},
-              {"r", set_json(l.tasks)}};
-    if (l.lapsed) e["x"] = true;
-    j["l"].push_back(std::move(e));
+  end.cancelled = cancelled.get<bool>();
+  end.tasks = static_cast<std::uint32_t>(*tasks);
+  end.job_class = text(at(json, "class")).value_or("");
+  end.team = text(at(json, "team")).value_or("");
+  end.submit_wall = amount(at(json, "at"), 1e12).value_or(0);
+  end.end_wall = amount(at(json, "end"), 1e12).value_or(0);
+  end.late = at(json, "late").is_boolean() && at(json, "late").get<bool>();
+  end.reason = text(at(json, "reason"), 1000).value_or("");
+  const Json &need = at(json, "need");
+  if (auto used = text(at(json, "used"), 200); used && need.is_array() && need.size() == 3) {
+    end.usage = accounts::unpack<accounts::kUsageColumns>(*used);
+    end.need = {amount(need[0], 1e6).value_or(0), amount(need[1], 1e6).value_or(0), amount(need[2], 1e9).value_or(0)};
+  }
+  return end;
+}
+
+Json final_json(const EndRecord &end) {
+  return {{"final", to_json(end)}};
+}
+
+std::optional<EndRecord> final_from_json(const Json &json) {
+  return end_from_json(at(json, "final"));
+}
+
+Json to_json(const ProgressRecord &progress) {
+  Json j = {{"s", set_json(progress.started)}, {"f", set_json(progress.finished)}};
+  if (progress.failed_on) j["x"] = progress.failed_on;
+  if (progress.at_ms) { // used, held by attempts under way, when
+    j["u"] = accounts::pack(progress.usage);
+    j["h"] = progress.running_ms;
+    j["t"] = progress.at_ms;
+  }
+  if (progress.delegated_here) j["b"] = progress.delegated_here;
+  for (const auto &l : progress.delegations) {
+    Json json = {{"g", l.generation},
+                 {"c", l.cell},
+                 {"l", l.lease_s},
+                 {"u", accounts::pack(l.charged)},
+                 {"r", set_json(l.tasks)}};
+    if (l.lapsed) json["x"] = true;
+    j["l"].push_back(std::move(json));
   }
   return j;
 }
@@ -619,10 +624,10 @@
   return out;
 }
 
-std::optional<SumsByTeam> sums_from_json(const Json &j) {
+std::optional<SumsByTeam> sums_from_json(const Json &json) {
   SumsByTeam out;
-  if (!j.is_object()) return std::nullopt;
-  for (const auto &[period, teams] : j.items()) {
+  if (!json.is_object()) return std::nullopt;
+  for (const auto &[period, teams] : json.items()) {
     if (!teams.is_object()) return std::nullopt;
     for (const auto &[team, packed] : teams.items()) {
       auto t = text(packed, 300);
@@ -655,23 +660,26 @@
     if (!read) return std::nullopt;
     out.sums = std::move(*read);
   }
-  auto one = [&](std::string_view id, const Json &e) {
-    auto started = set_from(at(e, "s")), finished = set_from(at(e, "f"));
+  auto one = [&](std::string_view id, const Json &json) {
+    auto started = set_from(at(json, "s")), finished = set_from(at(json, "f"));
     if (!started || !finished) return false;
-    ProgressRecord r;
-    r.started = std::move(*started);
-    r.finished = std::move(*finished);
-    r.failed_on = static_cast<std::uint32_t>(std::min<std::uint64_t>(count(at(e, "x")).value_or(0), 1'000'000));
-    if (const Json &used = at(e, "u"); !used.is_null()) {
+    ProgressRecord progress;
+    progress.started = std::move(*started);
+    progress.finished = std::move(*finished);
+    progress.failed_on =
+        static_cast<std::uint32_t>(std::min<std::uint64_t>(count(at(json, "x")).value_or(0), 1'000'000));
+    if (const Json &used = at(json, "u"); !used.is_null()) {
       auto t = text(used, 200);
       auto usage = t ? accounts::unpack<accounts::kUsageColumns>(*t) : std::nullopt;
       if (!usage) return false;
-      r.usage = *usage;
-      r.running_ms = static_cast<std::int64_t>(std::min<std::uint64_t>(count(at(e, "h")).value_or(0), 1ULL << 53));
-      r.at_ms = static_cast<std::int64_t>(std::min<std::uint64_t>(count(at(e, "t")).value_or(0), 1ULL << 53));
+      progress.usage = *usage;
+      progress.running_ms =
+          static_cast<std::int64_t>(std::min<std::uint64_t>(count(at(json, "h")).value_or(0), 1ULL << 53));
+      progress.at_ms = static_cast<std::int64_t>(std::min<std::uint64_t>(count(at(json, "t")).value_or(0), 1ULL << 53));
     }
-    r.delegated_here = count(at(e, "b")).value_or(0);
-    for (const Json &delegations = at(e, "l"); const auto &l : delegations.is_array() ? delegations : Json::array()) {
+    progress.delegated_here = count(at(json, "b")).value_or(0);
+    for (const Json &delegations = at(json, "l");
+         const auto &l : delegations.is_array() ? delegations : Json::array()) {
       const auto generation = count(at(l, "g"));
       const auto cell = text(at(l, "c"));
       const auto lease = amount(at(l, "l"));
@@ -680,9 +688,9 @@
                             : std::nullopt;
       auto tasks = set_from(at(l, "r"));
       if (!generation || !cell || !lease || !used || !tasks) return false;
-      r.delegations.push_back({*generation, *cell, std::move(*tasks), *lease, at(l, "x").is_boolean(), *used});
+      progress.delegations.push_back({*generation, *cell, std::move(*tasks), *lease, at(l, "x").is_boolean(), *used});
     }
-    out.jobs.emplace_back(std::string(id), std::move(r));
+    out.jobs.emplace_back(std::string(id), std::move(progress));
     return true;
   };
   const Json &jobs = at(j, "jobs");
@@ -695,13 +703,13 @@
   return out;
 }
 
-Json to_json(const LeaderRecord &r) {
-  return {{"node", r.node}, {"nonce", r.nonce}};
+Json to_json(const LeaderRecord &record) {
+  return {{"node", record.node}, {"nonce", record.nonce}};
 }
 
-std::optional<LeaderRecord> leader_from_json(const Json &j) {
-  auto node = text(at(j, "node"));
-  auto nonce = count(at(j, "nonce"));
+std::optional<LeaderRecord> leader_from_json(const Json &json) {
+  auto node = text(at(json, "node"));
+  auto nonce = count(at(json, "nonce"));
   if (!node || !nonce) return std::nullopt;
   return LeaderRecord{*node, *nonce};
 }
@@ -719,12 +727,12 @@
           {"at", r.wall}};
 }
 
-std::optional<StoredConnectivityRecord> connectivity_from_json(const Json &j) {
-  const auto workers = find_name(kHearing, at(j, "workers")), cloud = find_name(kCloud, at(j, "cloud"));
-  const auto machines = count(at(j, "machines"));
-  const auto quiet = amount(at(j, "quiet_s"), ConnectivityRecord::kMaxQuiet),
-             carried = amount(at(j, "carried_s"), ConnectivityRecord::kMaxQuiet);
-  const auto when = amount(at(j, "at"), 1e12);
+std::optional<StoredConnectivityRecord> connectivity_from_json(const Json &json) {
+  const auto workers = find_name(kHearing, at(json, "workers")), cloud = find_name(kCloud, at(json, "cloud"));
+  const auto machines = count(at(json, "machines"));
+  const auto quiet = amount(at(json, "quiet_s"), ConnectivityRecord::kMaxQuiet),
+             carried = amount(at(json, "carried_s"), ConnectivityRecord::kMaxQuiet);
+  const auto when = amount(at(json, "at"), 1e12);
   if (!quiet || !carried || !workers || !cloud || !machines || !when) return std::nullopt;
   return StoredConnectivityRecord{{static_cast<WorkerReachability>(*workers),
                                    static_cast<std::uint16_t>(std::min<std::uint64_t>(*machines, 65535)), *quiet,
@@ -748,26 +756,26 @@
   return {{f::types, std::move(list)}};
 }
 
-std::optional<std::vector<MachineType>> types_from_json(const Json &j) {
-  const Json &list = at(j, f::types);
+std::optional<std::vector<MachineType>> types_from_json(const Json &json) {
+  const Json &list = at(json, f::types);
   if (!list.is_array()) return std::nullopt;
   std::vector<MachineType> out;
   for (const auto &e : list) {
-    MachineType t;
+    MachineType type;
     auto name = text(at(e, f::name));
     auto cpus = amount(at(e, f::cpus)), memory = amount(at(e, f::memory));
     const Json &zones = at(e, f::zones);
     if (!name || !cpus || !memory || !zones.is_array()) return std::nullopt;
-    t.name = *name;
-    t.size = {*cpus, amount(at(e, f::gpus)).value_or(0), *memory};
-    t.cache_gb = amount(at(e, f::cache)).value_or(0);
-    t.fetch_gb_per_s = amount(at(e, f::fetch)).value_or(0);
-    t.price = amount(at(e, f::price)).value_or(0);
-    t.spot_price = amount(at(e, f::spot_price)).value_or(t.price);
-    t.boot_s = amount(at(e, f::boot)).value_or(60);
+    type.name = *name;
+    type.size = {*cpus, amount(at(e, f::gpus)).value_or(0), *memory};
+    type.cache_gb = amount(at(e, f::cache)).value_or(0);
+    type.fetch_gb_per_s = amount(at(e, f::fetch)).value_or(0);
+    type.price = amount(at(e, f::price)).value_or(0);
+    type.spot_price = amount(at(e, f::spot_price)).value_or(type.price);
+    type.boot_s = amount(at(e, f::boot)).value_or(60);
     for (const auto &z : zones)
-      if (auto zone = text(z)) t.zones.push_back(*zone);
-    out.push_back(std::move(t));
+      if (auto zone = text(z)) type.zones.push_back(*zone);
+    out.push_back(std::move(type));
   }
   return out;
 }
@@ -781,9 +789,9 @@
       w.push_back({{f::del, x.key}});
       continue;
     }
-    Json e = {{f::put, x.key}, {f::value, *x.value}};
-    if (x.lease) e[f::lease] = x.lease;
-    w.push_back(std::move(e));
+    Json json = {{f::put, x.key}, {f::value, *x.value}};
+    if (x.lease) json[f::lease] = x.lease;
+    w.push_back(std::move(json));
   }
   return encode({{f::preconditions, std::move(g)}, {f::writes, std::move(w)}});
 }
@@ -793,40 +801,40 @@
 }
 
 StoreReply decode_store(int status, std::string_view body) {
-  StoreReply r;
-  r.status = status;
-  if (status == 0 || body.empty()) return r;
+  StoreReply reply;
+  reply.status = status;
+  if (status == 0 || body.empty()) return reply;
   auto j = decode(body, {32, 2'000'000});
   if (!j || !j->is_object()) {
     // An answer that cannot be read proves nothing about what was carried out.
-    if (status == 200) r.status = 0;
-    return r;
+    if (status == 200) reply.status = 0;
+    return reply;
   }
-  r.revision = count(at(*j, f::revision)).value_or(0);
-  r.lease = count(at(*j, f::lease)).value_or(0);
-  r.more = at(*j, f::more).is_boolean() && at(*j, f::more).get<bool>();
+  reply.revision = count(at(*j, f::revision)).value_or(0);
+  reply.lease = count(at(*j, f::lease)).value_or(0);
+  reply.more = at(*j, f::more).is_boolean() && at(*j, f::more).get<bool>();
   for (const auto &k : at(*j, f::failed))
-    if (k.is_string()) r.failed.push_back(k.get<std::string>());
-  auto entry = [](const Json &e) -> std::optional<KeyValue> {
-    auto key = text(at(e, f::key));
-    auto mod_revision = count(at(e, f::mod_revision));
+    if (k.is_string()) reply.failed.push_back(k.get<std::string>());
+  auto entry = [](const Json &json) -> std::optional<KeyValue> {
+    auto key = text(at(json, f::key));
+    auto mod_revision = count(at(json, f::mod_revision));
     if (!key || !mod_revision) return std::nullopt;
-    return KeyValue{*key, at(e, f::value), *mod_revision, count(at(e, f::lease)).value_or(0)};
+    return KeyValue{*key, at(json, f::value), *mod_revision, count(at(json, f::lease)).value_or(0)};
   };
-  if (auto single = entry(*j)) r.entries.push_back(std::move(*single));
+  if (auto single = entry(*j)) reply.entries.push_back(std::move(*single));
   if (const Json &list = at(*j, f::entries); list.is_array())
     for (const auto &e : list)
-      if (auto x = entry(e)) r.entries.push_back(std::move(*x));
+      if (auto x = entry(e)) reply.entries.push_back(std::move(*x));
   if (const Json &list = at(*j, f::events); list.is_array())
     for (const auto &e : list) {
       auto put = text(at(e, f::put)), del = text(at(e, f::del));
       auto mod_revision = count(at(e, f::mod_revision)).value_or(0);
       if (put)
-        r.events.push_back({*put, at(e, f::value), mod_revision});
+        reply.events.push_back({*put, at(e, f::value), mod_revision});
       else if (del)
-        r.events.push_back({*del, std::nullopt, mod_revision});
+        reply.events.push_back({*del, std::nullopt, mod_revision});
     }
-  return r;
+  return reply;
 }
 
 std::string encode_scale_out(std::string_view request, std::string_view type, std::string_view zone, bool spot,
@@ -839,27 +847,27 @@
 }
 
 CloudReply decode_cloud(CloudCall call, int status, std::string_view body) {
-  CloudReply r;
-  r.status = status;
+  CloudReply reply;
+  reply.status = status;
   auto j = body.empty() ? std::nullopt : decode(body, {32, 2'000'000});
   if (!j || !j->is_object()) {
-    if (status == 200 && call != CloudCall::Return) r.status = 0;
-    return r;
+    if (status == 200 && call != CloudCall::Return) reply.status = 0;
+    return reply;
   }
-  if (status == 503) r.no_capacity = at(*j, "error") == "no capacity";
-  if (status != 200) return r;
+  if (status == 503) reply.no_capacity = at(*j, "error") == "no capacity";
+  if (status != 200) return reply;
   switch (call) {
   case CloudCall::Types: {
     auto types = types_from_json(*j);
     if (types)
-      r.types = std::move(*types);
+      reply.types = std::move(*types);
     else
-      r.status = 0;
+      reply.status = 0;
     break;
   }
   case CloudCall::Rent:
     for (const auto &n : at(*j, f::machines))
-      if (auto name = text(n)) r.names.push_back(*name);
+      if (auto name = text(n)) reply.names.push_back(*name);
     break;
   case CloudCall::List:
     for (const auto &e : at(*j, f::machines)) {
@@ -876,14 +884,14 @@
                  : *state == "running" ? MachineStatus::Running
                                        : MachineStatus::Booting;
       m.age_s = amount(at(e, f::age)).value_or(0);
-      r.machines.push_back(std::move(m));
+      reply.machines.push_back(std::move(m));
     }
-    r.more = at(*j, f::more).is_boolean() && at(*j, f::more).get<bool>();
+    reply.more = at(*j, f::more).is_boolean() && at(*j, f::more).get<bool>();
     break;
   case CloudCall::Return:
     break;
   }
-  return r;
+  return reply;
 }
 
 } // namespace loftrouter::wire
