--- a/include/loftrouter/client/verbs.hpp
+++ b/include/loftrouter/client/verbs.hpp
@@ -1,4 +1,4 @@
-// What loft does, apart from reading its command line.
+// What loftrouterctl does, apart from reading its command line.
 #pragma once
 
 #include <cstdint>
--- a/src/client/render.cpp
+++ b/src/client/render.cpp
@@ -303,7 +303,7 @@
   }
   script += "EOD\nplot $d using 2:xtic(1) title 'in time' lc rgb '#2f7d6b', '' using 3 title 'late' lc rgb '#d98e04', "
             "'' using 4 title 'stopped' lc rgb '#8a94a0'\n";
-  char name[] = "/tmp/loft-plot-XXXXXX";
+  char name[] = "/tmp/loftrouterctl-plot-XXXXXX";
   const int fd = ::mkstemp(name);
   if (fd < 0) return "";
   const bool written = ::write(fd, script.data(), script.size()) == static_cast<ssize_t>(script.size());
--- a/src/client/verbs.cpp
+++ b/src/client/verbs.cpp
@@ -74,7 +74,7 @@
     if (read == 0 || equals + 1 + read != share.size()) throw Stop{kUsage, "--share: cell=CPUs is wanted"};
     change["shares"][share.substr(0, equals)] = {{"cpus", cpus}};
   }
-  if (change.empty()) throw Stop{kUsage, "nothing to set; see loft quota set --help"};
+  if (change.empty()) throw Stop{kUsage, "nothing to set; see loftrouterctl quota set --help"};
   if (verb.version) change["version"] = *verb.version;
   return change;
 }
@@ -129,7 +129,7 @@
       if (!verb.every.empty()) change["every"] = verb.every;
       if (!verb.starts.empty()) change["starts"] = verb.starts;
       if (!verb.utc_offset.empty()) change["utc_offset"] = verb.utc_offset;
-      if (change.empty()) throw Stop{kUsage, "nothing to set; see loft budget set --help"};
+      if (change.empty()) throw Stop{kUsage, "nothing to set; see loftrouterctl budget set --help"};
       const auto all = ask(service, "PUT", "/admin/v1/budgets", change);
       show(all, budgets_table(all));
     } else if (verb.kind == Kind::QuotaShow) {
@@ -150,11 +150,12 @@
       std::ofstream file(verb.html);
       file << report_html(all, pages(service, "/admin/v1/jobs", ""), plot);
       if (!file.flush()) throw Stop{kUsage, verb.html + ": cannot be written"};
-      if (plot.empty()) std::fprintf(stderr, "loft: no plot: nothing has ended, or gnuplot is not installed\n");
+      if (plot.empty())
+        std::fprintf(stderr, "loftrouterctl: no plot: nothing has ended, or gnuplot is not installed\n");
       std::cout << verb.html << "\n";
     }
   } catch (const Stop &s) {
-    std::fprintf(stderr, "loft: %s\n", s.why.c_str());
+    std::fprintf(stderr, "loftrouterctl: %s\n", s.why.c_str());
     return s.code;
   }
   return kGood;
--- a/tests/daemon_test.cpp
+++ b/tests/daemon_test.cpp
@@ -198,10 +198,10 @@
 } // namespace
 
 namespace {
-// What the client prints, and its exit code.
-std::pair<std::string, int> run_client(const std::string &arguments) {
+// What the client prints, and its exit code. `environment`: NAME=value, in front of the command.
+std::pair<std::string, int> run_client(const std::string &arguments, const std::string &environment = "") {
   std::string out;
-  FILE *p = ::popen((std::string(LOFTROUTERCTL) + " " + arguments + " 2>&1").c_str(), "r");
+  FILE *p = ::popen((environment + " " + LOFTROUTERCTL + " " + arguments + " 2>&1").c_str(), "r");
   char part[512];
   for (std::size_t n; (n = std::fread(part, 1, sizeof part, p)) > 0;)
     out.append(part, n);
@@ -297,6 +297,12 @@
   const auto [refused, code] = run_client("budget set nobody --cpu-hours 5" + at_nodes);
   EXPECT_EQ(code, 1) << refused;
   EXPECT_NE(refused.find("no such team"), std::string::npos) << refused;
+  const auto here = local(d.api[leader]), nowhere = local(free_port());
+  EXPECT_EQ(run_client("budget get", "LOFTROUTER_SERVER=" + here).second, 0);
+  EXPECT_EQ(run_client("budget get", "LOFT_SERVER=" + here).second, 0) << "the client's earlier variable is still read";
+  EXPECT_EQ(run_client("budget get --timeout 0.3", "LOFTROUTER_SERVER=" + nowhere + " LOFT_SERVER=" + here).second, 3)
+      << "the new variable counts where both are set";
+  EXPECT_EQ(run_client("budget get --server " + here, "LOFT_SERVER=" + nowhere).second, 0) << "and the option first";
   const auto page = std::filesystem::temp_directory_path() / ("loft-report-" + std::to_string(::getpid()) + ".html");
   EXPECT_EQ(run_client("report --html " + page.string() + at_nodes).second, 0);
   std::ifstream written(page);
