--- a/include/loftrouter/core/api/status_reporter.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -12,6 +12,7 @@
 
 #include "loftrouter/core/autoscaling/autoscaler.hpp"
 #include "loftrouter/core/connectivity/replicas.hpp"
+#include "loftrouter/core/runtime/dense_index.hpp"
 
 namespace loftrouter::core {
 
@@ -32,7 +33,7 @@
 
   // What a user is shown of a job that the state service has just said is open.
   JobView view(const std::string &id, bool cancelled) const;
-  bool foreseen_late(int job_index) const;
+  bool foreseen_late(JobIndex job_index) const;
   bool foreseen_late(const std::string &id) const; // on any node
   std::size_t foreseen_late_count() const;
   void log_summary(); // every few seconds
@@ -60,14 +61,14 @@
   // When each open job is expected to be able to start, and to be done, by estimates and the queue.
   static constexpr double kOutlookEvery = 0.5; // s
   const Dependencies::Path &outlook() const;
-  std::string at_risk(int job_index) const;
+  std::string at_risk(JobIndex job_index) const;
   Supplies supplies() const;
-  std::string why(int job_index, const Supplies &supply) const;
-  std::string why_waiting(int job_index, const Supplies &supply) const;
+  std::string why(JobIndex job_index, const Supplies &supply) const;
+  std::string why_waiting(JobIndex job_index, const Supplies &supply) const;
   std::string why_held(const Job &job) const;
   std::string why_limited(const Job &job) const; // by its team's limit; empty: it is not
-  std::string why_not_ready(int job_index) const;
-  bool any_running(int job_index) const;
+  std::string why_not_ready(JobIndex job_index) const;
+  bool any_running(JobIndex job_index) const;
 
   Runtime &runtime_;
   const Settings &settings_;
--- a/include/loftrouter/core/autoscaling/autoscaler.hpp
+++ b/include/loftrouter/core/autoscaling/autoscaler.hpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "loftrouter/core/liveness/failure_detector.hpp"
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/scheduling/scheduler.hpp"
 
 namespace loftrouter::core {
@@ -32,7 +33,7 @@
   struct Wanted { // machines of one kind
     MachineKind kind;
     int count = 0, jobs = 0;
-    int job = -1; // the first that wants them
+    JobIndex job; // the first that wants them
   };
   void load_types();
   void list(std::string from);
--- a/include/loftrouter/core/federation/cell_federation.hpp
+++ b/include/loftrouter/core/federation/cell_federation.hpp
@@ -22,6 +22,7 @@
 #include "loftrouter/core/federation/cell_membership.hpp"
 #include "loftrouter/core/federation/delegation_plan.hpp"
 #include "loftrouter/core/federation/delegation_protocol.hpp"
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/runtime/forwarded_requests.hpp"
 
 namespace loftrouter::core {
@@ -108,7 +109,8 @@
     bool knows_quotas = false;
   };
   struct Wanted { // room asked for
-    int job, cell;
+    JobIndex job;
+    int cell;
     std::uint64_t serial;
     std::uint32_t tasks;
     double until;
@@ -130,23 +132,23 @@
   bool may_confirm(const cells::Terms &terms) const;
   void survey();
   void decide();
-  std::uint32_t team_allows(int job_index) const;
-  void want(int job_index, int cell, const cells::Work &work, std::uint32_t tasks);
+  std::uint32_t team_allows(JobIndex job_index) const;
+  void want(JobIndex job_index, int cell, const cells::Work &work, std::uint32_t tasks);
   void delegate(const Wanted &wanted, std::uint64_t ticket, std::uint32_t tasks);
   void tend_outbound();
-  OutboundDelegation *delegation(std::uint64_t generation, int &job);
-  void drop(int job_index, OutboundDelegation &delegation);
+  OutboundDelegation *delegation(std::uint64_t generation, JobIndex &job_index);
+  void drop(JobIndex job_index, OutboundDelegation &delegation);
   void told(const Route &from, int cell, const wire::CellMessage &message);
-  wire::CellMessage offer(int job_index, const OutboundDelegation &delegation) const;
-  cells::Work work_of(int job_index) const;
+  wire::CellMessage offer(JobIndex job_index, const OutboundDelegation &delegation) const;
+  cells::Work work_of(JobIndex job_index) const;
   // As borrower.
   void offered(const Route &from, int cell, wire::CellMessage &&message);
   double spare_cpus(const cells::Work &work) const;
   bool may_use(const cells::Work &work, const Lot &lot) const;
   void tend_inbound();
   void renew(int origin);
-  void close(int job_index, InboundDelegation &inbound);
-  InboundDelegation *inbound(std::uint64_t generation, int origin, int &job);
+  void close(JobIndex job_index, InboundDelegation &inbound);
+  InboundDelegation *inbound(std::uint64_t generation, int origin, JobIndex &job_index);
   void summarize(wire::CellMessage &message) const;
 
   Runtime &runtime_;
@@ -167,13 +169,13 @@
   const Autoscaler &autoscaler_;
   const JobObjectives &objectives_;
   std::vector<Cell> cells_;
-  std::vector<std::string> node_addresses_;                   // of all cells, by how they are dialled
-  std::vector<std::vector<OutboundDelegation>> outbound_;     // by job
-  std::unordered_map<std::uint64_t, int> outbound_jobs_;      // by generation
-  std::vector<std::optional<InboundDelegation>> inbound_;     // by job
-  std::vector<int> inbound_list_;                             // jobs that have one
-  std::map<std::pair<int, std::uint64_t>, int> inbound_jobs_; // by home and generation
-  std::set<std::uint64_t> taking_;                            // offers whose record is being written
+  std::vector<std::string> node_addresses_;                        // of all cells, by how they are dialled
+  std::vector<std::vector<OutboundDelegation>> outbound_;          // by job
+  std::unordered_map<std::uint64_t, JobIndex> outbound_jobs_;      // by generation
+  std::vector<std::optional<InboundDelegation>> inbound_;          // by job
+  std::vector<JobIndex> inbound_list_;                             // jobs that have one
+  std::map<std::pair<int, std::uint64_t>, JobIndex> inbound_jobs_; // by home and generation
+  std::set<std::uint64_t> taking_;                                 // offers whose record is being written
   std::vector<Lot> lots_;
   std::vector<double> waits_; // by job: expected at home
   double wait_by_urgency_[4] = {}, own_waiting_cpus_ = 0;
--- a/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
@@ -11,6 +11,7 @@
 
 #include "loftrouter/core/connectivity/connectivity_monitor.hpp"
 #include "loftrouter/core/heartbeats/heartbeat_forwarding.hpp"
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/workers/worker_registry.hpp"
 
 namespace loftrouter::core {
@@ -27,7 +28,7 @@
   // A report that this node answers, once what it says has been listened to.
   struct Pending {
     Asker from;
-    int machine;
+    MachineIndex machine;
     std::vector<TaskCommand> orders;
   };
   struct Load {
--- a/include/loftrouter/core/jobs/failure_attribution.hpp
+++ b/include/loftrouter/core/jobs/failure_attribution.hpp
@@ -10,6 +10,7 @@
 
 #include "loftrouter/core/configuration/operator_settings.hpp"
 #include "loftrouter/core/jobs/job_table.hpp"
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/runtime/events.hpp"
 
 namespace loftrouter::core {
@@ -20,14 +21,14 @@
       : runtime_(runtime), events_(events), jobs_(jobs), operators_(operators) {}
 
   // Has failed wherever it was tried: more likely a mistake in the job than several sick machines.
-  bool suspect(int job_index) const { return jobs_[job_index].done == 0 && failed_on(job_index) >= 2; }
+  bool suspect(JobIndex job_index) const { return jobs_[job_index].done == 0 && failed_on(job_index) >= 2; }
   // Machines in a row, none of its tasks having succeeded since.
-  std::uint32_t failed_on(int job_index) const;
-  double retry_at(int job_index) const;         // a suspect is held off until then
-  std::vector<int> barred(int job_index) const; // machines on which it has failed lately
-  bool failed_lately(int job_index) const { return failed_on(job_index) > 0; }
+  std::uint32_t failed_on(JobIndex job_index) const;
+  double retry_at(JobIndex job_index) const;                  // a suspect is held off until then
+  std::vector<MachineIndex> barred(JobIndex job_index) const; // machines on which it has failed lately
+  bool failed_lately(JobIndex job_index) const { return failed_on(job_index) > 0; }
 
-  void restore(int job_index, std::uint32_t failed_on); // from an earlier leader's record
+  void restore(JobIndex job_index, std::uint32_t failed_on); // from an earlier leader's record
   void on(const TaskExited &event);
   void on(const JobCancelled &event);
   void on(const JobFinalized &event) { grown(jobs_at_, event.job) = {}; }
@@ -36,7 +37,7 @@
 
 private:
   struct Failure {
-    int machine;
+    MachineIndex machine;
     double at;
   };
   struct Record { // of a job
@@ -57,8 +58,8 @@
   };
   void failed(const TaskExited &event);
   void succeeded(const TaskExited &event);
-  void blame(int machine_index, int job_index, double at_s);
-  void absolve(int job_index);
+  void blame(MachineIndex machine_index, JobIndex job_index, double at_s);
+  void absolve(JobIndex job_index);
 
   Runtime &runtime_;
   Events &events_;
--- a/include/loftrouter/core/jobs/job_table.hpp
+++ b/include/loftrouter/core/jobs/job_table.hpp
@@ -11,6 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/runtime/events.hpp"
 #include "loftrouter/core/runtime/runtime.hpp"
 #include "loftrouter/core/runtime/util.hpp"
@@ -22,7 +23,8 @@
 enum class TaskState : std::uint8_t { Pending, Unaccounted, Placed, Done, DelegationSource };
 struct Task {
   TaskState state = TaskState::Pending;
-  std::int32_t machine = -1, zone = -1; // while placed
+  MachineIndex machine;   // while placed
+  std::int32_t zone = -1; // of that machine
 };
 struct Job {
   JobSpec spec;
@@ -59,69 +61,67 @@
 
   std::size_t index_limit() const { return jobs_.size(); } // indices are below this
   std::size_t open() const { return index_.size(); }
-  const Job *find(int job_index) const {
-    return jobs_[static_cast<std::size_t>(job_index)].get();
-  } // null: no job there
-  const Job &operator[](int job_index) const { return *jobs_[static_cast<std::size_t>(job_index)]; }
-  int index(const std::string &id) const;
+  const Job *find(JobIndex job_index) const { return jobs_[job_index.position()].get(); } // null: no job there
+  const Job &operator[](JobIndex job_index) const { return *jobs_[job_index.position()]; }
+  JobIndex index(const std::string &id) const;
   template <class Fn> void each(Fn &&fn) const { // fn(index, job)
     for (std::size_t j = 0; j < jobs_.size(); ++j)
-      if (jobs_[j]) fn(static_cast<int>(j), *jobs_[j]);
+      if (jobs_[j]) fn(JobIndex(j), *jobs_[j]);
   }
   int find_team(const std::string &name) const { return team_names_.find(name); }
 
-  int add(OpenRecord record, std::uint64_t mod_revision);
+  JobIndex add(OpenRecord record, std::uint64_t mod_revision);
   // What the records of earlier leaders say. Before any of its tasks is placed.
-  void restore(int job_index, const ProgressRecord &progress);
-  void remove(int job_index); // over; its index is free once everybody has heard
+  void restore(JobIndex job_index, const ProgressRecord &progress);
+  void remove(JobIndex job_index); // over; its index is free once everybody has heard
   void on(const JobFinalized &event) { free_.push_back(event.job); }
   void on(const LeaderElected &event) { unaccounted_until_ = event.unaccounted_until; }
   void on(const TermEnded &);
 
-  void cancel(int job_index);
-  bool update_mod_revision(int job_index, std::uint64_t mod_revision); // false: older than what is known
-  void set_ending(int job_index, bool ending);
-  void changed(int job_index, bool urgent); // its record has to follow
+  void cancel(JobIndex job_index);
+  bool update_mod_revision(JobIndex job_index, std::uint64_t mod_revision); // false: older than what is known
+  void set_ending(JobIndex job_index, bool ending);
+  void changed(JobIndex job_index, bool urgent); // its record has to follow
 
-  void place(int job_index, std::uint32_t i, int machine, int zone);
-  void finish(int job_index, std::uint32_t i);
+  void place(JobIndex job_index, std::uint32_t i, MachineIndex machine, int zone);
+  void finish(JobIndex job_index, std::uint32_t i);
   // The attempt on `machine` is over. `unaccounted`: an older or a later one may still be alive somewhere.
-  void release(int job_index, std::uint32_t i, int machine, bool unaccounted);
+  void release(JobIndex job_index, std::uint32_t i, MachineIndex machine, bool unaccounted);
 
-  std::uint64_t next_gang_attempt(int job_index, std::uint64_t fresh);
-  void adopt_gang_attempt(int job_index, std::uint64_t attempt);
-  void close_gang(int job_index, bool closed);
+  std::uint64_t next_gang_attempt(JobIndex job_index, std::uint64_t fresh);
+  void adopt_gang_attempt(JobIndex job_index, std::uint64_t attempt);
+  void close_gang(JobIndex job_index, bool closed);
 
   // Work that another cell runs. Its tasks wait for nobody here until the loan has lapsed or is dropped; those that are
   // done there are finished as any other.
-  void delegate(int job_index, DelegationRecord delegation);
-  void charge_delegation(int job_index, std::uint64_t generation, const accounts::Usage &charged);
-  void set_delegated_running(int job_index, std::uint32_t tasks) { at(job_index).delegated_running = tasks; }
-  void expire_delegation(int job_index, std::uint64_t generation);
-  void remove_delegation(int job_index, std::uint64_t generation);
-  void pause(int job_index, bool paused);
-  void readied(int job_index); // what it waited for is done (Dependencies)
-  void settle(int job_index);  // borrowed: home knows how it ended
+  void delegate(JobIndex job_index, DelegationRecord delegation);
+  void charge_delegation(JobIndex job_index, std::uint64_t generation, const accounts::Usage &charged);
+  void set_delegated_running(JobIndex job_index, std::uint32_t tasks) { at(job_index).delegated_running = tasks; }
+  void expire_delegation(JobIndex job_index, std::uint64_t generation);
+  void remove_delegation(JobIndex job_index, std::uint64_t generation);
+  void pause(JobIndex job_index, bool paused);
+  void readied(JobIndex job_index); // what it waited for is done (Dependencies)
+  void settle(JobIndex job_index);  // borrowed: home knows how it ended
 
   // Mono, when every lease that an earlier leader may have kept alive has run out; 0: nothing is waited for.
   double unaccounted_until() const { return unaccounted_until_; }
   // What was not seen by then is gone. Which jobs are concerned.
-  std::vector<int> age();
+  std::vector<JobIndex> age();
 
   // Grows whenever a job comes or a task becomes free to be placed.
   std::uint64_t arrivals() const { return arrivals_; }
-  bool consistent(int job_index) const; // counts agree with states; for asserts and tests
+  bool consistent(JobIndex job_index) const; // counts agree with states; for asserts and tests
 
 private:
-  void set(int job_index, std::uint32_t i, TaskState state, int machine = -1, int zone = -1);
-  void free_delegated(int job_index, const Ranges &tasks);
-  Job &at(int job_index) { return *jobs_[static_cast<std::size_t>(job_index)]; }
+  void set(JobIndex job_index, std::uint32_t i, TaskState state, MachineIndex machine = {}, int zone = -1);
+  void free_delegated(JobIndex job_index, const Ranges &tasks);
+  Job &at(JobIndex job_index) { return *jobs_[job_index.position()]; }
 
   Runtime &runtime_;
   Events &events_;
   std::vector<std::unique_ptr<Job>> jobs_;
-  std::vector<int> free_;
-  std::unordered_map<std::string, int> index_;
+  std::vector<JobIndex> free_;
+  std::unordered_map<std::string, JobIndex> index_;
   std::uint64_t serial_ = 0, arrivals_ = 0;
   double unaccounted_until_ = 0;
   NameIndex team_names_, image_names_;
--- a/include/loftrouter/core/jobs/pending_reasons.hpp
+++ b/include/loftrouter/core/jobs/pending_reasons.hpp
@@ -9,6 +9,7 @@
 #include "loftrouter/core/jobs/dependencies.hpp"
 #include "loftrouter/core/jobs/failure_attribution.hpp"
 #include "loftrouter/core/jobs/job_objectives.hpp"
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/runtime/events.hpp"
 
 namespace loftrouter::core {
@@ -22,8 +23,8 @@
       : runtime_(runtime), jobs_(jobs), dependencies_(dependencies), failure_attribution_(failure_attribution),
         objectives_(objectives) {}
 
-  const std::string &of(int job_index) const; // empty: nothing
-  EndRecord end_record(int job_index) const;
+  const std::string &of(JobIndex job_index) const; // empty: nothing
+  EndRecord end_record(JobIndex job_index) const;
 
   void on(const JobAccepted &event) { grown(last_, event.job).clear(); }
   void on(const TaskRetried &event);
@@ -32,7 +33,7 @@
   void on(const TasksStoppedByBudget &event);
 
 private:
-  void set(int job_index, std::string_view what);
+  void set(JobIndex job_index, std::string_view what);
 
   Runtime &runtime_;
   const JobTable &jobs_;
--- a/include/loftrouter/core/liveness/failure_detector.hpp
+++ b/include/loftrouter/core/liveness/failure_detector.hpp
@@ -10,6 +10,7 @@
 #include <string>
 #include <vector>
 
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/workers/worker_registry.hpp"
 
 namespace loftrouter::core {
@@ -37,9 +38,9 @@
       : runtime_(runtime), settings_(settings), catalog_(catalog), leadership_(leadership), workers_(workers) {}
 
   void tick(); // counts anew, a few times a second
-  Cause cause(int machine_index) const;
-  bool awaited(int machine_index) const;  // it is not to be given back
-  bool expected(int machine_index) const; // nor to be replaced
+  Cause cause(MachineIndex machine_index) const;
+  bool awaited(MachineIndex machine_index) const;  // it is not to be given back
+  bool expected(MachineIndex machine_index) const; // nor to be replaced
   const Count &all() const { return all_; }
   // Nothing is heard of anybody: what is rented now would not be either, unless all are gone. For as long as waiting
   // costs no more than renting anew.
--- a/include/loftrouter/core/runtime/events.hpp
+++ b/include/loftrouter/core/runtime/events.hpp
@@ -8,6 +8,7 @@
 #include <variant>
 #include <vector>
 
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/model/types.hpp"
 
 namespace loftrouter::core {
@@ -27,22 +28,22 @@
 
 // ---- jobs, by their index in the job table; the index is free once JobFinalized has been taken ----
 struct JobAccepted { // seen by this leader for the first time
-  int job;
+  JobIndex job;
 };
 struct JobCancelled {
-  int job;
+  JobIndex job;
 };
 struct JobChanged { // its record is no longer what is so
-  int job;
+  JobIndex job;
   bool ends;   // it can be brought to its end
   bool urgent; // something waits for the record
 };
 struct JobSuspected { // has failed wherever it was tried
-  int job;
+  JobIndex job;
   std::uint32_t machines;
 };
 struct JobFinalized { // its final record is written
-  int job;
+  JobIndex job;
   std::string id;
 };
 struct JobEndLearned { // of a job, from the state service
@@ -51,79 +52,79 @@
 
 // ---- tasks ----
 struct TaskAllocated { // a place, from now on: its start is sent, or an earlier leader's attempt has been found
-  int job;
+  JobIndex job;
   std::uint32_t index;
-  int machine;
+  MachineIndex machine;
   bool found, unaccounted; // the latter: it was waited for since this leader's election
 };
 struct TaskReleased { // no longer
-  int job;
+  JobIndex job;
   std::uint32_t index;
-  int machine;
+  MachineIndex machine;
   bool done;                                       // completed
   double held_since, waiting_since, running_since; // mono; the latter two negative if never seen so
   int type, zone;                                  // of the machine
   bool spot;
 };
 struct TaskRunning {
-  int job;
+  JobIndex job;
   std::uint32_t index;
-  int machine;
+  MachineIndex machine;
   double after_s; // since it was placed
 };
 struct TaskExited { // by itself or as told, on a machine that has reported so
-  int job;
+  JobIndex job;
   std::uint32_t index;
-  int machine;
+  MachineIndex machine;
   std::string machine_name;
   ExitCause cause;
   double placed_at, running_since; // mono; the latter negative if it was never seen running
 };
 struct TaskRetried { // it has failed, and most likely by its machine's fault
-  int job;
+  JobIndex job;
   std::string machine;
 };
 struct TaskLost { // with its machine
-  int job;
+  JobIndex job;
   std::string machine, why;
 };
 struct TaskPreempted {
-  int job;
+  JobIndex job;
   std::string by; // id of the job that takes its place
 };
 struct TasksStoppedByBudget { // with time to save
-  int job;
+  JobIndex job;
 };
 struct TasksAbandoned { // started by earlier leaders and not found again
-  int job;
+  JobIndex job;
   std::uint32_t tasks;
 };
 
 // ---- work lent to other cells ----
 struct DelegationRecorded { // by a confirmed write: it may be offered
-  int job;
+  JobIndex job;
   std::uint64_t generation;
 };
 struct DelegationRemoved { // the same, without it: its end may be forgotten there
-  int job;
+  JobIndex job;
   std::uint64_t generation;
 };
 
 // ---- machines, by their index in the fleet table; free once MachineRemoved has been taken ----
 struct MachineJoined { // its first report
-  int machine;
+  MachineIndex machine;
 };
 struct MachineLost {
-  int machine;
+  MachineIndex machine;
   std::string name, why;
   std::size_t tasks;
 };
 struct MachineQuarantined { // it fails the tasks of jobs that succeed elsewhere
-  int machine;
+  MachineIndex machine;
   std::size_t jobs;
 };
 struct MachineRemoved {
-  int machine;
+  MachineIndex machine;
   std::string name, type, zone;
   bool spot;
   double lived_s, up_s, used_share; // the last: of its CPU time
--- a/include/loftrouter/core/runtime/util.hpp
+++ b/include/loftrouter/core/runtime/util.hpp
@@ -7,6 +7,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/model/types.hpp"
 
 namespace loftrouter::core {
@@ -68,6 +69,13 @@
   return all[at];
 }
 
+// The same for a table kept by a typed index.
+template <class T, class Tag> T &grown(std::vector<T> &all, DenseIndex<Tag> index, const T &fill = {}) {
+  const std::size_t position = index.position();
+  if (position >= all.size()) all.resize(position + 1, fill);
+  return all[position];
+}
+
 // `pick(i)` says whether index i belongs.
 template <class Pick> Ranges make_ranges(std::uint32_t count, Pick pick) {
   Ranges out;
--- a/include/loftrouter/core/scheduling/placement.hpp
+++ b/include/loftrouter/core/scheduling/placement.hpp
@@ -5,36 +5,37 @@
 #include <cstdint>
 #include <vector>
 
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/model/types.hpp"
 
 namespace loftrouter::core {
 
 struct PlaceMachine {
-  int id = -1; // what `PlaceJob::barred` names
+  MachineIndex id; // what `PlaceJob::barred` names
   Resources size, free;
   int type = 0, zone = 0;
   bool spot = false;
   bool kept = false;        // wanted whole by a job class that fits nowhere else
   Resources spare;          // kept: what small work may still take without being in the way
-  int held_for = -1;        // being emptied for this job (`PlaceJob::self`): takes nothing else
+  JobIndex held_for;        // being emptied for this job (`PlaceJob::self`): takes nothing else
   double price_premium = 0; // 0: a CPU is as cheap here as anywhere; towards 1: much dearer
   std::vector<int> images;  // held or being fetched
   double speed_gb_s = 1;
 };
 
 struct PlaceJob {
-  int self = -2; // compared with `PlaceMachine::held_for`
+  JobIndex self; // compared with `PlaceMachine::held_for`
   Resources need;
   std::vector<char> types; // by type index: allowed
   int zone = -1;           // only this zone, or -1
   bool spot = false;       // may use spot machines
   bool gang = false;       // all of `ready` or nothing
   bool one_zone = false;
-  int zone_cap = -1;          // most tasks in a zone (spread), or -1
-  std::vector<int> zone_used; // tasks of the job on machines, by zone
-  std::vector<int> barred;    // machines not to be used
-  std::uint32_t ready = 0;    // tasks to place
-  std::uint32_t limit = 0;    // most of them allowed by the team's limit
+  int zone_cap = -1;                // most tasks in a zone (spread), or -1
+  std::vector<int> zone_used;       // tasks of the job on machines, by zone
+  std::vector<MachineIndex> barred; // machines not to be used
+  std::uint32_t ready = 0;          // tasks to place
+  std::uint32_t limit = 0;          // most of them allowed by the team's limit
   Urgency urgency = Urgency::Normal;
   bool guaranteed = false;     // within its team's guarantee
   bool delegated_here = false; // another cell's: after all of this cell's own work
@@ -61,7 +62,8 @@
   int job = 0, machine = 0;
 };
 struct Reservation { // of a machine for a job that has waited too long: `PlaceJob::self`, `PlaceMachine::id`
-  int job = 0, machine = 0;
+  JobIndex job;
+  MachineIndex machine;
 };
 
 // What a task of `job` scores on `m`; nothing where it may not go or does not fit.
--- a/include/loftrouter/core/scheduling/scheduler.hpp
+++ b/include/loftrouter/core/scheduling/scheduler.hpp
@@ -14,6 +14,7 @@
 #include "loftrouter/core/jobs/failure_attribution.hpp"
 #include "loftrouter/core/jobs/job_objectives.hpp"
 #include "loftrouter/core/quotas/quotas.hpp"
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/scheduling/placement.hpp"
 #include "loftrouter/core/workers/worker_registry.hpp"
 
@@ -37,17 +38,17 @@
   void settle(); // a round if something has come up, at the end of each batch
   // A round for one machine alone, which has just reported: it lets the next start leave with the very answer, if
   // the task is recorded ahead. Otherwise the machine would stay empty for a whole report interval.
-  void offer(int machine_index);
+  void offer(MachineIndex machine_index);
   void plan_ahead();
 
-  PlaceJob place_job(int job_index) const;
+  PlaceJob place_job(JobIndex job_index) const;
   // The machines that may take tasks, or the one asked for if it may; `silent_too`: with those that are not heard at
   // present and of which it holds.
-  std::vector<PlaceMachine> snapshot(std::vector<int> &index, int only,
-                                     const std::function<bool(int)> &silent_too = {}) const;
-  bool deferrable(int job_index) const;
-  bool passed_over(int job_index) const; // none of its waiting tasks has got a place for long
-  double age(int job_index) const {
+  std::vector<PlaceMachine> snapshot(std::vector<MachineIndex> &index, MachineIndex only,
+                                     const std::function<bool(MachineIndex)> &silent_too = {}) const;
+  bool deferrable(JobIndex job_index) const;
+  bool passed_over(JobIndex job_index) const; // none of its waiting tasks has got a place for long
+  double age(JobIndex job_index) const {
     return runtime_.wall() - dependencies_.ready_wall(job_index);
   }                                                                  // since it could start
   double up_cpus() const { return up_cpus_; }                        // at the last round
@@ -70,25 +71,23 @@
     double since = 0, seen = -1e9; // it came, or one of them was placed; the last round
   };
   struct Offer;
-  PlaceJob candidate(int job_index) const;
+  PlaceJob candidate(JobIndex job_index) const;
   bool wanted() const { return room_ || jobs_.arrivals() != seen_; }
   void seen() {
     room_ = false;
     seen_ = jobs_.arrivals();
   }
   void round();
-  std::vector<std::uint32_t> carry_out(const std::vector<Assignment> &plan, const std::vector<int> &order,
-                                       const std::vector<int> &index);
-  void place(int job_index, std::uint32_t i, int machine_index);
+  std::vector<std::uint32_t> carry_out(const std::vector<Assignment> &plan, const std::vector<JobIndex> &order,
+                                       const std::vector<MachineIndex> &index);
+  void place(JobIndex job_index, std::uint32_t i, MachineIndex machine_index);
   std::vector<Offer> seek_places(const PlaceJob &job, const std::vector<PlaceMachine> &machines,
-                                 const std::vector<int> &index, int zone) const;
-  void preempt(std::vector<int> starved);
+                                 const std::vector<MachineIndex> &index, int zone) const;
+  void preempt(std::vector<JobIndex> starved);
   void stop_spent();
   PlaceOptions options() const;
-  const Nomination *held(int machine_index) const {
-    return static_cast<std::size_t>(machine_index) < nominations_.size()
-               ? &nominations_[static_cast<std::size_t>(machine_index)]
-               : nullptr;
+  const Nomination *held(MachineIndex machine_index) const {
+    return machine_index.position() < nominations_.size() ? &nominations_[machine_index.position()] : nullptr;
   }
 
   Runtime &runtime_;
--- a/include/loftrouter/core/state/state_writer.hpp
+++ b/include/loftrouter/core/state/state_writer.hpp
@@ -17,6 +17,7 @@
 #include "loftrouter/core/jobs/dependencies.hpp"
 #include "loftrouter/core/jobs/failure_attribution.hpp"
 #include "loftrouter/core/jobs/pending_reasons.hpp"
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/runtime/events.hpp"
 #include "loftrouter/core/runtime/state_service_limits.hpp"
 #include "loftrouter/core/state/usage_ledger.hpp"
@@ -34,14 +35,14 @@
         pending_reasons_(pending_reasons), objectives_(objectives), ledger_(ledger) {}
 
   // A task may be on a machine from now on, or may have been. Never taken back.
-  void start(int job_index, std::uint32_t i) { marks(job_index)[i] |= kStarted; }
+  void start(JobIndex job_index, std::uint32_t i) { marks(job_index)[i] |= kStarted; }
   // The state service says that it may have been started: its start may be sent.
-  bool recorded(int job_index, std::uint32_t i) const { return marks(job_index)[i] & kRecorded; }
+  bool recorded(JobIndex job_index, std::uint32_t i) const { return marks(job_index)[i] & kRecorded; }
   // The state service says that it is done: its worker may forget it.
-  bool done_recorded(int job_index, std::uint32_t i) const { return marks(job_index)[i] & kDoneRecorded; }
+  bool done_recorded(JobIndex job_index, std::uint32_t i) const { return marks(job_index)[i] & kDoneRecorded; }
   // How many of a job's waiting tasks are to count as started before they are placed, so that their starts need no
   // write of their own.
-  void set_ahead(int job_index, std::uint32_t tasks);
+  void set_ahead(JobIndex job_index, std::uint32_t tasks);
 
   // Records read before this node leads, progress first; and open records whenever there is news of them. False: a
   // progress record cannot be read, and what it may have said was started is not known.
@@ -68,7 +69,7 @@
   struct Shard {
     std::string key;
     std::uint64_t mod_revision = 0; // 0: not there
-    std::vector<int> jobs;
+    std::vector<JobIndex> jobs;
     std::size_t reserved = 0;           // characters that its jobs may come to need
     bool dirty = false, urgent = false; // urgent: starts wait for the write
     double dirty_since = 0;
@@ -78,7 +79,7 @@
     std::vector<std::pair<std::string, ProgressRecord>> ghosts;
     // Jobs that move from it to another record, as it is larger than may be written by now: until that one is known to
     // hold them this one is not written; then it is, without them; and only after that may they go from the other.
-    std::vector<int> leaving;
+    std::vector<JobIndex> leaving;
     bool oversize = false; // as it was read
     std::string folding;   // a period whose sums may have been moved from here, by a write without an answer
   };
@@ -105,37 +106,35 @@
   };
   struct Transaction;
 
-  std::vector<std::uint8_t> &marks(int job_index) { return entry(job_index).marks; }
-  const std::vector<std::uint8_t> &marks(int job_index) const {
-    return entries_[static_cast<std::size_t>(job_index)].marks;
-  }
-  Entry &entry(int job_index) { return entries_[static_cast<std::size_t>(job_index)]; }
-  void mark(int job_index, bool ends, bool urgent);
-  void mark_again(int job_index);
+  std::vector<std::uint8_t> &marks(JobIndex job_index) { return entry(job_index).marks; }
+  const std::vector<std::uint8_t> &marks(JobIndex job_index) const { return entries_[job_index.position()].marks; }
+  Entry &entry(JobIndex job_index) { return entries_[job_index.position()]; }
+  void mark(JobIndex job_index, bool ends, bool urgent);
+  void mark_again(JobIndex job_index);
   void mark_shard(std::size_t s, bool urgent);
   std::size_t set_chars() const;
   std::size_t max_chars() const;
-  bool has_room(std::size_t s, int job_index) const;
+  bool has_room(std::size_t s, JobIndex job_index) const;
   std::size_t entry_chars(const Job &job) const;
   std::size_t fresh_shard(char series);
-  void put_in(int job_index, std::size_t s);
-  void move(int job_index, std::size_t from);
+  void put_in(JobIndex job_index, std::size_t s);
+  void move(JobIndex job_index, std::size_t from);
   void move_on(const Transaction &transaction);
   bool blocked(const Shard &shard) const;
   void refused(const Transaction &transaction);
   void accept(OpenRecord record, std::uint64_t mod_revision);
-  void assign_shard(int job_index);
-  void remove(int job_index);
-  void record_ahead(int job_index);
-  void add_end(int job_index, Transaction &transaction, bool in_place);
+  void assign_shard(JobIndex job_index);
+  void remove(JobIndex job_index);
+  void record_ahead(JobIndex job_index);
+  void add_end(JobIndex job_index, Transaction &transaction, bool in_place);
   void add_moves(Transaction &transaction, double budget, std::size_t most);
-  void write_entry(int job_index, Transaction &transaction);
+  void write_entry(JobIndex job_index, Transaction &transaction);
   void add_shard(std::size_t s, Transaction &transaction, const std::string &without_period = "");
   void commit(Transaction &&transaction);
   void flushed(const Transaction &transaction, const wire::StoreReply &reply);
-  void delegations_recorded(int job_index);
-  void ended(int job_index, EndRecord end);
-  void resync(int job_index);
+  void delegations_recorded(JobIndex job_index);
+  void ended(JobIndex job_index, EndRecord end);
+  void resync(JobIndex job_index);
   void resync_shard(std::size_t s);
   void settle_ghosts();
   void settled(std::size_t s, const std::string &id, const std::optional<EndRecord> &end);
@@ -162,7 +161,7 @@
   std::vector<Shard> shards_;
   std::map<std::pair<std::string, std::uint64_t>, ProgressRecord> loaded_; // by job and, if borrowed, generation
   std::map<std::pair<std::string, std::uint64_t>, std::size_t> loaded_shard_;
-  std::deque<int> ending_; // jobs whose final record is to be written
+  std::deque<JobIndex> ending_; // jobs whose final record is to be written
   std::deque<Move> moves_;
   bool ends_first_ = false, flushing_ = false;
   double flush_after_ = 0, alone_until_ = -1e9; // the latter: one record a transaction, to find which is refused
--- a/include/loftrouter/core/state/usage_ledger.hpp
+++ b/include/loftrouter/core/state/usage_ledger.hpp
@@ -13,6 +13,7 @@
 #include "loftrouter/core/catalog/instance_type_catalog.hpp"
 #include "loftrouter/core/configuration/operator_settings.hpp"
 #include "loftrouter/core/jobs/job_table.hpp"
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/runtime/events.hpp"
 
 namespace loftrouter::core {
@@ -26,21 +27,21 @@
   bool on() const { return settings_.accounts; }
 
   // A job's account, in the progress record with this number; and what an earlier leader has written of it.
-  void open(int job_index, int record);
-  void restore(int job_index, const ProgressRecord &written);
+  void open(JobIndex job_index, int record);
+  void restore(JobIndex job_index, const ProgressRecord &written);
   // What its end says. While that is being written nothing more is charged; what comes up then is charged if the end
   // was not written after all, and otherwise belongs to nobody.
-  accounts::Usage usage(int job_index);
+  accounts::Usage usage(JobIndex job_index);
   // What another cell has used for it.
-  void add(int job_index, const accounts::Usage &used) {
+  void add(JobIndex job_index, const accounts::Usage &used) {
     if (on()) charge(job_index, used);
   }
   // Charged since it was last written: the record that holds its sums must then hold it anew as well.
-  bool changed(int job_index) const { return accounts_[static_cast<std::size_t>(job_index)].changed; }
+  bool changed(JobIndex job_index) const { return accounts_[job_index.position()].changed; }
   // Its end turns out to be written, with less than has been charged since: the sums follow what it says.
-  void correct(int job_index, const accounts::Usage &written);
+  void correct(JobIndex job_index, const accounts::Usage &written);
   // What is to be written of it now. What is unaccounted for is charged up to now, as the record's time moves on.
-  void write(int job_index, ProgressRecord &out);
+  void write(JobIndex job_index, ProgressRecord &out);
 
   const SumsByTeam &sums(std::size_t record) const;
   void load_sums(std::size_t record, SumsByTeam sums);
@@ -75,10 +76,10 @@
     return account.in_flight * ms(runtime_.now()) - account.since_ms;
   }
   std::int64_t since_record(const Account &account) const;
-  Account &at(int job_index) { return accounts_[static_cast<std::size_t>(job_index)]; }
+  Account &at(JobIndex job_index) { return accounts_[job_index.position()]; }
   SumsByTeam &sums_at(std::size_t record);
   const std::string &period();
-  void charge(int job_index, accounts::Usage usage);
+  void charge(JobIndex job_index, accounts::Usage usage);
   std::int64_t cost(const TaskReleased &event, std::int64_t held_ms) const;
 
   Runtime &runtime_;
--- a/include/loftrouter/core/workers/worker_registry.hpp
+++ b/include/loftrouter/core/workers/worker_registry.hpp
@@ -18,13 +18,14 @@
 #include "loftrouter/core/configuration/operator_settings.hpp"
 #include "loftrouter/core/election/leadership.hpp"
 #include "loftrouter/core/jobs/job_table.hpp"
+#include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/runtime/events.hpp"
 #include "loftrouter/core/state/state_writer.hpp"
 
 namespace loftrouter::core {
 
 struct Allocation {
-  int job = -1; // -1: a task of an unknown job, to be stopped
+  JobIndex job; // none: a task of an unknown job, to be stopped
   std::string job_id;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
@@ -82,48 +83,48 @@
         leadership_(leadership), jobs_(jobs), state_writer_(state_writer) {}
 
   std::size_t index_limit() const { return machines_.size(); } // indices are below this
-  const Machine *find(int machine_index) const {
-    return machines_[static_cast<std::size_t>(machine_index)].get();
+  const Machine *find(MachineIndex machine_index) const {
+    return machines_[machine_index.position()].get();
   } // null: none there
-  const Machine &operator[](int machine_index) const { return *machines_[static_cast<std::size_t>(machine_index)]; }
-  int index(const std::string &name) const;      // -1: not known
-  template <class Fn> void each(Fn &&fn) const { // fn(index, machine)
+  const Machine &operator[](MachineIndex machine_index) const { return *machines_[machine_index.position()]; }
+  MachineIndex index(const std::string &name) const; // none: not known
+  template <class Fn> void each(Fn &&fn) const {     // fn(index, machine)
     for (std::size_t m = 0; m < machines_.size(); ++m)
-      if (machines_[m]) fn(static_cast<int>(m), *machines_[m]);
+      if (machines_[m]) fn(MachineIndex(m), *machines_[m]);
   }
   std::size_t live() const;               // heard and not lost
   std::size_t kept_by(int replica) const; // workers; -1: by this node itself
   // When the cloud took it back; nothing if it did not, or that is forgotten.
   std::optional<double> gone(const std::string &name) const;
   std::vector<std::uint32_t> running_counts() const; // by job; tasks unaccounted for most likely run too
-  std::uint32_t running(int job_index) const;
+  std::uint32_t running(JobIndex job_index) const;
 
   // What it says of a machine that is not known makes it known.
-  int add(const std::string &name, const std::string &type, const std::string &zone, bool spot);
-  void set_rented_at(int machine_index, double at);
-  void set_verified(int machine_index); // rented by this leader
-  void give_back(int machine_index);    // takes no new tasks from here on
-  void set_draining(int machine_index, bool draining);
-  void listed_failed(int machine_index); // it stopped on its own
-  void listed_running(int machine_index);
+  MachineIndex add(const std::string &name, const std::string &type, const std::string &zone, bool spot);
+  void set_rented_at(MachineIndex machine_index, double at);
+  void set_verified(MachineIndex machine_index); // rented by this leader
+  void give_back(MachineIndex machine_index);    // takes no new tasks from here on
+  void set_draining(MachineIndex machine_index, bool draining);
+  void listed_failed(MachineIndex machine_index); // it stopped on its own
+  void listed_running(MachineIndex machine_index);
   void listed_again(const std::string &name) { gone_.erase(name); }
-  void remove(int machine_index); // the cloud has taken it back
+  void remove(MachineIndex machine_index); // the cloud has taken it back
   void forget_gone(double older_s);
 
   // A report, in two steps: what it says, and, once others have listened to that, its answer.
   enum class Heard : std::uint8_t { Late, Failed, Taken };
-  Heard hear(int machine_index, const Heartbeat &heartbeat, int forwarding_replica);
-  void take_tasks(int machine_index, const Heartbeat &heartbeat, std::vector<TaskCommand> &orders);
-  void answer(int machine_index, bool may_start, std::vector<TaskCommand> &orders);
+  Heard hear(MachineIndex machine_index, const Heartbeat &heartbeat, int forwarding_replica);
+  void take_tasks(MachineIndex machine_index, const Heartbeat &heartbeat, std::vector<TaskCommand> &orders);
+  void answer(MachineIndex machine_index, bool may_start, std::vector<TaskCommand> &orders);
 
-  void put(int machine_index, int job_index, std::uint32_t i, std::uint64_t attempt); // a task's slot
+  void put(MachineIndex machine_index, JobIndex job_index, std::uint32_t i, std::uint64_t attempt); // a task's slot
   // The task goes: at once if its start was never sent, otherwise when the worker shows it gone.
-  void stop(int machine_index, std::size_t allocation, double grace_s);
-  bool stop_all(int job_index, double grace_s); // of a job; false: all were told already
-  void withdraw(int job_index);                 // its tasks whose start was never sent
+  void stop(MachineIndex machine_index, std::size_t allocation, double grace_s);
+  bool stop_all(JobIndex job_index, double grace_s); // of a job; false: all were told already
+  void withdraw(JobIndex job_index);                 // its tasks whose start was never sent
   // A gang that can no longer complete its attempt is stopped whole; the next attempt starts when every task of this
   // one is gone.
-  void tend_gang(int job_index);
+  void tend_gang(JobIndex job_index);
 
   void tick();       // leases and notices
   void send_stops(); // at the end of each batch
@@ -133,17 +134,17 @@
   void on(const MachineAdminStatesChanged &e);
   void on(const TermStarted &) { gone_.clear(); }
   void on(const TermEnded &);
-  bool consistent(int machine_index) const; // for asserts and tests
+  bool consistent(MachineIndex machine_index) const; // for asserts and tests
 
 private:
-  Machine &at(int machine_index) { return *machines_[static_cast<std::size_t>(machine_index)]; }
-  void exited(int machine_index, Allocation &allocation, const TaskStatus &task);
+  Machine &at(MachineIndex machine_index) { return *machines_[machine_index.position()]; }
+  void exited(MachineIndex machine_index, Allocation &allocation, const TaskStatus &task);
   void update_downlink_state(Machine &machine, bool heeded, bool missed);
-  void adopt(int machine_index, int job_index, const TaskStatus &task, std::vector<TaskCommand> &orders);
-  void drop(int machine_index, std::size_t s);
-  void freed(int machine_index, const Allocation &allocation, bool done);
-  void order_stop(int machine_index, Allocation &allocation, double grace_s);
-  void lose(int machine_index, std::string_view why);
+  void adopt(MachineIndex machine_index, JobIndex job_index, const TaskStatus &task, std::vector<TaskCommand> &orders);
+  void drop(MachineIndex machine_index, std::size_t s);
+  void freed(MachineIndex machine_index, const Allocation &allocation, bool done);
+  void order_stop(MachineIndex machine_index, Allocation &allocation, double grace_s);
+  void lose(MachineIndex machine_index, std::string_view why);
   void touch_image(Machine &machine, int image, double gb);
 
   Runtime &runtime_;
@@ -155,10 +156,10 @@
   JobTable &jobs_;
   StateWriter &state_writer_;
   std::vector<std::unique_ptr<Machine>> machines_;
-  std::unordered_map<std::string, int> index_;
+  std::unordered_map<std::string, MachineIndex> index_;
   std::unordered_map<std::string, double> gone_; // names given back, and when
   bool heeded_ = false, missed_ = false;         // by the report that is being taken: answers have, have not reached it
-  std::vector<int> stops_news_;                  // machines whose `stops_news` was set in this batch
+  std::vector<MachineIndex> stops_news_;         // machines whose `stops_news` was set in this batch
 };
 
 } // namespace loftrouter::core
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -86,7 +86,7 @@
                  load.spreads, ask.cpu_s,        runtime_.up_s(), settings_.cpu_share};
   std::map<MachineKind, wire::AdminStatus::Kind> kinds;
   int silent = 0, ordered = 0;
-  workers_.each([&](int, const Machine &machine) {
+  workers_.each([&](MachineIndex, const Machine &machine) {
     if (machine.type < 0) return;
     auto &k = kinds[{machine.type, machine.zone, machine.spot}];
     const bool quiet = machine.heard && machine.silent(runtime_.now(), settings_.heartbeat_interval_s);
@@ -114,16 +114,16 @@
   if (leads) { // only the leader knows
     for (const auto &t : settings_.teams)
       status.queues.push_back({.team = t.name});
-    jobs_.each([&](int i, const Job &job) {
+    jobs_.each([&](JobIndex job_index, const Job &job) {
       if (job.cancelled || job.team < 0) return;
       auto &q = status.queues[static_cast<std::size_t>(job.team)];
       ++q.jobs;
       q.waiting += job.pending();
       q.running += job.placed + job.unaccounted;
-      if (!dependencies_.ready(i))
+      if (!dependencies_.ready(job_index))
         ++q.waiting_for_others;
       else if (job.pending())
-        q.oldest_s = std::max(q.oldest_s, runtime_.wall() - dependencies_.ready_wall(i));
+        q.oldest_s = std::max(q.oldest_s, runtime_.wall() - dependencies_.ready_wall(job_index));
     });
   }
   status.troubles = troubles(status, silent, ordered);
@@ -155,7 +155,7 @@
                               wire::clock_time(cancellations_.known_until_wall())));
   std::uint64_t unaccounted = 0;
   std::size_t suspects = 0;
-  jobs_.each([&](int job_index, const Job &job) {
+  jobs_.each([&](JobIndex job_index, const Job &job) {
     unaccounted += job.unaccounted;
     suspects += !job.cancelled && job.team >= 0 && failure_attribution_.suspect(job_index);
   });
--- a/src/core/api/event_log.cpp
+++ b/src/core/api/event_log.cpp
@@ -33,7 +33,7 @@
 
 void EventLog::on(const TermStarted &event) {
   std::uint64_t unaccounted = 0;
-  jobs_.each([&](int, const Job &job) { unaccounted += job.unaccounted; });
+  jobs_.each([&](JobIndex, const Job &job) { unaccounted += job.unaccounted; });
   runtime_.log(LogLevel::Info, "leadership_acquired",
                {{"term", event.term}, {"jobs_open", jobs_.open()}, {"tasks_unaccounted", unaccounted}});
 }
--- a/src/core/api/job_api_handler.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -265,8 +265,8 @@
 const JobApiHandler::KnownOpen *JobApiHandler::known_open(const std::string &id) {
   if (const auto it = known_open_.find(id); it != known_open_.end()) return &it->second;
   // What this leader has cancelled along the graph is not recorded so yet.
-  const int job_index = leadership_.leading() ? jobs_.index(id) : -1;
-  if (job_index < 0 || jobs_[job_index].cancelled || jobs_[job_index].ending || jobs_[job_index].delegated_here)
+  const JobIndex job_index = leadership_.leading() ? jobs_.index(id) : JobIndex();
+  if (!job_index.valid() || jobs_[job_index].cancelled || jobs_[job_index].ending || jobs_[job_index].delegated_here)
     return nullptr;
   note_open({jobs_[job_index].spec, jobs_[job_index].submit_wall, false, {}}, jobs_[job_index].open_mod_revision,
             false);
--- a/src/core/api/service_level_counters.cpp
+++ b/src/core/api/service_level_counters.cpp
@@ -71,9 +71,9 @@
   }
   for (std::size_t i = 0; i < teams_.size(); ++i)
     of_team[i] = row("team", team_names_.name(static_cast<int>(i)), teams_[i].all);
-  jobs_.each([&](int job_index, const Job &job) {
-    if (static_cast<std::size_t>(job_index) >= entries_.size()) return;
-    const Entry &entry = entries_[static_cast<std::size_t>(job_index)];
+  jobs_.each([&](JobIndex job_index, const Job &job) {
+    if (job_index.position() >= entries_.size()) return;
+    const Entry &entry = entries_[job_index.position()];
     if (entry.job_class < 0 || entry.begun || job.cancelled || !dependencies_.ready(job_index)) return;
     const double waited = std::max(0.0, runtime_.wall() - dependencies_.ready_wall(job_index));
     auto add = [&](std::size_t k) {
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -20,7 +20,7 @@
 
 StatusReporter::Supplies StatusReporter::supplies() const {
   Supplies out;
-  workers_.each([&](int, const Machine &machine) {
+  workers_.each([&](MachineIndex, const Machine &machine) {
     if (machine.type < 0 || machine.lost || machine.returning || machine.order) return;
     auto &s = out[{machine.type, machine.zone, machine.spot}];
     ++(machine.heard ? s.up : s.starting);
@@ -28,7 +28,7 @@
   return out;
 }
 
-bool StatusReporter::any_running(int job_index) const {
+bool StatusReporter::any_running(JobIndex job_index) const {
   for (const auto &t : jobs_[job_index].tasks)
     if (t.state == TaskState::Placed)
       for (const auto &s : workers_[t.machine].allocations)
@@ -37,7 +37,7 @@
 }
 
 // Why the job's tasks wait, or what last happened to them, in words for its owner.
-std::string StatusReporter::why(int job_index, const Supplies &supply) const {
+std::string StatusReporter::why(JobIndex job_index, const Supplies &supply) const {
   const Job &job = jobs_[job_index];
   if (const auto &with = dependencies_.stopped_with(job_index); !with.empty()) return stopped_with(with);
   if (job.cancelled) return "stopped: cancelled by its user";
@@ -83,7 +83,7 @@
   return last.empty() ? wait : wait + "; " + last;
 }
 
-std::string StatusReporter::why_not_ready(int job_index) const {
+std::string StatusReporter::why_not_ready(JobIndex job_index) const {
   const auto &open = dependencies_.waits_for(job_index);
   const std::size_t others = open.size() + dependencies_.unknown(job_index) - !open.empty();
   if (open.empty()) return fmt::format("waits for {} that this leader is still looking up", plural(others, "job"));
@@ -120,7 +120,7 @@
   return fmt::format("team {} uses all of its {}", job.spec.team, limit);
 }
 
-std::string StatusReporter::why_waiting(int job_index, const Supplies &supply) const {
+std::string StatusReporter::why_waiting(JobIndex job_index, const Supplies &supply) const {
   const Job &n = jobs_[job_index];
   int up = 0, starting = 0;
   bool refused = true;
@@ -165,7 +165,7 @@
 const Dependencies::Path &StatusReporter::outlook() const {
   if (runtime_.now() - outlook_at_ < kOutlookEvery && outlook_.done_in.size() == jobs_.index_limit()) return outlook_;
   outlook_at_ = runtime_.now();
-  outlook_ = dependencies_.along([this](int job_index) {
+  outlook_ = dependencies_.along([this](JobIndex job_index) {
     const Job &job = jobs_[job_index];
     const double queue = job.pending() * job.spec.need.cpus / std::max(1.0, scheduler_.up_cpus());
     return job.pending() ? job.spec.estimate_s * (1 + queue)
@@ -174,27 +174,26 @@
   return outlook_;
 }
 
-bool StatusReporter::foreseen_late(int job_index) const {
+bool StatusReporter::foreseen_late(JobIndex job_index) const {
   const Job &job = jobs_[job_index];
   const auto wanted = objectives_.wanted_after(job.spec, dependencies_.deadline(job_index));
   if (!wanted || job.cancelled || job.done == job.spec.tasks) return false;
   const auto &o = outlook();
-  const auto at = static_cast<std::size_t>(job_index);
+  const auto at = job_index.position();
   const double left = at >= o.done_in.size() ? 0 : job.pending() ? o.done_in[at] : o.begins_in[at];
   return std::max(0.0, scheduler_.age(job_index)) + left > operators_.tunables().late_notice_share * *wanted;
 }
 
 // Of a job that waits for others and has a deadline: which stage will make it late, and by how much.
-std::string StatusReporter::at_risk(int job_index) const {
+std::string StatusReporter::at_risk(JobIndex job_index) const {
   const auto wanted = dependencies_.own_deadline(job_index);
   const auto &o = outlook();
-  if (!wanted || static_cast<std::size_t>(job_index) >= o.done_in.size()) return {};
-  const double late =
-      std::max(0.0, scheduler_.age(job_index)) + o.done_in[static_cast<std::size_t>(job_index)] - *wanted;
+  if (!wanted || job_index.position() >= o.done_in.size()) return {};
+  const double late = std::max(0.0, scheduler_.age(job_index)) + o.done_in[job_index.position()] - *wanted;
   if (late <= 0) return {};
-  int stage = job_index;
-  while (o.last[static_cast<std::size_t>(stage)] >= 0)
-    stage = o.last[static_cast<std::size_t>(stage)];
+  JobIndex stage = job_index;
+  while (o.last[stage.position()].valid())
+    stage = o.last[stage.position()];
   if (!jobs_.find(stage)) return {};
   return fmt::format("; at risk: expected {:.0f} s after its deadline, held up by job {} ({})", std::ceil(late),
                      jobs_[stage].spec.id, jobs_[stage].spec.job_class);
@@ -202,8 +201,8 @@
 
 bool StatusReporter::foreseen_late(const std::string &id) const {
   if (leadership_.leading()) {
-    const int job_index = jobs_.index(id);
-    return job_index >= 0 && foreseen_late(job_index);
+    const JobIndex job_index = jobs_.index(id);
+    return job_index.valid() && foreseen_late(job_index);
   }
   auto it = news_.find(id);
   return it != news_.end() && it->second.late;
@@ -215,7 +214,7 @@
     return static_cast<std::size_t>(
         std::count_if(news_.begin(), news_.end(), [](const auto &n) { return n.second.late; }));
   jobs_.each(
-      [&](int job_index, const Job &job) { late += !job.cancelled && job.team >= 0 && foreseen_late(job_index); });
+      [&](JobIndex job_index, const Job &job) { late += !job.cancelled && job.team >= 0 && foreseen_late(job_index); });
   return late;
 }
 
@@ -226,7 +225,7 @@
     int up = 0, booting = 0;
     double cpus = 0, used = 0;
   } kinds[2]; // ordinary, spot
-  workers_.each([&](int, const Machine &machine) {
+  workers_.each([&](MachineIndex, const Machine &machine) {
     if (machine.lost) return;
     Kind &k = kinds[machine.spot];
     ++(machine.heard ? k.up : k.booting);
@@ -236,7 +235,7 @@
   });
   std::uint64_t waiting = 0;
   int open = 0;
-  jobs_.each([&](int, const Job &job) {
+  jobs_.each([&](JobIndex, const Job &job) {
     if (job.cancelled) return;
     ++open;
     waiting += job.pending();
@@ -260,14 +259,14 @@
   if (!leadership_.leading() || runtime_.now() < next_digest_ || replicas_.count() == 0) return;
   next_digest_ = runtime_.now() + kDigestEvery;
   const auto running = workers_.running_counts();
-  std::vector<int> first, rest;
+  std::vector<JobIndex> first, rest;
   const std::size_t n = jobs_.index_limit();
   for (std::size_t k = 0; k < n; ++k) {
-    const int job_index = static_cast<int>((cursor_ + k) % n);
+    const JobIndex job_index((cursor_ + k) % n);
     const Job *job = jobs_.find(job_index);
     if (!job || job->cancelled) continue;
-    const bool changed = grown(told_, job_index).done != job->done ||
-                         grown(told_, job_index).running != running[static_cast<std::size_t>(job_index)];
+    const bool changed =
+        grown(told_, job_index).done != job->done || grown(told_, job_index).running != running[job_index.position()];
     (changed ? first : rest).push_back(job_index);
   }
   const auto supply = supplies();
@@ -276,14 +275,13 @@
   message.term = leadership_.term();
   std::size_t room = wire::kPeerMaxBody - 64;
   for (const auto *list : {&first, &rest})
-    for (int job_index : *list) {
+    for (JobIndex job_index : *list) {
       if (message.news.size() >= wire::kPeerMaxNews || room < 256) break;
-      wire::PeerMessage::JobNews news{jobs_[job_index].spec.id, jobs_[job_index].done,
-                                      running[static_cast<std::size_t>(job_index)], foreseen_late(job_index),
-                                      why(job_index, supply)};
+      wire::PeerMessage::JobNews news{jobs_[job_index].spec.id, jobs_[job_index].done, running[job_index.position()],
+                                      foreseen_late(job_index), why(job_index, supply)};
       grown(told_, job_index) = {news.done, news.running};
       room -= std::min(room, wire::peer_news_size(news));
-      if (list == &rest) cursor_ = static_cast<std::size_t>(job_index) + 1;
+      if (list == &rest) cursor_ = job_index.position() + 1;
       message.news.push_back(std::move(news));
     }
   replicas_.tell_all(message);
@@ -314,7 +312,7 @@
 
 JobView StatusReporter::view(const std::string &id, bool cancelled) const {
   JobView view{id, cancelled ? JobState::Cancelled : JobState::Queued, 0, 0, {}};
-  if (const int job_index = leadership_.leading() ? jobs_.index(id) : -1; job_index >= 0) {
+  if (const JobIndex job_index = leadership_.leading() ? jobs_.index(id) : JobIndex(); job_index.valid()) {
     view.done = jobs_[job_index].done;
     view.running = workers_.running(job_index);
     view.reason = why(job_index, supplies());
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -142,8 +142,8 @@
       workers_.give_back(workers_.add(l.name, l.type, l.zone, l.spot));
       continue;
     }
-    const bool fresh = workers_.index(l.name) < 0;
-    const int machine_index = workers_.add(l.name, l.type, l.zone, l.spot);
+    const bool fresh = !workers_.index(l.name).valid();
+    const MachineIndex machine_index = workers_.add(l.name, l.type, l.zone, l.spot);
     if (fresh) workers_.set_rented_at(machine_index, runtime_.now() - l.age_s);
     if (l.status == MachineStatus::Running) workers_.listed_running(machine_index);
     if (l.status == MachineStatus::Failed) workers_.listed_failed(machine_index);
@@ -155,13 +155,13 @@
 std::vector<std::string> Autoscaler::names_to_return() {
   std::vector<std::string> names;
   int live = 0, lost = 0, downlink_lost = 0;
-  workers_.each([&](int, const Machine &machine) {
+  workers_.each([&](MachineIndex, const Machine &machine) {
     if (!machine.heard) return;
     ++(machine.lost ? lost : live);
     downlink_lost += machine.downlink_lost();
   });
   const double now = runtime_.now(), cheapest = catalog_.cheapest_cpu();
-  workers_.each([&](int machine_index, const Machine &machine) {
+  workers_.each([&](MachineIndex machine_index, const Machine &machine) {
     const double age = now - machine.rented_at, boot = machine.type >= 0 ? catalog_.type(machine.type).boot_s : 60;
     const bool awaited = failure_detector_.awaited(machine_index);
     bool go = !machine.heard && !awaited && now - machine.known_since > 10 && age > kBootGiveUp * boot + 10;
@@ -204,7 +204,8 @@
     returning_ = false;
     if (reply.status != 200) return; // asked again: a machine is gone only when the cloud has said so
     for (const auto &name : names)
-      if (const int machine_index = workers_.index(name); machine_index >= 0) workers_.remove(machine_index);
+      if (const MachineIndex machine_index = workers_.index(name); machine_index.valid())
+        workers_.remove(machine_index);
   });
 }
 
@@ -212,18 +213,18 @@
   const double cheapest = catalog_.cheapest_cpu();
   struct Candidate {
     double price, used_share;
-    int m;
+    MachineIndex machine_index;
     const Machine *machine;
   };
   std::vector<Candidate> candidates;
   double used = waiting_cpus, size = 0;
-  workers_.each([&](int machine_index, const Machine &machine) {
+  workers_.each([&](MachineIndex machine_index, const Machine &machine) {
     if (machine.returning || machine.lost || !machine.heard || machine.type < 0) return;
     if (!machine.spot && scheduler_.kept(machine.type, 600)) return;
     used += machine.used.cpus;
     size += machine.size.cpus;
     for (const auto &s : machine.allocations) // it keeps no dear machine
-      if (s.job >= 0 && !s.finished && scheduler_.deferrable(s.job)) {
+      if (s.job.valid() && !s.finished && scheduler_.deferrable(s.job)) {
         used -= s.need.cpus;
         size -= s.need.cpus;
       }
@@ -241,18 +242,18 @@
   double surplus = size - used / kDrainBelow;
   for (const auto &c : candidates) {
     surplus -= c.machine->size.cpus;
-    workers_.set_draining(c.m, surplus >= 0);
+    workers_.set_draining(c.machine_index, surplus >= 0);
   }
 }
 
 // Seconds until each job can probably start; 0: it can. By its owners' estimates, so never beyond what is being run.
 std::vector<double> Autoscaler::ready_soon() const {
-  auto out = dependencies_.along([this](int job_index) {
+  auto out = dependencies_.along([this](JobIndex job_index) {
     const double age = dependencies_.ready(job_index) ? std::max(0.0, scheduler_.age(job_index)) : 0;
     return std::max(1.0, jobs_[job_index].spec.estimate_s - age);
   });
-  jobs_.each([&](int job_index, const Job &) { // one whose names are all being looked up still waits
-    auto &in = out.begins_in[static_cast<std::size_t>(job_index)];
+  jobs_.each([&](JobIndex job_index, const Job &) { // one whose names are all being looked up still waits
+    auto &in = out.begins_in[job_index.position()];
     if (!dependencies_.ready(job_index)) in = std::max(in, 0.5);
   });
   return std::move(out.begins_in);
@@ -267,7 +268,7 @@
     bool spot;
   };
   std::vector<Place> booting;
-  workers_.each([&](int, const Machine &machine) {
+  workers_.each([&](MachineIndex, const Machine &machine) {
     if (!machine.heard && !machine.listed_running && !machine.returning && machine.type >= 0)
       booting.push_back({machine.size, machine.type, machine.zone, machine.spot});
   });
@@ -276,14 +277,14 @@
       auto [t, z, spot] = key;
       booting.push_back({catalog_.type(t).size, t, z, spot});
     }
-  std::vector<int> order;
-  jobs_.each([&](int job_index, const Job &) { order.push_back(job_index); });
-  std::sort(order.begin(), order.end(), [this](int a, int b) {
+  std::vector<JobIndex> order;
+  jobs_.each([&](JobIndex job_index, const Job &) { order.push_back(job_index); });
+  std::sort(order.begin(), order.end(), [this](JobIndex a, JobIndex b) {
     return std::pair(-static_cast<int>(dependencies_.urgency(a)), jobs_[a].submit_wall) <
            std::pair(-static_cast<int>(dependencies_.urgency(b)), jobs_[b].submit_wall);
   });
-  std::vector<int> index;
-  auto up = scheduler_.snapshot(index, -1, [this](int machine_index) {
+  std::vector<MachineIndex> index;
+  auto up = scheduler_.snapshot(index, {}, [this](MachineIndex machine_index) {
     const Machine &machine =
         workers_[machine_index]; // one that is heard and not proven yet is so within a report or two
     return failure_detector_.expected(machine_index) ||
@@ -294,15 +295,15 @@
     PlaceMachine one;
     double count = 0, busy = 0;
   };
-  std::map<std::tuple<int, int, bool, bool, int>, Alike> groups;
+  std::map<std::tuple<int, int, bool, bool, JobIndex>, Alike> groups;
   std::vector<double> busy(up.size(), 0); // machine by machine, for work that needs them whole
   for (std::size_t i = 0; i < up.size(); ++i) {
     auto &group = groups[{up[i].type, up[i].zone, up[i].spot, up[i].kept, up[i].held_for}];
     group.one = up[i];
-    group.one.id = -1;
+    group.one.id = {};
     ++group.count;
     for (const auto &s : workers_[index[i]].allocations) {
-      if (s.job < 0 || s.finished) continue;
+      if (!s.job.valid() || s.finished) continue;
       const double ran = s.running_since >= 0 ? runtime_.now() - s.running_since : 0;
       busy[i] += std::max(5.0, jobs_[s.job].spec.estimate_s - ran) * s.need.cpus;
     }
@@ -315,10 +316,10 @@
     max_boot = std::max(max_boot, t.boot_s);
   double pending = 0;
   std::vector<Wanted> wanted; // in the order of the jobs that want them first
-  for (int job_index : order) {
+  for (JobIndex job_index : order) {
     const Job &n = jobs_[job_index];
     PlaceJob job = scheduler_.place_job(job_index);
-    const double soon = ready_in[static_cast<std::size_t>(job_index)];
+    const double soon = ready_in[job_index.position()];
     if (job.limit == 0 && soon > 0 && soon <= max_boot && !n.cancelled && !n.ending && n.team >= 0)
       job.limit = job.ready;
     if (job.limit == 0) continue;
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -108,7 +108,7 @@
   applied_.tick();
   if (!leadership_.leading()) return;
   step([this] {
-    for (int job_index : jobs_.age())
+    for (JobIndex job_index : jobs_.age())
       workers_.tend_gang(job_index);
   });
   step([this] { dependencies_.tick(); });
@@ -126,13 +126,13 @@
 bool Core::consistent() const {
   bool good = true;
   std::vector<std::uint32_t> allocations(jobs_.index_limit(), 0);
-  workers_.each([&](int machine_index, const Machine &machine) {
+  workers_.each([&](MachineIndex machine_index, const Machine &machine) {
     good &= workers_.consistent(machine_index);
     for (const auto &s : machine.allocations)
-      if (s.job >= 0 && !s.finished) ++allocations[static_cast<std::size_t>(s.job)];
+      if (s.job.valid() && !s.finished) ++allocations[s.job.position()];
   });
-  jobs_.each([&](int job_index, const Job &job) {
-    good &= jobs_.consistent(job_index) && allocations[static_cast<std::size_t>(job_index)] == job.placed;
+  jobs_.each([&](JobIndex job_index, const Job &job) {
+    good &= jobs_.consistent(job_index) && allocations[job_index.position()] == job.placed;
   });
   return good;
 }
--- a/src/core/federation/capacity_survey.cpp
+++ b/src/core/federation/capacity_survey.cpp
@@ -10,7 +10,7 @@
 // from it, how long each job's work will wait here.
 void CellFederation::survey() {
   std::map<MachineKind, Lot> lots;
-  workers_.each([&](int, const Machine &machine) {
+  workers_.each([&](MachineIndex, const Machine &machine) {
     if (machine.type < 0 || machine.lost || machine.returning || machine.order || machine.taken_at) return;
     Lot &lot = lots[{machine.type, machine.zone, machine.spot}];
     lot.size = machine.size;
@@ -25,7 +25,7 @@
     lot.free.add(machine.size);
     lot.free.add(machine.used, -1);
     for (const auto &s : machine.allocations) {
-      if (s.job < 0 || s.finished || jobs_[s.job].delegated_here) continue;
+      if (!s.job.valid() || s.finished || jobs_[s.job].delegated_here) continue;
       const double ran = s.running_since >= 0 ? runtime_.now() - s.running_since : 0;
       lot.busy += std::max(3.0, jobs_[s.job].spec.estimate_s - ran) * s.need.cpus;
     }
@@ -44,12 +44,12 @@
     l.kind = kind;
     lots_.push_back(l);
   }
-  std::vector<int> order;
-  jobs_.each([&](int job_index, const Job &job) {
+  std::vector<JobIndex> order;
+  jobs_.each([&](JobIndex job_index, const Job &job) {
     if (!job.delegated_here && !job.cancelled && job.pending() > 0 && job.spec.waits_for.empty())
       order.push_back(job_index);
   });
-  std::sort(order.begin(), order.end(), [this](int a, int b) {
+  std::sort(order.begin(), order.end(), [this](JobIndex a, JobIndex b) {
     return std::pair(-static_cast<int>(jobs_[a].spec.urgency), jobs_[a].submit_wall) <
            std::pair(-static_cast<int>(jobs_[b].spec.urgency), jobs_[b].submit_wall);
   });
@@ -57,7 +57,7 @@
   std::fill(std::begin(wait_by_urgency_), std::end(wait_by_urgency_), 0);
   own_waiting_cpus_ = 0;
   const double cheapest = catalog_.cheapest_cpu();
-  for (int job_index : order) {
+  for (JobIndex job_index : order) {
     const Job &job = jobs_[job_index];
     const auto work = work_of(job_index);
     const double est = std::max(3.0, job.spec.estimate_s), own = job.pending() * job.spec.need.cpus * est;
@@ -89,7 +89,7 @@
     // Whatever the figures say: what has waited for so long without a start will wait on.
     const double age = runtime_.wall() - job.submit_wall;
     if (job.placed + job.done + job.unaccounted == 0 && age > kLongWait) wait = std::max(wait, 0.5 * age);
-    waits_[static_cast<std::size_t>(job_index)] = std::isfinite(wait) ? wait : 1e6;
+    waits_[job_index.position()] = std::isfinite(wait) ? wait : 1e6;
     auto &of_class = wait_by_urgency_[static_cast<std::size_t>(job.spec.urgency)];
     of_class = std::max(of_class, std::min(wait, 3600.0));
     own_waiting_cpus_ += job.pending() * job.spec.need.cpus;
--- a/src/core/federation/cell_federation.cpp
+++ b/src/core/federation/cell_federation.cpp
@@ -168,13 +168,13 @@
   case Kind::Offer:
     return offered(from, cell, std::move(m));
   case Kind::Taken: {
-    int j = -1;
-    OutboundDelegation *l = delegation(m.generation, j);
+    JobIndex job_index;
+    OutboundDelegation *l = delegation(m.generation, job_index);
     if (!l || l->cell != cell) return;
     l->taken |= m.yes;
     if (m.yes || l->state.confirmed()) return;
     runtime_.log(LogLevel::Info, "delegation_refused",
-                 {{"job", jobs_[j].spec.id}, {"cell", c.name}, {"why", m.body.substr(0, 100)}});
+                 {{"job", jobs_[job_index].spec.id}, {"cell", c.name}, {"why", m.body.substr(0, 100)}});
     l->state.close();
     return;
   }
@@ -183,7 +183,7 @@
     r.number = m.number;
     r.grant_s = grant_s(c.lease_s);
     for (auto g : m.generations) {
-      int job_index = -1;
+      JobIndex job_index;
       OutboundDelegation *l = delegation(g, job_index);
       const bool known = l && l->cell == cell;
       if (known && m.lease_s > l->terms.lease_s) l->terms = terms(m.lease_s); // its settings have changed
@@ -206,7 +206,7 @@
     cells::Terms t;
     t.grant_s = std::min(m.grant_s, kMaxGrant);
     for (auto g : about) {
-      int job_index = -1;
+      JobIndex job_index;
       InboundDelegation *d = inbound(g, cell, job_index);
       if (!d) continue;
       if (std::find(m.generations.begin(), m.generations.end(), g) != m.generations.end())
@@ -219,13 +219,13 @@
   case Kind::Told:
     return told(from, cell, m);
   case Kind::Settled: {
-    int j = -1;
-    if (InboundDelegation *d = inbound(m.generation, cell, j); d && d->ended) jobs_.settle(j);
+    JobIndex job_index;
+    if (InboundDelegation *d = inbound(m.generation, cell, job_index); d && d->ended) jobs_.settle(job_index);
     return;
   }
   case Kind::Recall: {
-    int j = -1;
-    if (InboundDelegation *d = inbound(m.generation, cell, j)) close(j, *d);
+    JobIndex job_index;
+    if (InboundDelegation *d = inbound(m.generation, cell, job_index)) close(job_index, *d);
     return;
   }
   case Kind::Quota:
@@ -274,7 +274,7 @@
 }
 
 void CellFederation::on(const DelegationRecorded &event) {
-  int job_index = -1;
+  JobIndex job_index;
   if (OutboundDelegation *l = delegation(event.generation, job_index)) l->state.recorded();
 }
 
@@ -296,14 +296,14 @@
   if (origin >= 0) cells_[static_cast<std::size_t>(origin)].next_renew = 0;
   if (origin >= 0 && !job.cancelled) return;
   // Nobody confirms it, as its cell is not in the features file any more; or somebody here wants its id.
-  inbound_[static_cast<std::size_t>(event.job)]->state.close();
-  inbound_[static_cast<std::size_t>(event.job)]->wanted = true;
+  inbound_[event.job.position()]->state.close();
+  inbound_[event.job.position()]->wanted = true;
 }
 
 void CellFederation::on(const JobCancelled &event) {
   const Job &job = jobs_[event.job];
   if (job.delegated_here) {
-    auto &d = inbound_[static_cast<std::size_t>(event.job)];
+    auto &d = inbound_[event.job.position()];
     if (!d) return;
     d->wanted |= !d->state.closed(); // by its record: somebody here wants the id
     d->state.close();
@@ -327,7 +327,7 @@
 void CellFederation::on(const TermStarted &) {
   if (!on()) return;
   next_tick_ = 0;
-  jobs_.each([this](int job_index, const Job &job) {
+  jobs_.each([this](JobIndex job_index, const Job &job) {
     for (const auto &r : job.delegations) {
       // A cell that is not in the features file any more: what it runs is over by the bound, and nobody tells.
       const int cell = by_name(r.cell);
@@ -367,7 +367,7 @@
   std::vector<State> out;
   for (const auto &c : cells_) {
     State state{c.name, c.heard_at < -1e8 ? -1 : runtime_.now() - c.heard_at, c.lease_s <= 0 || grant_s(c.lease_s) > 0};
-    jobs_.each([&](int job_index, const Job &job) {
+    jobs_.each([&](JobIndex job_index, const Job &job) {
       for (const auto &l : job.delegations)
         if (l.cell == c.name && !l.lapsed) {
           ++state.delegations;
--- a/src/core/federation/delegations_in.cpp
+++ b/src/core/federation/delegations_in.cpp
@@ -25,7 +25,7 @@
     open.insert(l.kind);
     rentable |= !l.refused;
   }
-  workers_.each([&](int, const Machine &machine) {
+  workers_.each([&](MachineIndex, const Machine &machine) {
     if (!machine.heard || machine.lost || machine.returning || machine.order || machine.taken_at || machine.draining ||
         machine.silent(runtime_.now(), settings_.heartbeat_interval_s) ||
         !open.contains({machine.type, machine.zone, machine.spot}))
@@ -35,7 +35,7 @@
     for (; work.need.fits(room); free += work.need.cpus)
       room.add(work.need, -1);
   });
-  for (int job_index : inbound_list_) {
+  for (JobIndex job_index : inbound_list_) {
     const Job &job = jobs_[job_index];
     delegated_here += (job.pending() + job.placed) * job.spec.need.cpus;
     free -= job.pending() * job.spec.need.cpus;
@@ -54,14 +54,14 @@
     r.body = why;
     reply(from, std::move(r));
   };
-  int known = -1;
+  JobIndex known;
   if (inbound(m.generation, cell, known)) return answer(true, "");
   if (taking_.contains(m.generation)) return;
   if (!leadership_.active() || !replicas_.answering()) return; // asked again
   auto spec = wire::decode_job(m.body);
   auto *job = std::get_if<JobSpec>(&spec);
   if (!job || m.ranges.back().second > job->tasks) return answer(false, "the job cannot be read");
-  if (jobs_.index(job->id) >= 0) return answer(false, "its id is in use here");
+  if (jobs_.index(job->id).valid()) return answer(false, "its id is in use here");
   if (!operators_.cell_rules().accept) return answer(false, "nothing is borrowed here");
   if (inbound_list_.size() >= kMaxInboundDelegations) return answer(false, "too much is borrowed already");
   std::uint32_t tasks = 0;
@@ -89,14 +89,14 @@
       });
 }
 
-CellFederation::InboundDelegation *CellFederation::inbound(std::uint64_t generation, int origin, int &job) {
+CellFederation::InboundDelegation *CellFederation::inbound(std::uint64_t generation, int origin, JobIndex &job_index) {
   const auto it = inbound_jobs_.find({origin, generation});
   if (it == inbound_jobs_.end()) return nullptr;
-  job = it->second;
-  return &*inbound_[static_cast<std::size_t>(job)];
+  job_index = it->second;
+  return &*inbound_[job_index.position()];
 }
 
-void CellFederation::close(int job_index, InboundDelegation &inbound) {
+void CellFederation::close(JobIndex job_index, InboundDelegation &inbound) {
   inbound.state.close();
   if (!jobs_[job_index].cancelled)
     jobs_.cancel(job_index); // its tasks stop; that nobody here has cancelled it is not recorded
@@ -104,8 +104,8 @@
 
 void CellFederation::expire() {
   if (!leadership_.leading()) return;
-  for (int job_index : inbound_list_) {
-    auto &d = *inbound_[static_cast<std::size_t>(job_index)];
+  for (JobIndex job_index : inbound_list_) {
+    auto &d = *inbound_[job_index.position()];
     d.state.tick(runtime_.now());
     const double patience = d.restored ? kSureWithin : kFirstGrant;
     if (d.state.closed() || (!d.state.granted_once() && runtime_.now() - d.known_at > patience)) close(job_index, d);
@@ -116,10 +116,9 @@
 bool CellFederation::unsure_of(const Heartbeat &heartbeat) const {
   if (inbound_list_.empty()) return false;
   return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [this](const TaskStatus &task) {
-    const int job_index = jobs_.index(task.job);
-    const auto *d = job_index >= 0 && static_cast<std::size_t>(job_index) < inbound_.size() &&
-                            inbound_[static_cast<std::size_t>(job_index)]
-                        ? &*inbound_[static_cast<std::size_t>(job_index)]
+    const JobIndex job_index = jobs_.index(task.job);
+    const auto *d = job_index.valid() && job_index.position() < inbound_.size() && inbound_[job_index.position()]
+                        ? &*inbound_[job_index.position()]
                         : nullptr;
     return d && !d->state.granted_once() && !d->state.closed();
   });
@@ -130,8 +129,8 @@
   const double now = runtime_.now();
   const auto counts = workers_.running_counts();
   for (std::size_t k = 0; k < inbound_list_.size(); ++k) {
-    const int job_index = inbound_list_[k];
-    auto &d = *inbound_[static_cast<std::size_t>(job_index)];
+    const JobIndex job_index = inbound_list_[k];
+    auto &d = *inbound_[job_index.position()];
     const Job &job = jobs_[job_index];
     // Not begun for long, or own work waits: what has not begun goes back, what runs may end.
     const bool waits = job.pending() > 0 && !d.state.closed() && (job.placed == 0 || own_waiting_cpus_ > 0);
@@ -148,7 +147,7 @@
     d.ended = still && (d.state.closed() || job.done == job.spec.tasks);
     // An id that an own user wants is not kept waiting for another cell's answer.
     if (d.ended && d.wanted) jobs_.settle(job_index);
-    const std::uint32_t running = counts[static_cast<std::size_t>(job_index)];
+    const std::uint32_t running = counts[job_index.position()];
     const auto used = ledger_.on() ? ledger_.usage(job_index) : accounts::Usage{};
     const bool news = d.ended || job.done != d.told_done || running != d.told_running || used.held() != d.told_held;
     if (job.ending || now < d.next_told || (!news && now < d.next_told + kToldAtLeast - kToldEvery)) continue;
@@ -176,8 +175,8 @@
   auto &c = cells_[static_cast<std::size_t>(origin)];
   std::vector<std::uint64_t> about;
   bool urgent = false;
-  for (int job_index : inbound_list_) {
-    const auto &d = *inbound_[static_cast<std::size_t>(job_index)];
+  for (JobIndex job_index : inbound_list_) {
+    const auto &d = *inbound_[job_index.position()];
     if (d.origin != origin || d.state.closed()) continue;
     about.push_back(d.state.generation());
     urgent |= !d.state.granted_once();
--- a/src/core/federation/delegations_out.cpp
+++ b/src/core/federation/delegations_out.cpp
@@ -38,7 +38,7 @@
   return !spec.zone; // its zone is here
 }
 
-cells::Work CellFederation::work_of(int job_index) const {
+cells::Work CellFederation::work_of(JobIndex job_index) const {
   const Job &job = jobs_[job_index];
   cells::Work work;
   work.need = job.spec.need;
@@ -49,8 +49,7 @@
   work.estimate_s = job.spec.estimate_s;
   work.image_gb = job.spec.image_gb;
   work.urgency = job.spec.urgency;
-  work.wait_here_s =
-      static_cast<std::size_t>(job_index) < waits_.size() ? waits_[static_cast<std::size_t>(job_index)] : 0;
+  work.wait_here_s = job_index.position() < waits_.size() ? waits_[job_index.position()] : 0;
   return work;
 }
 
@@ -79,8 +78,8 @@
     any |= views.back().open && views.back().age_s < kRules.fresh_s;
   }
   if (!any) return;
-  std::vector<std::pair<double, int>> order; // by the time left
-  jobs_.each([&](int job_index, const Job &job) {
+  std::vector<std::pair<double, JobIndex>> order; // by the time left
+  jobs_.each([&](JobIndex job_index, const Job &job) {
     int &eager = grown(eager_, job_index);
     const bool whole = job.spec.shape == Shape::Gang || job.spec.one_zone || job.spec.spread;
     if (job.delegated_here || job.cancelled || job.ending || job.pending() == 0 ||
@@ -95,37 +94,37 @@
                        job_index);
   });
   std::sort(order.begin(), order.end());
-  for (auto [left, j] : order) {
+  for (auto [left, job_index] : order) {
     if (wanted_.size() >= kMaxWanted) return;
-    const Job &job = jobs_[j];
+    const Job &job = jobs_[job_index];
     auto mine = views;
     for (std::size_t c = 0; c < mine.size(); ++c) {
       mine[c].open &= !not_again_.contains(pair_key(job.serial, static_cast<int>(c)));
       for (const auto &l : job.delegations) // one hand-over of a job to a cell at a time
         mine[c].open &= l.cell != cells_[c].name;
     }
-    const auto work = work_of(j);
+    const auto work = work_of(job_index);
     auto choice = cells::choose(work, mine, kRules);
     if (settings_.cells.at_random && work.wait_here_s > 1) {
       const auto any = static_cast<std::size_t>(runtime_.random() * static_cast<double>(mine.size()));
       if (mine[any].open) choice = cells::Choice{static_cast<int>(any), 0, 0};
     }
-    int &eager = grown(eager_, j);
+    int &eager = grown(eager_, job_index);
     eager = choice ? eager + 1 : 0;
     if (eager < kEager) continue; // not on one look alone
     // What would start here meanwhile stays.
     const double share = std::clamp(1 - choice->wait_s / std::max(0.1, work.wait_here_s), 0.0, 1.0);
     const auto tasks =
         work.whole ? work.tasks : std::max(kMinDelegatedTasks, static_cast<std::uint32_t>(work.tasks * share));
-    const auto most = team_allows(j);
+    const auto most = team_allows(job_index);
     if (most == 0 || (work.whole && most < work.tasks)) continue;
-    want(j, choice->cell, work, std::min(tasks, most));
+    want(job_index, choice->cell, work, std::min(tasks, most));
     eager = 0;
   }
 }
 
 // How many more of a job's tasks its team's limit allows, all that may be on a machine anywhere counted.
-std::uint32_t CellFederation::team_allows(int job_index) const {
+std::uint32_t CellFederation::team_allows(JobIndex job_index) const {
   const Job &job = jobs_[job_index];
   const auto room = quotas_.room()[static_cast<std::size_t>(job.team)];
   double most = 1e6;
@@ -136,7 +135,7 @@
   return static_cast<std::uint32_t>(most);
 }
 
-void CellFederation::want(int job_index, int cell, const cells::Work &work, std::uint32_t tasks) {
+void CellFederation::want(JobIndex job_index, int cell, const cells::Work &work, std::uint32_t tasks) {
   const std::uint64_t ticket = ++numbers_;
   auto m = message(Kind::Want, cell);
   m.number = ticket;
@@ -191,20 +190,20 @@
                 {"class", job->spec.job_class},
                 {"tasks", got},
                 {"cell", c.name},
-                {"expected_wait_s", waits_[static_cast<std::size_t>(wanted.job)]}});
+                {"expected_wait_s", waits_[wanted.job.position()]}});
   jobs_.delegate(wanted.job, {g, c.name, std::move(ranges), c.lease_s, false, {}});
 }
 
-CellFederation::OutboundDelegation *CellFederation::delegation(std::uint64_t generation, int &job) {
+CellFederation::OutboundDelegation *CellFederation::delegation(std::uint64_t generation, JobIndex &job_index) {
   const auto it = outbound_jobs_.find(generation);
   if (it == outbound_jobs_.end()) return nullptr;
-  job = it->second;
-  for (auto &l : outbound_[static_cast<std::size_t>(job)])
+  job_index = it->second;
+  for (auto &l : outbound_[job_index.position()])
     if (l.state.generation() == generation) return &l;
   return nullptr;
 }
 
-wire::CellMessage CellFederation::offer(int job_index, const OutboundDelegation &delegation) const {
+wire::CellMessage CellFederation::offer(JobIndex job_index, const OutboundDelegation &delegation) const {
   const Job &job = jobs_[job_index];
   auto m = message(Kind::Offer, delegation.cell);
   m.number = delegation.ticket;
@@ -222,12 +221,12 @@
 
 // Each loan takes its next step: offered, called back, lapsed, gone.
 void CellFederation::tend_outbound() {
-  std::vector<std::pair<int, std::uint64_t>> gone, lapsed;
+  std::vector<std::pair<JobIndex, std::uint64_t>> gone, lapsed;
   const double now = runtime_.now();
-  for (const auto &[generation, j] : outbound_jobs_) {
-    int job_index = j;
-    OutboundDelegation &l = *delegation(generation, job_index);
-    const Job &job = jobs_[j];
+  for (const auto &[generation, job_index] : outbound_jobs_) {
+    JobIndex found;
+    OutboundDelegation &l = *delegation(generation, found);
+    const Job &job = jobs_[job_index];
     const auto record = std::find_if(job.delegations.begin(), job.delegations.end(),
                                      [g = generation](const auto &x) { return x.generation == g; });
     if (l.dropped || record == job.delegations.end() || record->lapsed) continue;
@@ -236,13 +235,13 @@
       if (now - l.made_at > kOfferFor)
         l.state.close();
       else
-        send(l.cell, offer(j, l));
+        send(l.cell, offer(job_index, l));
     }
     // Nobody has asked on for so long that nothing of it runs there any more.
     if (l.state.offers() && l.state.confirmed() && now >= l.state.until()) l.state.close();
     if (!l.state.closing() && l.taken && !l.progressed) { // taken, not begun, and there is room here again
-      const bool room = waits_.size() > static_cast<std::size_t>(j) && waits_[static_cast<std::size_t>(j)] < 1 &&
-                        own_waiting_cpus_ < 1;
+      const bool room =
+          waits_.size() > job_index.position() && waits_[job_index.position()] < 1 && own_waiting_cpus_ < 1;
       if (!room)
         l.idle_since = -1;
       else if (l.idle_since < 0)
@@ -255,20 +254,20 @@
       m.generation = generation;
       send(l.cell, std::move(m));
     }
-    if (l.state.over(now)) (l.state.confirmed() ? lapsed : gone).emplace_back(j, generation);
+    if (l.state.over(now)) (l.state.confirmed() ? lapsed : gone).emplace_back(job_index, generation);
   }
-  for (auto [j, g] : lapsed) {
+  for (auto [job_index, g] : lapsed) {
     runtime_.log(LogLevel::Info, "delegation_expired",
-                 {{"job", jobs_[j].spec.id}, {"why", "its cell has not asked on"}});
-    jobs_.expire_delegation(j, g);
+                 {{"job", jobs_[job_index].spec.id}, {"why", "its cell has not asked on"}});
+    jobs_.expire_delegation(job_index, g);
   }
-  for (auto [j, g] : gone)
-    if (OutboundDelegation *l = delegation(g, j)) drop(j, *l);
+  for (auto [job_index, g] : gone)
+    if (OutboundDelegation *l = delegation(g, job_index)) drop(job_index, *l);
 }
 
 // Once it is recorded that it is over, its borrower is told so. One that was never confirmed has nothing to tell, and
 // may never have been recorded.
-void CellFederation::drop(int job_index, OutboundDelegation &delegation) {
+void CellFederation::drop(JobIndex job_index, OutboundDelegation &delegation) {
   const auto g = delegation.state.generation();
   delegation.dropped = true;
   delegation.running = 0;
@@ -286,7 +285,7 @@
 
 // How a loan gets on there, or that it has ended. What is done there is done, unless it was started again here.
 void CellFederation::told(const Route &from, int cell, const wire::CellMessage &m) {
-  int job_index = -1;
+  JobIndex job_index;
   OutboundDelegation *l = delegation(m.generation, job_index);
   if (!l || l->cell != cell) {
     if (!m.yes || !leadership_.active()) return;
@@ -323,7 +322,7 @@
   l->running = lapsed || m.yes ? 0 : m.running;
   l->progressed |= m.running > 0;
   std::uint32_t running = 0;
-  for (const auto &x : outbound_[static_cast<std::size_t>(job_index)])
+  for (const auto &x : outbound_[job_index.position()])
     running += x.running;
   jobs_.set_delegated_running(job_index, running);
   if (!m.yes) return;
--- a/src/core/heartbeats/heartbeat_handler.cpp
+++ b/src/core/heartbeats/heartbeat_handler.cpp
@@ -79,15 +79,14 @@
 }
 
 void HeartbeatHandler::on(const MachineRemoved &event) {
-  if (static_cast<std::size_t>(event.machine) < sent_away_.size())
-    sent_away_[static_cast<std::size_t>(event.machine)] = -1e9;
+  if (event.machine.position() < sent_away_.size()) sent_away_[event.machine.position()] = -1e9;
 }
 
 std::optional<HeartbeatHandler::Pending> HeartbeatHandler::take(CmdHeartbeat &&cmd) {
   // A copy of an old report says nothing of who reaches this node; a leader can tell.
-  const int known = leadership_.leading() ? workers_.index(cmd.report.machine) : -1;
-  if (known < 0 || std::pair(cmd.report.incarnation, cmd.report.sequence) >
-                       std::pair(workers_[known].incarnation, workers_[known].sequence))
+  const MachineIndex known = leadership_.leading() ? workers_.index(cmd.report.machine) : MachineIndex();
+  if (!known.valid() || std::pair(cmd.report.incarnation, cmd.report.sequence) >
+                            std::pair(workers_[known].incarnation, workers_[known].sequence))
     connectivity_.heard(cmd.report.zone);
   if (relay_to() < 0) {
     if (leadership_.role() == Role::Follower) relay_.left(cmd.report.machine);
@@ -124,7 +123,7 @@
       runtime_.reply(from.req, 421, wire::encode_redirect(replicas_.name(static_cast<std::size_t>(s))));
       return std::nullopt;
     }
-  const int machine_index = workers_.add(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot);
+  const MachineIndex machine_index = workers_.add(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot);
   switch (workers_.hear(machine_index, heartbeat, from.replica)) {
   case WorkerRegistry::Heard::Late:
     return no("a newer report is known");
@@ -198,8 +197,8 @@
 // nothing it tells may wait.
 int HeartbeatHandler::keeper_for(const Heartbeat &heartbeat) {
   if (!leadership_.active() || !spread_.may_send_away(runtime_.now())) return -1;
-  const int known = workers_.index(heartbeat.machine);
-  if (known >= 0) {
+  const MachineIndex known = workers_.index(heartbeat.machine);
+  if (known.valid()) {
     if (runtime_.now() - grown(sent_away_, known, -1e9) < kSentAwayAgain ||
         runtime_.now() - workers_[known].last_answer > 2 * settings_.heartbeat_interval_s)
       return -1;
@@ -221,7 +220,7 @@
   }
   if (best < 0) return -1;
   spread_.sent_away(runtime_.now());
-  if (known >= 0) sent_away_[static_cast<std::size_t>(known)] = runtime_.now();
+  if (known.valid()) sent_away_[known.position()] = runtime_.now();
   return best;
 }
 
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -14,7 +14,7 @@
 // ---- the graph ----
 
 void Dependencies::on(const JobAccepted &event) {
-  const int job_index = event.job;
+  const JobIndex job_index = event.job;
   if (!jobs_.find(job_index)) return;
   const Job &job = jobs_[job_index];
   Node &node = grown(nodes_, job_index);
@@ -27,7 +27,7 @@
   if (auto it = unknown_.find(node.id); it != unknown_.end()) { // it had been named before it was heard of
     const auto dependants = std::move(it->second.dependants);
     unknown_.erase(it);
-    for (int d : dependants)
+    for (JobIndex d : dependants)
       link(d, job_index);
   }
   node.waits = job.spec.waits_for.size();
@@ -41,7 +41,7 @@
   }
 }
 
-void Dependencies::link(int job_index, int needed) {
+void Dependencies::link(JobIndex job_index, JobIndex needed) {
   at(job_index).needs.push_back(needed);
   at(needed).dependants.push_back(job_index);
   outdated_ = true;
@@ -49,21 +49,21 @@
 }
 
 void Dependencies::on(const JobCancelled &event) {
-  if (static_cast<std::size_t>(event.job) >= nodes_.size() || !jobs_.find(event.job)) return;
+  if (event.job.position() >= nodes_.size() || !jobs_.find(event.job)) return;
   outdated_ = true; // what it needs is no longer wanted for it
   const auto dependants = at(event.job).dependants;
-  for (int d : dependants)
+  for (JobIndex d : dependants)
     stop(d, at(event.job).id);
 }
 
 // What it waits for can no longer be done. Its own dependants follow when the event of its cancellation is taken.
-void Dependencies::stop(int job_index, const std::string &with) {
+void Dependencies::stop(JobIndex job_index, const std::string &with) {
   if (at(job_index).stopped_with.empty()) at(job_index).stopped_with = with;
   outdated_ = true;
   if (jobs_.find(job_index)) jobs_.cancel(job_index); // it may have ended by the same write
 }
 
-void Dependencies::done(int job_index, double end_wall) {
+void Dependencies::done(JobIndex job_index, double end_wall) {
   Node &node = at(job_index);
   node.ready_wall = std::max(node.ready_wall, end_wall);
   outdated_ = true;
@@ -71,8 +71,8 @@
     jobs_.readied(job_index);
 }
 
-void Dependencies::settle(const std::vector<int> &dependants, const std::string &id, const EndRecord &end) {
-  for (int d : dependants)
+void Dependencies::settle(const std::vector<JobIndex> &dependants, const std::string &id, const EndRecord &end) {
+  for (JobIndex d : dependants)
     end.cancelled ? stop(d, id) : done(d, end.end_wall);
 }
 
@@ -86,22 +86,22 @@
   }
   if (auto it = index_.find(event.id); it != index_.end()) {
     const auto dependants = std::exchange(at(it->second).dependants, {});
-    for (int d : dependants)
+    for (JobIndex d : dependants)
       std::erase(at(d).needs, it->second);
     settle(dependants, event.id, *end);
   }
 }
 
 void Dependencies::on(const JobFinalized &event) {
-  if (static_cast<std::size_t>(event.job) >= nodes_.size()) return;
+  if (event.job.position() >= nodes_.size()) return;
   Node &node = at(event.job);
-  for (int needed : node.needs)
+  for (JobIndex needed : node.needs)
     std::erase(at(needed).dependants, event.job);
   for (auto it = unknown_.begin(); node.waits > node.needs.size() && it != unknown_.end();) {
     std::erase(it->second.dependants, event.job);
     it = it->second.dependants.empty() ? unknown_.erase(it) : std::next(it);
   }
-  for (int d : node.dependants) { // how it ended has not been heard: it is looked up
+  for (JobIndex d : node.dependants) { // how it ended has not been heard: it is looked up
     std::erase(at(d).needs, event.job);
     unknown_[node.id].dependants.push_back(d);
   }
@@ -159,7 +159,7 @@
 
 // ---- what follows along the graph ----
 
-double Dependencies::lead_time(int job_index) const {
+double Dependencies::lead_time(JobIndex job_index) const {
   return kEstimateCare * jobs_[job_index].spec.estimate_s + kHandOver + settings_.heartbeat_interval_s;
 }
 
@@ -168,23 +168,23 @@
   order_.clear();
   wanted_.assign(nodes_.size(), {});
   std::vector<std::size_t> left(nodes_.size(), 0);
-  jobs_.each([&](int job_index, const Job &) {
-    if (static_cast<std::size_t>(job_index) >= nodes_.size()) return; // not heard of yet
-    left[static_cast<std::size_t>(job_index)] = at(job_index).needs.size();
+  jobs_.each([&](JobIndex job_index, const Job &) {
+    if (job_index.position() >= nodes_.size()) return; // not heard of yet
+    left[job_index.position()] = at(job_index).needs.size();
     if (at(job_index).needs.empty()) order_.push_back(job_index);
   });
   for (std::size_t k = 0; k < order_.size(); ++k)
-    for (int d : at(order_[k]).dependants)
-      if (--left[static_cast<std::size_t>(d)] == 0) order_.push_back(d);
+    for (JobIndex d : at(order_[k]).dependants)
+      if (--left[d.position()] == 0) order_.push_back(d);
   for (std::size_t k = order_.size(); k-- > 0;) {
-    const int job_index = order_[k];
-    auto &[urgency, due] = wanted_[static_cast<std::size_t>(job_index)];
+    const JobIndex job_index = order_[k];
+    auto &[urgency, due] = wanted_[job_index.position()];
     const JobSpec &spec = jobs_[job_index].spec;
     urgency = spec.urgency;
     if (spec.deadline_s) due = jobs_[job_index].submit_wall + *spec.deadline_s;
-    for (int d : at(job_index).dependants) {
+    for (JobIndex d : at(job_index).dependants) {
       if (!jobs_.find(d) || jobs_[d].cancelled) continue;
-      const auto &[of, by] = wanted_[static_cast<std::size_t>(d)];
+      const auto &[of, by] = wanted_[d.position()];
       urgency = std::max(urgency, of);
       if (!by) continue;
       const double latest = *by - lead_time(d);
@@ -193,34 +193,32 @@
   }
 }
 
-Urgency Dependencies::urgency(int job_index) const {
+Urgency Dependencies::urgency(JobIndex job_index) const {
   if (outdated_) recompute();
-  return static_cast<std::size_t>(job_index) < wanted_.size() &&
-                 jobs_[job_index].spec.urgency < wanted_[static_cast<std::size_t>(job_index)].first
-             ? wanted_[static_cast<std::size_t>(job_index)].first
+  return job_index.position() < wanted_.size() && jobs_[job_index].spec.urgency < wanted_[job_index.position()].first
+             ? wanted_[job_index.position()].first
              : jobs_[job_index].spec.urgency;
 }
 
-std::optional<double> Dependencies::deadline(int job_index) const {
+std::optional<double> Dependencies::deadline(JobIndex job_index) const {
   if (outdated_) recompute();
-  if (static_cast<std::size_t>(job_index) >= wanted_.size() || !wanted_[static_cast<std::size_t>(job_index)].second)
-    return own_deadline(job_index);
-  return *wanted_[static_cast<std::size_t>(job_index)].second - ready_wall(job_index);
+  if (job_index.position() >= wanted_.size() || !wanted_[job_index.position()].second) return own_deadline(job_index);
+  return *wanted_[job_index.position()].second - ready_wall(job_index);
 }
 
-std::optional<double> Dependencies::own_deadline(int job_index) const {
+std::optional<double> Dependencies::own_deadline(JobIndex job_index) const {
   const auto &own = jobs_[job_index].spec.deadline_s;
   return own ? std::optional(jobs_[job_index].submit_wall + *own - ready_wall(job_index)) : std::nullopt;
 }
 
-Dependencies::Path Dependencies::along(const std::function<double(int)> &left) const {
+Dependencies::Path Dependencies::along(const std::function<double(JobIndex)> &left) const {
   const std::vector<double> none(jobs_.index_limit(), 0);
-  Path out{none, none, std::vector<int>(jobs_.index_limit(), -1)};
-  for (int job_index : in_order()) {
+  Path out{none, none, std::vector<JobIndex>(jobs_.index_limit())};
+  for (JobIndex job_index : in_order()) {
     if (!jobs_.find(job_index)) continue;
-    const auto at = static_cast<std::size_t>(job_index);
-    for (int needed : waits_for(job_index))
-      if (const double done = out.done_in[static_cast<std::size_t>(needed)]; done > out.begins_in[at]) {
+    const auto at = job_index.position();
+    for (JobIndex needed : waits_for(job_index))
+      if (const double done = out.done_in[needed.position()]; done > out.begins_in[at]) {
         out.begins_in[at] = done;
         out.last[at] = needed;
       }
@@ -229,7 +227,7 @@
   return out;
 }
 
-const std::vector<int> &Dependencies::in_order() const {
+const std::vector<JobIndex> &Dependencies::in_order() const {
   if (outdated_) recompute();
   return order_;
 }
--- a/src/core/jobs/failure_attribution.cpp
+++ b/src/core/jobs/failure_attribution.cpp
@@ -12,25 +12,23 @@
 constexpr double kMaxProbePause = 80.0; // s, between tries of a job that fails everywhere
 } // namespace
 
-std::uint32_t FailureAttribution::failed_on(int job_index) const {
-  return static_cast<std::size_t>(job_index) < jobs_at_.size() ? jobs_at_[static_cast<std::size_t>(job_index)].failed_on
-                                                               : 0;
+std::uint32_t FailureAttribution::failed_on(JobIndex job_index) const {
+  return job_index.position() < jobs_at_.size() ? jobs_at_[job_index.position()].failed_on : 0;
 }
 
-double FailureAttribution::retry_at(int job_index) const {
-  return static_cast<std::size_t>(job_index) < jobs_at_.size() ? jobs_at_[static_cast<std::size_t>(job_index)].retry_at
-                                                               : 0;
+double FailureAttribution::retry_at(JobIndex job_index) const {
+  return job_index.position() < jobs_at_.size() ? jobs_at_[job_index.position()].retry_at : 0;
 }
 
-std::vector<int> FailureAttribution::barred(int job_index) const {
-  std::vector<int> out;
-  if (static_cast<std::size_t>(job_index) >= jobs_at_.size()) return out;
-  for (const auto &f : jobs_at_[static_cast<std::size_t>(job_index)].failures)
+std::vector<MachineIndex> FailureAttribution::barred(JobIndex job_index) const {
+  std::vector<MachineIndex> out;
+  if (job_index.position() >= jobs_at_.size()) return out;
+  for (const auto &f : jobs_at_[job_index.position()].failures)
     if (runtime_.now() - f.at < kBarredFor) out.push_back(f.machine);
   return out;
 }
 
-void FailureAttribution::restore(int job_index, std::uint32_t failed_on) {
+void FailureAttribution::restore(JobIndex job_index, std::uint32_t failed_on) {
   Record &record = grown(jobs_at_, job_index);
   record.failed_on = failed_on;
   if (suspect(job_index)) record.retry_at = runtime_.now() + kPauseAfterTakeover;
@@ -87,7 +85,7 @@
   }
 }
 
-void FailureAttribution::blame(int machine_index, int job_index, double at_s) {
+void FailureAttribution::blame(MachineIndex machine_index, JobIndex job_index, double at_s) {
   Machine &machine = grown(machines_, machine_index);
   if (machine.last_good_start > at_s) return;
   if (machine.blames.empty()) machine.failing_since = at_s;
@@ -105,7 +103,7 @@
   events_.publish(MachineQuarantined{machine_index, machine.blames.size()});
 }
 
-void FailureAttribution::absolve(int job_index) {
+void FailureAttribution::absolve(JobIndex job_index) {
   for (const auto &f : grown(jobs_at_, job_index).failures) {
     Machine &machine = grown(machines_, f.machine);
     std::erase_if(machine.blames, [&](const Blame &b) { return b.job == jobs_[job_index].spec.id; });
--- a/src/core/jobs/job_table.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -11,23 +11,23 @@
     team_names_.get(t.name);
 }
 
-int JobTable::index(const std::string &id) const {
+JobIndex JobTable::index(const std::string &id) const {
   auto it = index_.find(id);
-  return it == index_.end() ? -1 : it->second;
+  return it == index_.end() ? JobIndex() : it->second;
 }
 
-int JobTable::add(OpenRecord record, std::uint64_t mod_revision) {
+JobIndex JobTable::add(OpenRecord record, std::uint64_t mod_revision) {
   assert(!index_.contains(record.spec.id));
-  int job_index;
+  JobIndex job_index;
   if (!free_.empty()) {
     job_index = free_.back();
     free_.pop_back();
   } else {
-    job_index = static_cast<int>(jobs_.size());
+    job_index = JobIndex(jobs_.size());
     jobs_.emplace_back();
   }
-  assert(!jobs_[static_cast<std::size_t>(job_index)]);
-  jobs_[static_cast<std::size_t>(job_index)] = std::make_unique<Job>();
+  assert(!jobs_[job_index.position()]);
+  jobs_[job_index.position()] = std::make_unique<Job>();
   Job &job = at(job_index);
   job.spec = std::move(record.spec);
   job.submit_wall = record.submit_wall;
@@ -54,7 +54,7 @@
   return job_index;
 }
 
-void JobTable::restore(int job_index, const ProgressRecord &progress) {
+void JobTable::restore(JobIndex job_index, const ProgressRecord &progress) {
   Job &job = at(job_index);
   assert(job.placed == 0);
   for (auto [a, b] : progress.started)
@@ -74,7 +74,7 @@
 
 // ---- lent to another cell ----
 
-void JobTable::delegate(int job_index, DelegationRecord delegation) {
+void JobTable::delegate(JobIndex job_index, DelegationRecord delegation) {
   for (auto [a, b] : delegation.tasks)
     for (auto i = a; i < b; ++i) {
       assert(at(job_index).tasks[i].state == TaskState::Pending);
@@ -84,24 +84,24 @@
   changed(job_index, true);
 }
 
-void JobTable::charge_delegation(int job_index, std::uint64_t generation, const accounts::Usage &charged) {
+void JobTable::charge_delegation(JobIndex job_index, std::uint64_t generation, const accounts::Usage &charged) {
   for (auto &l : at(job_index).delegations)
     if (l.generation == generation) l.charged = charged;
 }
 
-void JobTable::free_delegated(int job_index, const Ranges &tasks) {
+void JobTable::free_delegated(JobIndex job_index, const Ranges &tasks) {
   for (auto [a, b] : tasks)
     for (auto i = a; i < b; ++i)
       if (at(job_index).tasks[i].state == TaskState::DelegationSource) set(job_index, i, TaskState::Pending);
 }
 
-void JobTable::expire_delegation(int job_index, std::uint64_t generation) {
+void JobTable::expire_delegation(JobIndex job_index, std::uint64_t generation) {
   for (auto &l : at(job_index).delegations)
     if (l.generation == generation && !std::exchange(l.lapsed, true)) free_delegated(job_index, l.tasks);
   changed(job_index, true);
 }
 
-void JobTable::remove_delegation(int job_index, std::uint64_t generation) {
+void JobTable::remove_delegation(JobIndex job_index, std::uint64_t generation) {
   auto &delegations = at(job_index).delegations;
   const auto it =
       std::find_if(delegations.begin(), delegations.end(), [&](const auto &l) { return l.generation == generation; });
@@ -111,24 +111,24 @@
   changed(job_index, true);
 }
 
-void JobTable::pause(int job_index, bool paused) {
+void JobTable::pause(JobIndex job_index, bool paused) {
   if (std::exchange(at(job_index).paused, paused) && !paused) ++arrivals_;
 }
 
-void JobTable::readied(int job_index) {
+void JobTable::readied(JobIndex job_index) {
   ++arrivals_;
   changed(job_index, true);
 }
 
-void JobTable::settle(int job_index) {
+void JobTable::settle(JobIndex job_index) {
   at(job_index).settled = true;
   changed(job_index, true);
 }
 
-void JobTable::remove(int job_index) {
+void JobTable::remove(JobIndex job_index) {
   events_.publish(JobFinalized{job_index, at(job_index).spec.id});
   index_.erase(at(job_index).spec.id);
-  jobs_[static_cast<std::size_t>(job_index)].reset();
+  jobs_[job_index.position()].reset();
 }
 
 void JobTable::on(const TermEnded &) {
@@ -137,7 +137,7 @@
   index_.clear();
 }
 
-void JobTable::cancel(int job_index) {
+void JobTable::cancel(JobIndex job_index) {
   Job &job = at(job_index);
   if (job.cancelled) return;
   job.cancelled = true;
@@ -145,22 +145,22 @@
   if (job.finishable()) changed(job_index, true);
 }
 
-bool JobTable::update_mod_revision(int job_index, std::uint64_t mod_revision) {
+bool JobTable::update_mod_revision(JobIndex job_index, std::uint64_t mod_revision) {
   Job &job = at(job_index);
   if (mod_revision <= job.open_mod_revision) return false;
   job.open_mod_revision = mod_revision;
   return true;
 }
 
-void JobTable::set_ending(int job_index, bool ending) {
+void JobTable::set_ending(JobIndex job_index, bool ending) {
   at(job_index).ending = ending;
 }
 
-void JobTable::changed(int job_index, bool urgent) {
+void JobTable::changed(JobIndex job_index, bool urgent) {
   events_.publish(JobChanged{job_index, at(job_index).finishable(), urgent});
 }
 
-void JobTable::set(int job_index, std::uint32_t i, TaskState state, int machine, int zone) {
+void JobTable::set(JobIndex job_index, std::uint32_t i, TaskState state, MachineIndex machine, int zone) {
   Job &job = at(job_index);
   Task &t = job.tasks[i];
   switch (t.state) {
@@ -202,26 +202,26 @@
   assert(job.done + job.placed + job.unaccounted + job.delegated <= job.spec.tasks);
 }
 
-void JobTable::place(int job_index, std::uint32_t i, int machine, int zone) {
+void JobTable::place(JobIndex job_index, std::uint32_t i, MachineIndex machine, int zone) {
   // Guards against a second start of a task that may still run: only a waiting one is placed, and one of an earlier
   // leader's when its worker shows it.
   assert(at(job_index).tasks[i].state == TaskState::Pending || at(job_index).tasks[i].state == TaskState::Unaccounted);
   set(job_index, i, TaskState::Placed, machine, zone);
 }
 
-void JobTable::finish(int job_index, std::uint32_t i) {
+void JobTable::finish(JobIndex job_index, std::uint32_t i) {
   set(job_index, i, TaskState::Done);
   changed(job_index, at(job_index).finishable());
 }
 
-void JobTable::release(int job_index, std::uint32_t i, int machine, bool unaccounted) {
+void JobTable::release(JobIndex job_index, std::uint32_t i, MachineIndex machine, bool unaccounted) {
   const Task &t = at(job_index).tasks[i];
   if (t.state == TaskState::Placed && t.machine == machine)
     set(job_index, i, unaccounted ? TaskState::Unaccounted : TaskState::Pending);
   if (at(job_index).finishable()) changed(job_index, true);
 }
 
-std::uint64_t JobTable::next_gang_attempt(int job_index, std::uint64_t fresh) {
+std::uint64_t JobTable::next_gang_attempt(JobIndex job_index, std::uint64_t fresh) {
   Job &job = at(job_index);
   assert(job.placed == 0);
   job.gang_attempt = std::max(job.gang_attempt + 1, fresh);
@@ -229,19 +229,20 @@
   return job.gang_attempt;
 }
 
-void JobTable::adopt_gang_attempt(int job_index, std::uint64_t attempt) {
+void JobTable::adopt_gang_attempt(JobIndex job_index, std::uint64_t attempt) {
   at(job_index).gang_attempt = std::max(at(job_index).gang_attempt, attempt);
 }
 
-void JobTable::close_gang(int job_index, bool closed) {
+void JobTable::close_gang(JobIndex job_index, bool closed) {
   at(job_index).gang_closed = closed;
 }
 
-std::vector<int> JobTable::age() {
-  std::vector<int> concerned;
+std::vector<JobIndex> JobTable::age() {
+  std::vector<JobIndex> concerned;
   if (unaccounted_until_ <= 0 || runtime_.now() < unaccounted_until_) return concerned;
   unaccounted_until_ = 0;
-  for (int job_index = 0; job_index < static_cast<int>(jobs_.size()); ++job_index) {
+  for (std::size_t position = 0; position < jobs_.size(); ++position) {
+    const JobIndex job_index(position);
     if (!find(job_index) || at(job_index).unaccounted == 0) continue;
     events_.publish(TasksAbandoned{job_index, at(job_index).unaccounted});
     for (std::uint32_t i = 0; i < at(job_index).spec.tasks; ++i)
@@ -252,7 +253,7 @@
   return concerned;
 }
 
-bool JobTable::consistent(int job_index) const {
+bool JobTable::consistent(JobIndex job_index) const {
   const Job &job = *find(job_index);
   std::uint32_t done = 0, placed = 0, unaccounted = 0, delegated = 0;
   for (const auto &t : job.tasks) {
@@ -260,7 +261,7 @@
     done += t.state == TaskState::Done;
     placed += t.state == TaskState::Placed;
     unaccounted += t.state == TaskState::Unaccounted;
-    if ((t.state == TaskState::Placed) != (t.machine >= 0)) return false;
+    if ((t.state == TaskState::Placed) != t.machine.valid()) return false;
   }
   return done == job.done && placed == job.placed && unaccounted == job.unaccounted && delegated == job.delegated;
 }
--- a/src/core/jobs/pending_reasons.cpp
+++ b/src/core/jobs/pending_reasons.cpp
@@ -8,13 +8,13 @@
   return fmt::format("stopped: job {}, which it waits for, was cancelled", id);
 }
 
-const std::string &PendingReasons::of(int job_index) const {
+const std::string &PendingReasons::of(JobIndex job_index) const {
   static const std::string none;
-  return static_cast<std::size_t>(job_index) < last_.size() ? last_[static_cast<std::size_t>(job_index)] : none;
+  return job_index.position() < last_.size() ? last_[job_index.position()] : none;
 }
 
 // It stays until the next such thing.
-void PendingReasons::set(int job_index, std::string_view what) {
+void PendingReasons::set(JobIndex job_index, std::string_view what) {
   grown(last_, job_index) = fmt::format("{} ({})", what, wire::clock_time(runtime_.wall()));
 }
 
@@ -34,7 +34,7 @@
   set(event.job, fmt::format("its tasks were stopped because team {} had used its budget", jobs_[event.job].spec.team));
 }
 
-EndRecord PendingReasons::end_record(int job_index) const {
+EndRecord PendingReasons::end_record(JobIndex job_index) const {
   const Job &job = jobs_[job_index];
   EndRecord end;
   end.cancelled = job.cancelled;
--- a/src/core/liveness/failure_detector.cpp
+++ b/src/core/liveness/failure_detector.cpp
@@ -32,7 +32,7 @@
   if (!leadership_.leading() || runtime_.now() < next_) return;
   next_ = runtime_.now() + kEvery;
   table_.assign(settings_.replicas.size() + 2, {});
-  workers_.each([this](int, const Machine &machine) {
+  workers_.each([this](MachineIndex, const Machine &machine) {
     if (machine.type < 0 || machine.returning || machine.listed_failed) return;
     const bool late = late_from(machine).has_value();
     if (!machine.heard && !late) return;
@@ -59,7 +59,7 @@
   if (all_.silent()) {
     what = "all";
     all_silent_at_ = runtime_.now();
-    workers_.each([this](int machine_index, const Machine &) { nobody_heard_ |= expected(machine_index); });
+    workers_.each([this](MachineIndex machine_index, const Machine &) { nobody_heard_ |= expected(machine_index); });
   } else {
     for (std::size_t w = 0; w + 1 < ways_.size(); ++w)
       if (ways_[w].count.silent())
@@ -84,7 +84,7 @@
         {{"which", what}, {"machines", all_.known}, {"late", all_.late}, {"then", "waited for, not given back"}});
 }
 
-FailureDetector::Cause FailureDetector::cause(int machine_index) const {
+FailureDetector::Cause FailureDetector::cause(MachineIndex machine_index) const {
   const Machine &machine = workers_[machine_index];
   if (!late_from(machine)) return Cause::None;
   if (runtime_.now() - all_silent_at_ < late_after(settings_)) return Cause::All;
@@ -95,7 +95,7 @@
   return by_way ? Cause::Way : by_zone ? Cause::Zone : Cause::Machine;
 }
 
-bool FailureDetector::awaited(int machine_index) const {
+bool FailureDetector::awaited(MachineIndex machine_index) const {
   const Machine &machine = workers_[machine_index];
   const auto from = late_from(machine);
   if (!from) return false;
@@ -104,7 +104,7 @@
   return !machine.heard && silent < std::max(kUnheardLeast, settings_.lease_s + 2 * settings_.heartbeat_interval_s);
 }
 
-bool FailureDetector::expected(int machine_index) const {
+bool FailureDetector::expected(MachineIndex machine_index) const {
   const Machine &machine = workers_[machine_index];
   const auto from = late_from(machine);
   if (!from) return !machine.heard && machine.listed_running; // it was up, and has still time to report
--- a/src/core/quotas/quotas.cpp
+++ b/src/core/quotas/quotas.cpp
@@ -112,7 +112,7 @@
 
 std::vector<Resources> Quotas::used() const {
   std::vector<Resources> out(here_.size());
-  jobs_.each([&out](int, const Job &job) {
+  jobs_.each([&out](JobIndex, const Job &job) {
     if (job.team < 0) return;
     const double on = job.placed + job.unaccounted + job.delegated; // the limit holds over all cells together
     out[static_cast<std::size_t>(job.team)].add(job.spec.need, on);
@@ -141,11 +141,11 @@
 // What was placed and not sent is taken back: it would be a start beyond a limit that has been applied.
 void Quotas::withdraw_beyond(int team) {
   if (!beyond(used()[static_cast<std::size_t>(team)], here(team))) return;
-  std::vector<int> jobs;
-  jobs_.each([&](int job_index, const Job &job) {
+  std::vector<JobIndex> jobs;
+  jobs_.each([&](JobIndex job_index, const Job &job) {
     if (job.team == team && job.placed > 0) jobs.push_back(job_index);
   });
-  for (int job_index : jobs) {
+  for (JobIndex job_index : jobs) {
     if (!beyond(used()[static_cast<std::size_t>(team)], here(team))) return;
     workers_.withdraw(job_index);
   }
@@ -175,17 +175,18 @@
   Resources left = used()[static_cast<std::size_t>(team)];
   struct Place {
     double submitted, placed_at;
-    int job, machine;
+    JobIndex job;
+    MachineIndex machine;
     std::size_t allocation;
     auto order() const { return std::tuple(submitted, job, placed_at, machine, allocation); }
   };
   const bool cpus = limit.cpus_max > 0 && left.cpus > limit.cpus_max,
              gpus = limit.gpus_max > 0 && left.gpus > limit.gpus_max;
   std::vector<Place> places;
-  workers_.each([&](int machine_index, const Machine &machine) {
+  workers_.each([&](MachineIndex machine_index, const Machine &machine) {
     for (std::size_t s = 0; s < machine.allocations.size(); ++s) {
       const Allocation &allocation = machine.allocations[s];
-      if (allocation.job < 0 || allocation.finished || jobs_[allocation.job].team != team) continue;
+      if (!allocation.job.valid() || allocation.finished || jobs_[allocation.job].team != team) continue;
       if (!(cpus && allocation.need.cpus > 0) && !(gpus && allocation.need.gpus > 0))
         continue; // its end would help nobody
       if (allocation.stop)
@@ -195,14 +196,14 @@
     }
   });
   std::sort(places.begin(), places.end(), [](const Place &a, const Place &b) { return a.order() > b.order(); });
-  int gang = -1;
-  std::vector<std::pair<int, std::size_t>> stops;
-  std::vector<int> jobs;
+  JobIndex gang;
+  std::vector<std::pair<MachineIndex, std::size_t>> stops;
+  std::vector<JobIndex> jobs;
   for (const auto &p : places) {
     const Job &job = jobs_[p.job];
     const bool whole = job.spec.shape == Shape::Gang;
     if (!beyond(left, limit) && !(whole && p.job == gang)) break;
-    gang = whole ? p.job : -1;
+    gang = whole ? p.job : JobIndex();
     left.add(job.spec.need, -1);
     if (!whole)
       stops.emplace_back(p.machine, p.allocation);
@@ -212,7 +213,7 @@
   std::sort(stops.rbegin(), stops.rend()); // a slot that goes at once moves those after it
   for (auto [m, s] : stops)
     workers_.stop(m, s, jobs_[workers_[m].allocations[s].job].spec.save_s + 1);
-  for (int job_index : jobs)
+  for (JobIndex job_index : jobs)
     workers_.stop_all(job_index, jobs_[job_index].spec.save_s + 1);
   if (!stops.empty() || !jobs.empty())
     runtime_.log(LogLevel::Info, "over_quota_tasks_stopped",
--- a/src/core/scheduling/placement.cpp
+++ b/src/core/scheduling/placement.cpp
@@ -15,7 +15,7 @@
   if (job.zone >= 0 && job.zone != machine.zone) return false;
   if (machine.spot && !job.spot) return false;
   if (!machine.spot && machine.price_premium > job.max_price_premium) return false;
-  if (machine.held_for >= 0 && machine.held_for != job.self) return false;
+  if (machine.held_for.valid() && machine.held_for != job.self) return false;
   return std::find(job.barred.begin(), job.barred.end(), machine.id) == job.barred.end();
 }
 
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -60,7 +60,7 @@
   return it != kept_.end() && runtime_.now() - it->second.seen < within_s ? &it->second : nullptr;
 }
 
-bool Scheduler::deferrable(int job_index) const {
+bool Scheduler::deferrable(JobIndex job_index) const {
   if (!dependencies_.needed_by(job_index).empty() || !jobs_[job_index].spec.waits_for.empty())
     return false; // others wait with it
   return objectives_.deferrable(jobs_[job_index].spec, dependencies_.urgency(job_index),
@@ -74,15 +74,17 @@
 
 // ---- what is seen ----
 
-std::vector<PlaceMachine> Scheduler::snapshot(std::vector<int> &index, int only,
-                                              const std::function<bool(int)> &silent_too) const {
+std::vector<PlaceMachine> Scheduler::snapshot(std::vector<MachineIndex> &index, MachineIndex only,
+                                              const std::function<bool(MachineIndex)> &silent_too) const {
   std::vector<PlaceMachine> out;
   const double cheapest = catalog_.cheapest_cpu();
   auto small = [this](const Allocation &allocation) {
-    return allocation.job >= 0 && is_small(jobs_[allocation.job].spec, jobs_[allocation.job].spec.urgency);
+    return allocation.job.valid() && is_small(jobs_[allocation.job].spec, jobs_[allocation.job].spec.urgency);
   };
-  const int first = std::max(0, only), end = only >= 0 ? only + 1 : static_cast<int>(workers_.index_limit());
-  for (int machine_index = first; machine_index < end; ++machine_index) {
+  const std::size_t first = only.valid() ? only.position() : 0;
+  const std::size_t end = only.valid() ? first + 1 : workers_.index_limit();
+  for (std::size_t position = first; position < end; ++position) {
+    const MachineIndex machine_index(position);
     const Machine *p = workers_.find(machine_index);
     if (!p || p->returning || p->taken_at || p->draining || p->order || p->type < 0) continue;
     // Probably dead, hanging or cut off.
@@ -114,7 +116,7 @@
     out.push_back(std::move(machine));
     index.push_back(machine_index);
   }
-  if (only >= 0) {
+  if (only.valid()) {
     if (const Nomination *nomination = held(only); !out.empty() && nomination)
       out[0].kept &= !nomination->open_to_small;
     return out;
@@ -129,7 +131,7 @@
   };
   for (int k = 0; k < static_cast<int>(out.size()); ++k) {
     auto &m = out[static_cast<std::size_t>(k)];
-    if (!m.kept || m.held_for >= 0 || !small_only(k)) continue;
+    if (!m.kept || m.held_for.valid() || !small_only(k)) continue;
     auto [it, first_of_type] = reserved.try_emplace(m.type, k);
     if (first_of_type) continue;
     auto &other = out[static_cast<std::size_t>(it->second)];
@@ -143,7 +145,7 @@
   return out;
 }
 
-PlaceJob Scheduler::place_job(int job_index) const {
+PlaceJob Scheduler::place_job(JobIndex job_index) const {
   const Job &n = jobs_[job_index];
   const auto &types = catalog_.types();
   const bool suspect = failure_attribution_.suspect(job_index);
@@ -197,16 +199,16 @@
   return job;
 }
 
-bool Scheduler::passed_over(int job_index) const {
-  if (static_cast<std::size_t>(job_index) >= waits_.size()) return false;
-  const Wait &w = waits_[static_cast<std::size_t>(job_index)];
+bool Scheduler::passed_over(JobIndex job_index) const {
+  if (job_index.position() >= waits_.size()) return false;
+  const Wait &w = waits_[job_index.position()];
   return w.serial == jobs_[job_index].serial && w.seen - w.since > kPassedOver;
 }
 
 // What keeps work off places that have room for it (the price of small work, machines kept for work that needs them
 // whole) puts it off and no more. Guards against a job that waits beside room for it, for as long as those that the
 // machine is up for run. What is rented does not follow: places that are there anyhow cost nothing.
-PlaceJob Scheduler::candidate(int job_index) const {
+PlaceJob Scheduler::candidate(JobIndex job_index) const {
   PlaceJob job = place_job(job_index);
   if (!passed_over(job_index)) return job;
   job.max_price_premium = 1;
@@ -228,15 +230,15 @@
   if (wanted() && runtime_.now() >= next_round_) round();
 }
 
-void Scheduler::offer(int machine_index) {
+void Scheduler::offer(MachineIndex machine_index) {
   if (!wanted() || workers_[machine_index].returning || !workers_[machine_index].accepts_commands() ||
       !leadership_.active() || !quotas_.ready() || line_.empty())
     return;
-  std::vector<int> index;
+  std::vector<MachineIndex> index;
   auto machines = snapshot(index, machine_index);
   if (machines.empty()) return;
   std::vector<const PlaceJob *> jobs;
-  std::vector<int> order;
+  std::vector<JobIndex> order;
   for (std::size_t k = 0; k < line_.size(); ++k) {
     PlaceJob &place_job = line_[k];
     if (!has_room(place_job, machines[0])) continue;
@@ -261,8 +263,8 @@
 }
 
 // How many tasks of each job were placed.
-std::vector<std::uint32_t> Scheduler::carry_out(const std::vector<Assignment> &plan, const std::vector<int> &order,
-                                                const std::vector<int> &index) {
+std::vector<std::uint32_t> Scheduler::carry_out(const std::vector<Assignment> &plan, const std::vector<JobIndex> &order,
+                                                const std::vector<MachineIndex> &index) {
   std::vector<std::uint32_t> cursor(order.size(), 0), placed(order.size(), 0);
   for (const auto &a : plan) {
     const auto p = static_cast<std::size_t>(a.job);
@@ -277,7 +279,7 @@
   return placed;
 }
 
-void Scheduler::place(int job_index, std::uint32_t i, int machine_index) {
+void Scheduler::place(JobIndex job_index, std::uint32_t i, MachineIndex machine_index) {
   const Job &job = jobs_[job_index];
   std::uint64_t attempt;
   if (job.spec.shape != Shape::Gang)
@@ -306,22 +308,23 @@
   line_.clear();
   line_serials_.clear();
   if (!leadership_.active() || !quotas_.ready()) return;
-  std::vector<int> index;
-  auto machines = snapshot(index, -1);
+  std::vector<MachineIndex> index;
+  auto machines = snapshot(index, {});
   up_cpus_ = 0;
   for (const auto &m : machines) {
     up_cpus_ += m.size.cpus;
     grown(nominations_, m.id).open_to_small = !m.kept;
   }
   std::vector<Resources> wanted(settings_.teams.size());
-  std::vector<int> order;
-  jobs_.each([&](int job_index, const Job &job) {
+  std::vector<JobIndex> order;
+  jobs_.each([&](JobIndex job_index, const Job &job) {
     if (job.team >= 0 && !job.cancelled && job.pending() > 0 && dependencies_.ready(job_index))
       order.push_back(job_index);
   });
   // Oldest first, so that a team's guarantee covers its earliest unfinished jobs.
-  std::sort(order.begin(), order.end(), [this](int a, int b) { return jobs_[a].submit_wall < jobs_[b].submit_wall; });
-  for (int job_index : order) {
+  std::sort(order.begin(), order.end(),
+            [this](JobIndex a, JobIndex b) { return jobs_[a].submit_wall < jobs_[b].submit_wall; });
+  for (JobIndex job_index : order) {
     const Job &n = jobs_[job_index];
     Wait &wait = grown(waits_, job_index);
     if (wait.serial != n.serial || runtime_.now() - wait.seen > 4 * kRound)
@@ -346,7 +349,7 @@
     grown(nominations_, r.machine).until = runtime_.now() + kHoldReserved;
   }
   seen();
-  std::vector<int> starved;
+  std::vector<JobIndex> starved;
   for (std::size_t k = 0; k < order.size(); ++k)
     if (line_[k].limit > 0 && placed[k] == 0 && !failure_attribution_.suspect(order[k])) starved.push_back(order[k]);
   if (!starved.empty()) preempt(starved);
@@ -356,8 +359,8 @@
 // counted along the order in which jobs will have their turn.
 void Scheduler::plan_ahead() {
   next_ahead_ = runtime_.now() + kAheadEvery;
-  std::vector<std::tuple<int, bool, double, int>> line;
-  jobs_.each([&](int job_index, const Job &job) {
+  std::vector<std::tuple<int, bool, double, JobIndex>> line;
+  jobs_.each([&](JobIndex job_index, const Job &job) {
     if (job.cancelled || job.spec.shape == Shape::Gang || job.pending() == 0 || !dependencies_.ready(job_index)) return;
     line.emplace_back(-static_cast<int>(dependencies_.urgency(job_index)), !place_job(job_index).in_time,
                       job.submit_wall, job_index);
@@ -379,11 +382,11 @@
 void Scheduler::stop_spent() {
   for (int team = 0; team < static_cast<int>(settings_.teams.size()); ++team)
     if (const auto *b = ledger_.budget(team); b && b->stop && ledger_.spent(team)) {
-      std::vector<int> running;
-      jobs_.each([&](int job_index, const Job &job) {
+      std::vector<JobIndex> running;
+      jobs_.each([&](JobIndex job_index, const Job &job) {
         if (job.team == team && job.placed > 0) running.push_back(job_index);
       });
-      for (int job_index : running)
+      for (JobIndex job_index : running)
         if (workers_.stop_all(job_index, jobs_[job_index].spec.save_s + 1))
           events_.publish(TasksStoppedByBudget{job_index});
     }
@@ -418,7 +421,7 @@
 
 // The places that cost least, for as many of the job's tasks as there are places: for a gang all or none.
 std::vector<Scheduler::Offer> Scheduler::seek_places(const PlaceJob &job, const std::vector<PlaceMachine> &machines,
-                                                     const std::vector<int> &index, int zone) const {
+                                                     const std::vector<MachineIndex> &index, int zone) const {
   std::vector<Offer> offers;
   for (std::size_t i = 0; i < machines.size(); ++i) {
     const auto &pm = machines[i];
@@ -429,7 +432,7 @@
     const auto &allocations = workers_[index[i]].allocations;
     for (std::size_t s = 0; s < allocations.size(); ++s) {
       const Allocation &allocation = allocations[s];
-      const Job *owner = allocation.job >= 0 ? jobs_.find(allocation.job) : nullptr;
+      const Job *owner = allocation.job.valid() ? jobs_.find(allocation.job) : nullptr;
       if (allocation.finished) continue;
       if (allocation.stop) { // going anyway
         offer.free.add(allocation.need);
@@ -473,16 +476,16 @@
 
 // A job that fits nowhere may take the place of work of lower priority, where the least work is lost. Tasks
 // that cannot save exit as soon as they are told, so their successors are started by the very same answer.
-void Scheduler::preempt(std::vector<int> starved) {
-  std::erase_if(starved, [this](int job_index) {
+void Scheduler::preempt(std::vector<JobIndex> starved) {
+  std::erase_if(starved, [this](JobIndex job_index) {
     return dependencies_.urgency(job_index) == Urgency::Low || jobs_[job_index].delegated_here;
   });
   if (starved.empty()) return;
   std::stable_sort(starved.begin(), starved.end(),
-                   [this](int a, int b) { return dependencies_.urgency(a) > dependencies_.urgency(b); });
-  std::vector<int> index;
-  auto machines = snapshot(index, -1);
-  for (int job_index : starved) {
+                   [this](JobIndex a, JobIndex b) { return dependencies_.urgency(a) > dependencies_.urgency(b); });
+  std::vector<MachineIndex> index;
+  auto machines = snapshot(index, {});
+  for (JobIndex job_index : starved) {
     const Job &n = jobs_[job_index];
     const PlaceJob job = place_job(job_index);
     const Team &team = quotas_.here(job.team);
@@ -513,7 +516,7 @@
                          std::all_of(best.begin(), best.end(), [](const Offer &offer) { return offer.at_once; });
     std::uint32_t next = 0;
     for (const auto &o : best) {
-      const int machine_index = index[o.position];
+      const MachineIndex machine_index = index[o.position];
       if (o.goes)
         runtime_.log(LogLevel::Info, "preemption_started",
                      {{"job", n.spec.id},
@@ -531,7 +534,7 @@
         allocations.push_back(o.victims[v].allocation);
       std::sort(allocations.rbegin(), allocations.rend()); // a slot that goes at once moves those after it
       for (std::size_t s : allocations) {
-        const int victim = workers_[machine_index].allocations[s].job;
+        const JobIndex victim = workers_[machine_index].allocations[s].job;
         const JobSpec &owner = jobs_[victim].spec;
         events_.publish(TaskPreempted{victim, n.spec.id});
         workers_.stop(machine_index, s, owner.checkpoint_s > 0 ? owner.save_s + 1 : 0);
--- a/src/core/state/cancellations.cpp
+++ b/src/core/state/cancellations.cpp
@@ -13,7 +13,7 @@
 } // namespace
 
 bool Cancellations::mark(const std::string &id) {
-  if (const int job_index = jobs_.index(id); job_index >= 0) {
+  if (const JobIndex job_index = jobs_.index(id); job_index.valid()) {
     jobs_.cancel(job_index);
     return true;
   }
--- a/src/core/state/state_writer.cpp
+++ b/src/core/state/state_writer.cpp
@@ -75,8 +75,8 @@
   }
   // Guards against news that is older than what this leader itself has ended since.
   if (ended_.find(record->spec.id)) return;
-  const int job_index = jobs_.index(record->spec.id);
-  if (job_index < 0) return accept(std::move(*record), mod_revision);
+  const JobIndex job_index = jobs_.index(record->spec.id);
+  if (!job_index.valid()) return accept(std::move(*record), mod_revision);
   if (jobs_.update_mod_revision(job_index, mod_revision) && record->cancelled) jobs_.cancel(job_index);
 }
 
@@ -84,9 +84,10 @@
   if (wire::final_from_json(key_value.value)) return {};
   const auto record = wire::open_from_json(key_value.value);
   if (!record || key_value.key != "open/" + record->spec.id || ended_.find(record->spec.id)) return {};
-  const int job_index = jobs_.index(record->spec.id);
-  const bool missed = job_index < 0, late = job_index >= 0 && record->cancelled && !jobs_[job_index].cancelled &&
-                                            key_value.mod_revision > jobs_[job_index].open_mod_revision;
+  const JobIndex job_index = jobs_.index(record->spec.id);
+  const bool missed = !job_index.valid(), late = job_index.valid() && record->cancelled &&
+                                                 !jobs_[job_index].cancelled &&
+                                                 key_value.mod_revision > jobs_[job_index].open_mod_revision;
   if (missed || late) take_open(key_value.key, key_value.value, key_value.mod_revision);
   return missed ? "a job that was not known here" : late ? "a cancellation that was not known here" : "";
 }
@@ -94,7 +95,7 @@
 std::vector<std::string> StateWriter::not_there(const std::string &from, const std::string &to,
                                                 const std::set<std::string> &there, std::uint64_t revision) {
   std::vector<std::string> out;
-  jobs_.each([&](int, const Job &job) {
+  jobs_.each([&](JobIndex, const Job &job) {
     const std::string key = "open/" + job.spec.id;
     if (key <= from || (!to.empty() && key > to) || there.contains(key) || job.ending ||
         job.open_mod_revision > revision)
@@ -111,7 +112,7 @@
 }
 
 void StateWriter::accept(OpenRecord record, std::uint64_t mod_revision) {
-  const int job_index = jobs_.add(std::move(record), mod_revision);
+  const JobIndex job_index = jobs_.add(std::move(record), mod_revision);
   const Job &job = jobs_[job_index];
   grown(entries_, job_index) = {};
   marks(job_index).assign(job.spec.tasks, 0);
@@ -139,7 +140,7 @@
 void StateWriter::on(const TermStarted &) {
   if (ledger_.on())
     for (const auto &[key, p] : loaded_)
-      if (p.at_ms && key.second == 0 && jobs_.index(key.first) < 0)
+      if (p.at_ms && key.second == 0 && !jobs_.index(key.first).valid())
         shards_[loaded_shard_[key]].ghosts.emplace_back(key.first, p);
   loaded_.clear();
   loaded_shard_.clear();
@@ -157,7 +158,7 @@
 
 // ---- what is to be written ----
 
-void StateWriter::mark(int job_index, bool ends, bool urgent) {
+void StateWriter::mark(JobIndex job_index, bool ends, bool urgent) {
   Entry &e = entry(job_index);
   e.dirty = true;
   if (ends) {
@@ -168,7 +169,7 @@
   }
 }
 
-void StateWriter::mark_again(int job_index) {
+void StateWriter::mark_again(JobIndex job_index) {
   mark(job_index, jobs_[job_index].finishable(), true);
 }
 
@@ -191,13 +192,13 @@
 
 // Room that is reserved besides is that of the sums of its teams, half of the record at most: which teams they are
 // matters in between alone. (After a takeover every job is tried on every record.)
-bool StateWriter::has_room(std::size_t s, int job_index) const {
+bool StateWriter::has_room(std::size_t s, JobIndex job_index) const {
   const std::size_t chars = shards_[s].reserved + entry_chars(jobs_[job_index]), most = max_chars();
   if (!ledger_.on() || chars > most) return chars <= most;
   if (chars <= most - most / 2) return true;
   std::set<std::string> teams{jobs_[job_index].spec.team};
-  for (int k : shards_[s].jobs)
-    teams.insert(jobs_[k].spec.team);
+  for (JobIndex job : shards_[s].jobs)
+    teams.insert(jobs_[job].spec.team);
   for (const auto &[key, row] : ledger_.sums(s))
     teams.insert(key.second);
   return chars <= most - std::min(kSumsChars * teams.size(), most / 2);
@@ -213,7 +214,7 @@
 
 // A job stays in its shard for as long as this node leads; room for its largest form is reserved. One that an earlier
 // leader kept where values may be larger than now may have to move.
-void StateWriter::assign_shard(int job_index) {
+void StateWriter::assign_shard(JobIndex job_index) {
   if (auto it = loaded_shard_.find(loaded_key(jobs_[job_index])); it != loaded_shard_.end()) {
     if (has_room(it->second, job_index) || shards_[it->second].jobs.empty()) return put_in(job_index, it->second);
     return move(job_index, it->second);
@@ -223,7 +224,7 @@
   put_in(job_index, fresh_shard('s'));
 }
 
-void StateWriter::put_in(int job_index, std::size_t s) {
+void StateWriter::put_in(JobIndex job_index, std::size_t s) {
   entry(job_index).shard = static_cast<int>(s);
   shards_[s].jobs.push_back(job_index);
   shards_[s].reserved += entry_chars(jobs_[job_index]);
@@ -243,7 +244,7 @@
 // In steps, each of them safe by itself: a job that stands in two records has been started as far as either says, and
 // what it has used is what the newer says (load_progress). Its sums stay where they were charged. The new record comes
 // after the old one in the list, since earlier versions take the last for the newer.
-void StateWriter::move(int job_index, std::size_t from) {
+void StateWriter::move(JobIndex job_index, std::size_t from) {
   std::size_t to = shards_.size();
   for (std::size_t s = 0; s < shards_.size() && to == shards_.size(); ++s)
     if (s != from && shards_[s].key > shards_[from].key && shards_[s].leaving.empty() && has_room(s, job_index)) to = s;
@@ -257,15 +258,15 @@
 // After a write that the state service has confirmed.
 void StateWriter::move_on(const Transaction &transaction) {
   for (const auto &id : transaction.jobs) {
-    const int job_index = jobs_.index(id);
-    if (job_index < 0 || entry(job_index).from < 0 || entry(job_index).copied) continue;
+    const JobIndex job_index = jobs_.index(id);
+    if (!job_index.valid() || entry(job_index).from < 0 || entry(job_index).copied) continue;
     entry(job_index).copied = true;
     if (const auto from = static_cast<std::size_t>(entry(job_index).from); !blocked(shards_[from]))
       mark_shard(from, true);
   }
   for (const auto *list : {&transaction.shards, &transaction.emptied})
     for (std::size_t s : *list)
-      for (int job_index : std::exchange(shards_[s].leaving, {})) { // it no longer holds them
+      for (JobIndex job_index : std::exchange(shards_[s].leaving, {})) { // it no longer holds them
         entry(job_index).from = -1;
         entry(job_index).copied = false;
       }
@@ -275,7 +276,7 @@
 bool StateWriter::blocked(const Shard &shard) const {
   return (shard.oversize && !shard.ghosts.empty()) ||
          std::any_of(shard.leaving.begin(), shard.leaving.end(),
-                     [this](int job_index) { return !entries_[static_cast<std::size_t>(job_index)].copied; });
+                     [this](JobIndex job_index) { return !entries_[job_index.position()].copied; });
 }
 
 // Guards against a record that is refused for its size for ever, and others with it: which one it is shows when they
@@ -293,11 +294,11 @@
   if (writes != 1) return;
   if (!transaction.folded.empty()) left_alone_.insert(transaction.folded);
   for (const auto &id : transaction.ends)
-    if (const int job_index = jobs_.index(id); job_index >= 0)
+    if (const JobIndex job_index = jobs_.index(id); job_index.valid())
       entry(job_index).coarser = std::max(1, entry(job_index).coarser);
   for (std::size_t s : transaction.shards) {
     auto jobs = shards_[s].jobs;
-    for (int job_index : jobs)
+    for (JobIndex job_index : jobs)
       ++entry(job_index).coarser;
     for (std::size_t k = 1; k < jobs.size(); k += 2)
       if (entry(jobs[k]).from < 0) {
@@ -305,12 +306,12 @@
         shards_[s].reserved -= entry_chars(jobs_[jobs[k]]);
         move(jobs[k], s);
       }
-    for (int job_index : shards_[s].jobs)
+    for (JobIndex job_index : shards_[s].jobs)
       entry(job_index).dirty = true;
   }
 }
 
-void StateWriter::remove(int job_index) {
+void StateWriter::remove(JobIndex job_index) {
   const auto s = static_cast<std::size_t>(entry(job_index).shard);
   if (entry(job_index).from >= 0)
     std::erase(shards_[static_cast<std::size_t>(entry(job_index).from)].leaving, job_index);
@@ -322,7 +323,7 @@
   jobs_.remove(job_index);
 }
 
-void StateWriter::set_ahead(int job_index, std::uint32_t tasks) {
+void StateWriter::set_ahead(JobIndex job_index, std::uint32_t tasks) {
   entry(job_index).ahead = tasks;
   const Job &job = jobs_[job_index];
   std::uint32_t there = 0;
@@ -333,7 +334,7 @@
 
 // The next tasks in line count as started before they are placed. Too many "started" are safe: after a takeover they
 // wait until leases have run out.
-void StateWriter::record_ahead(int job_index) {
+void StateWriter::record_ahead(JobIndex job_index) {
   const Job &job = jobs_[job_index];
   if (job.cancelled || !dependencies_.ready(job_index)) return;
   std::uint32_t ahead =
@@ -377,7 +378,7 @@
   const bool in_place = alone || (ending_.size() > kManyEnds && moves_.size() < kMaxMoves);
   auto put_ends = [&] {
     for (std::size_t k = ending_.size(); k-- > 0 && !full;) {
-      const int job_index = ending_.front();
+      const JobIndex job_index = ending_.front();
       if (!jobs_[job_index].finishable()) { // a task of a cancelled job has turned up
         ending_.pop_front();
         entry(job_index).to_end = false;
@@ -440,7 +441,7 @@
   }
 }
 
-void StateWriter::add_end(int job_index, Transaction &transaction, bool in_place) {
+void StateWriter::add_end(JobIndex job_index, Transaction &transaction, bool in_place) {
   const Job &job = jobs_[job_index];
   Entry &e = entry(job_index);
   if (job.delegated_here) { // its home keeps how it ended
@@ -479,7 +480,7 @@
   jobs_.set_ending(job_index, true);
 }
 
-void StateWriter::write_entry(int job_index, Transaction &transaction) {
+void StateWriter::write_entry(JobIndex job_index, Transaction &transaction) {
   const Job &job = jobs_[job_index];
   Entry &e = entry(job_index);
   record_ahead(job_index);
@@ -513,7 +514,7 @@
 
 void StateWriter::add_shard(std::size_t s, Transaction &transaction, const std::string &without_period) {
   Shard &shard = shards_[s];
-  for (int job_index : shard.jobs) {
+  for (JobIndex job_index : shard.jobs) {
     if (entry(job_index).dirty || ledger_.changed(job_index)) write_entry(job_index, transaction);
     transaction.bytes += jobs_[job_index].spec.tasks / 2 + kEntryChars;
   }
@@ -526,8 +527,8 @@
 
 wire::Json StateWriter::shard_value(std::size_t s, const std::string &without_period) const {
   std::vector<std::pair<std::string, wire::Json>> entries;
-  for (int job_index : shards_[s].jobs)
-    entries.emplace_back(jobs_[job_index].spec.id, entries_[static_cast<std::size_t>(job_index)].progress);
+  for (JobIndex job_index : shards_[s].jobs)
+    entries.emplace_back(jobs_[job_index].spec.id, entries_[job_index.position()].progress);
   for (const auto &[id, p] : shards_[s].ghosts)
     entries.emplace_back(id, wire::to_json(p));
   SumsByTeam sums = ledger_.sums(s);
@@ -539,7 +540,7 @@
   flushing_ = false;
   auto each = [&](const std::vector<std::string> &names, auto fn) {
     for (const auto &name : names)
-      if (const int job_index = jobs_.index(name); job_index >= 0) fn(job_index);
+      if (const JobIndex job_index = jobs_.index(name); job_index.valid()) fn(job_index);
   };
   if (reply.status == 200) {
     move_on(transaction);
@@ -550,14 +551,14 @@
     }
     for (std::size_t s : transaction.emptied)
       shards_[s].mod_revision = 0;
-    each(transaction.jobs, [&](int job_index) {
+    each(transaction.jobs, [&](JobIndex job_index) {
       for (auto &mark : marks(job_index)) {
         if (mark & kCovered) mark |= kRecorded;
         if (mark & kDoneCovered) mark |= kDoneRecorded;
       }
       delegations_recorded(job_index);
     });
-    each(transaction.ends, [&](int job_index) {
+    each(transaction.ends, [&](JobIndex job_index) {
       const Entry &e = entry(job_index);
       const std::string id = jobs_[job_index].spec.id;
       if (jobs_[job_index].delegated_here) return remove(job_index);
@@ -579,12 +580,12 @@
     for (const auto &k : reply.failed) {
       for (auto &shard : shards_)
         if (shard.key == k) shard.needs_resync = true;
-      each({k.substr(k.find('/') + 1)}, [&](int job_index) { entry(job_index).needs_resync = true; });
+      each({k.substr(k.find('/') + 1)}, [&](JobIndex job_index) { entry(job_index).needs_resync = true; });
     }
   } else if (reply.status == 0) {
     // May have been applied, or may be yet: the stamps are read again, and whichever of the
     // two writes comes second fails on them.
-    each(transaction.ends, [&](int job_index) { entry(job_index).needs_resync = true; });
+    each(transaction.ends, [&](JobIndex job_index) { entry(job_index).needs_resync = true; });
     for (const auto *list : {&transaction.shards, &transaction.emptied})
       for (std::size_t s : *list) {
         shards_[s].needs_resync = true;
@@ -596,16 +597,16 @@
   } else {
     flush_after_ = runtime_.now() + 0.3;
   }
-  each(transaction.ends, [&](int job_index) { jobs_.set_ending(job_index, false); });
-  each(transaction.ends, [&](int job_index) { mark_again(job_index); });
-  each(transaction.jobs, [&](int job_index) { mark_again(job_index); });
+  each(transaction.ends, [&](JobIndex job_index) { jobs_.set_ending(job_index, false); });
+  each(transaction.ends, [&](JobIndex job_index) { mark_again(job_index); });
+  each(transaction.jobs, [&](JobIndex job_index) { mark_again(job_index); });
   for (const auto *list : {&transaction.shards, &transaction.emptied})
     for (std::size_t s : *list)
       mark_shard(s, list == &transaction.shards);
 }
 
 // What a confirmed write has said of a job's loans.
-void StateWriter::delegations_recorded(int job_index) {
+void StateWriter::delegations_recorded(JobIndex job_index) {
   Entry &e = entry(job_index);
   auto lacks = [](const auto &all, std::uint64_t g) { return std::find(all.begin(), all.end(), g) == all.end(); };
   for (auto g : e.delegations_covered)
@@ -718,43 +719,45 @@
 }
 
 // Our own write, applied without an answer.
-void StateWriter::ended(int job_index, EndRecord end) {
+void StateWriter::ended(JobIndex job_index, EndRecord end) {
   if (end.usage) ledger_.correct(job_index, *end.usage);
   ended_.remember(jobs_[job_index].spec.id, std::move(end));
   remove(job_index);
 }
 
-void StateWriter::resync(int job_index) {
+void StateWriter::resync(JobIndex job_index) {
   if (entry(job_index).resyncing) return;
   entry(job_index).resyncing = true;
   const std::string id = jobs_[job_index].spec.id;
-  auto find = [this, id, epoch = leadership_.epoch()] { return epoch == leadership_.epoch() ? jobs_.index(id) : -1; };
+  auto find = [this, id, epoch = leadership_.epoch()] {
+    return epoch == leadership_.epoch() ? jobs_.index(id) : JobIndex();
+  };
   runtime_.store(StoreGet{"open/" + id}, 1.0, [this, id, find](const wire::StoreReply &r) {
-    const int k = find();
-    if (k < 0) return;
+    const JobIndex job = find();
+    if (!job.valid()) return;
     if (r.status != 404) {
-      entry(k).resyncing = false;
+      entry(job).resyncing = false;
       if (auto end =
               r.status == 200 && r.entries.size() == 1 ? wire::final_from_json(r.entries[0].value) : std::nullopt) {
         moves_.push_back({id, r.entries[0].mod_revision, wire::to_json(*end)});
-        ended(k, std::move(*end));
+        ended(job, std::move(*end));
       } else if (r.status == 200 && r.entries.size() == 1) {
-        entry(k).needs_resync = false;
+        entry(job).needs_resync = false;
         take_open("open/" + id, r.entries[0].value, r.entries[0].mod_revision);
       } else {
         flush_after_ = runtime_.now() + 0.2;
       }
       return;
     }
-    if (jobs_[k].delegated_here) return remove(k);
+    if (jobs_[job].delegated_here) return remove(job);
     runtime_.store(StoreGet{"end/" + id}, 1.0, [this, id, find](const wire::StoreReply &reply) {
-      const int jj = find();
-      if (jj < 0) return;
-      entry(jj).resyncing = false;
+      const JobIndex found = find();
+      if (!found.valid()) return;
+      entry(found).resyncing = false;
       auto end =
           reply.status == 200 && reply.entries.size() == 1 ? wire::end_from_json(reply.entries[0].value) : std::nullopt;
       if (!end) return;
-      ended(jj, std::move(*end));
+      ended(found, std::move(*end));
     });
   });
 }
--- a/src/core/state/usage_ledger.cpp
+++ b/src/core/state/usage_ledger.cpp
@@ -45,13 +45,13 @@
   std::erase_if(sums_at(record), [&](const auto &s) { return s.first.first == period; });
 }
 
-void Ledger::open(int job_index, int record) {
+void Ledger::open(JobIndex job_index, int record) {
   grown(accounts_, job_index) = {};
   at(job_index).record = static_cast<std::size_t>(record);
 }
 
 // The attempts under way when this was written have held that much by then; how they went on is not known.
-void Ledger::restore(int job_index, const ProgressRecord &written) {
+void Ledger::restore(JobIndex job_index, const ProgressRecord &written) {
   Account &account = at(job_index);
   account.usage = written.usage;
   account.at_ms = written.at_ms;
@@ -66,7 +66,7 @@
 
 // Of a task that an earlier leader has recorded as started and that was not seen since that record: it may have held a
 // place all the time. One place at most, so this bounds all attempts of it.
-void Ledger::write(int job_index, ProgressRecord &out) {
+void Ledger::write(JobIndex job_index, ProgressRecord &out) {
   if (!on()) return;
   Account &account = at(job_index);
   charge(job_index, {});
@@ -82,14 +82,14 @@
   account.changed = false;
 }
 
-accounts::Usage Ledger::usage(int job_index) {
+accounts::Usage Ledger::usage(JobIndex job_index) {
   charge(job_index, {});
   return at(job_index).usage;
 }
 
 // Guards against a team's sums that hold more than its jobs: the answer to the write of an end was lost, and a worker
 // showed a task once more before it was known that the write had been carried out.
-void Ledger::correct(int job_index, const accounts::Usage &written) {
+void Ledger::correct(JobIndex job_index, const accounts::Usage &written) {
   accounts::Sums excess = accounts::sums_of(at(job_index).usage - written, jobs_[job_index].spec.need);
   auto &sums = sums_at(at(job_index).record);
   for (auto it = sums.rbegin(); it != sums.rend(); ++it) // the newest period first
@@ -101,7 +101,7 @@
       }
 }
 
-void Ledger::charge(int job_index, accounts::Usage usage) {
+void Ledger::charge(JobIndex job_index, accounts::Usage usage) {
   Account &account = at(job_index);
   // Guards against a team's sums that hold more than its jobs: a worker may show a task of a cancelled job once more.
   if (jobs_[job_index].ending) {
@@ -197,7 +197,7 @@
     for (const auto &[key, row] : record)
       if (const int team = jobs_.find_team(key.second); team >= 0 && key.first == period())
         used_[static_cast<std::size_t>(team)] += row.held();
-  jobs_.each([&](int job_index, const Job &job) {
+  jobs_.each([&](JobIndex job_index, const Job &job) {
     if (job.team < 0) return;
     const Account &account = at(job_index);
     accounts::Usage usage;
--- a/src/core/workers/worker_registry.cpp
+++ b/src/core/workers/worker_registry.cpp
@@ -15,9 +15,9 @@
 
 // ---- machines come and go ----
 
-int WorkerRegistry::index(const std::string &name) const {
+MachineIndex WorkerRegistry::index(const std::string &name) const {
   auto it = index_.find(name);
-  return it == index_.end() ? -1 : it->second;
+  return it == index_.end() ? MachineIndex() : it->second;
 }
 
 std::size_t WorkerRegistry::live() const {
@@ -40,16 +40,16 @@
   std::erase_if(gone_, [&](const auto &g) { return runtime_.now() - g.second > older_s; });
 }
 
-int WorkerRegistry::add(const std::string &name, const std::string &type, const std::string &zone, bool spot) {
-  if (const int known = index(name); known >= 0) return known;
-  int machine_index = -1;
-  for (std::size_t i = 0; i < machines_.size() && machine_index < 0; ++i)
-    if (!machines_[i]) machine_index = static_cast<int>(i);
-  if (machine_index < 0) {
-    machine_index = static_cast<int>(machines_.size());
+MachineIndex WorkerRegistry::add(const std::string &name, const std::string &type, const std::string &zone, bool spot) {
+  if (const MachineIndex known = index(name); known.valid()) return known;
+  MachineIndex machine_index;
+  for (std::size_t i = 0; i < machines_.size() && !machine_index.valid(); ++i)
+    if (!machines_[i]) machine_index = MachineIndex(i);
+  if (!machine_index.valid()) {
+    machine_index = MachineIndex(machines_.size());
     machines_.emplace_back();
   }
-  machines_[static_cast<std::size_t>(machine_index)] = std::make_unique<Machine>();
+  machines_[machine_index.position()] = std::make_unique<Machine>();
   Machine &machine = at(machine_index);
   machine.name = name;
   machine.type = catalog_.find_type(type);
@@ -62,50 +62,50 @@
   return machine_index;
 }
 
-void WorkerRegistry::set_rented_at(int machine_index, double at_s) {
+void WorkerRegistry::set_rented_at(MachineIndex machine_index, double at_s) {
   at(machine_index).rented_at = at_s;
 }
 
-void WorkerRegistry::give_back(int machine_index) {
+void WorkerRegistry::give_back(MachineIndex machine_index) {
   at(machine_index).returning = true;
 }
 
-void WorkerRegistry::set_verified(int machine_index) {
+void WorkerRegistry::set_verified(MachineIndex machine_index) {
   at(machine_index).verified = true;
 }
 
-void WorkerRegistry::set_draining(int machine_index, bool draining) {
+void WorkerRegistry::set_draining(MachineIndex machine_index, bool draining) {
   at(machine_index).draining = draining;
 }
 
-void WorkerRegistry::listed_failed(int machine_index) {
+void WorkerRegistry::listed_failed(MachineIndex machine_index) {
   if (std::exchange(at(machine_index).listed_failed, true)) return;
   lose(machine_index, "it stopped on its own");
   at(machine_index).returning = true;
 }
 
-void WorkerRegistry::listed_running(int machine_index) {
+void WorkerRegistry::listed_running(MachineIndex machine_index) {
   at(machine_index).listed_running = true;
 }
 
-void WorkerRegistry::lose(int machine_index, std::string_view why) {
+void WorkerRegistry::lose(MachineIndex machine_index, std::string_view why) {
   Machine &machine = at(machine_index);
   if (machine.lost) return;
   machine.lost = true;
   events_.publish(MachineLost{machine_index, machine.name, std::string(why), machine.allocations.size()});
-  std::vector<int> touched;
+  std::vector<JobIndex> touched;
   while (!machine.allocations.empty()) {
-    if (const int job_index = machine.allocations.back().job; job_index >= 0) {
+    if (const JobIndex job_index = machine.allocations.back().job; job_index.valid()) {
       touched.push_back(job_index);
       events_.publish(TaskLost{job_index, machine.name, std::string(why)});
     }
     drop(machine_index, machine.allocations.size() - 1);
   }
-  for (int job_index : touched)
+  for (JobIndex job_index : touched)
     tend_gang(job_index);
 }
 
-void WorkerRegistry::remove(int machine_index) {
+void WorkerRegistry::remove(MachineIndex machine_index) {
   lose(machine_index, "given back");
   const Machine &machine = at(machine_index);
   const double lived = runtime_.now() - machine.rented_at;
@@ -116,7 +116,7 @@
                      lived > 0 && machine.size.cpus > 0 ? machine.busy_cpu_s / lived / machine.size.cpus : 0.0});
   gone_[machine.name] = runtime_.now();
   index_.erase(machine.name);
-  machines_[static_cast<std::size_t>(machine_index)].reset();
+  machines_[machine_index.position()].reset();
 }
 
 void WorkerRegistry::on(const TermEnded &) {
@@ -136,7 +136,8 @@
 
 // ---- reports ----
 
-WorkerRegistry::Heard WorkerRegistry::hear(int machine_index, const Heartbeat &heartbeat, int forwarding_replica) {
+WorkerRegistry::Heard WorkerRegistry::hear(MachineIndex machine_index, const Heartbeat &heartbeat,
+                                           int forwarding_replica) {
   Machine &machine = at(machine_index);
   if (std::pair(heartbeat.incarnation, heartbeat.sequence) <= std::pair(machine.incarnation, machine.sequence))
     return Heard::Late; // as old as its task list
@@ -169,7 +170,8 @@
   return Heard::Taken;
 }
 
-void WorkerRegistry::take_tasks(int machine_index, const Heartbeat &heartbeat, std::vector<TaskCommand> &orders) {
+void WorkerRegistry::take_tasks(MachineIndex machine_index, const Heartbeat &heartbeat,
+                                std::vector<TaskCommand> &orders) {
   Machine &machine = at(machine_index);
   std::vector<char> in_report(machine.allocations.size(), 0);
   std::vector<const TaskStatus *> unknown;
@@ -187,7 +189,7 @@
       if (t.phase == TaskPhase::Waiting && allocation.waiting_since < 0) allocation.waiting_since = runtime_.now();
       if (t.phase == TaskPhase::Running && allocation.running_since < 0) {
         allocation.running_since = runtime_.now();
-        if (allocation.job >= 0)
+        if (allocation.job.valid())
           events_.publish(
               TaskRunning{allocation.job, allocation.index, machine_index, runtime_.now() - allocation.placed_at});
       }
@@ -198,7 +200,7 @@
   for (auto [s, t] : exits) {
     Allocation &allocation = machine.allocations[s];
     if (allocation.finished) {
-      if (allocation.job < 0 || state_writer_.done_recorded(allocation.job, allocation.index))
+      if (!allocation.job.valid() || state_writer_.done_recorded(allocation.job, allocation.index))
         orders.push_back({TaskCommand::Verb::Forget, allocation.job_id, allocation.index, allocation.attempt, 0});
       continue;
     }
@@ -218,14 +220,14 @@
     const Allocation &allocation = machine.allocations[s];
     if (in_report[s] == 1 || (in_report[s] == 0 && !allocation.seen && !allocation.stop && !machine.downlink_lost()))
       continue;
-    const int job_index = allocation.job;
+    const JobIndex job_index = allocation.job;
     drop(machine_index, s);
-    if (job_index >= 0) tend_gang(job_index);
+    if (job_index.valid()) tend_gang(job_index);
   }
   for (const auto *t : unknown) {
-    const int job_index = jobs_.index(t->job);
+    const JobIndex job_index = jobs_.index(t->job);
     bool wanted = false;
-    if (job_index >= 0 && t->index < jobs_[job_index].spec.tasks) {
+    if (job_index.valid() && t->index < jobs_[job_index].spec.tasks) {
       const Job &job = jobs_[job_index];
       const TaskState state = job.tasks[t->index].state;
       wanted = state == TaskState::Unaccounted || state == TaskState::Pending;
@@ -249,7 +251,7 @@
       allocation.phase = t->phase;
       allocation.sent = allocation.seen = allocation.stop = true;
       allocation.placed_at = runtime_.now();
-      if (job_index >= 0) allocation.need = jobs_[job_index].spec.need;
+      if (job_index.valid()) allocation.need = jobs_[job_index].spec.need;
       machine.used.add(allocation.need);
       machine.allocations.push_back(std::move(allocation));
     }
@@ -279,7 +281,8 @@
 }
 
 // A task that an earlier leader started.
-void WorkerRegistry::adopt(int machine_index, int job_index, const TaskStatus &task, std::vector<TaskCommand> &orders) {
+void WorkerRegistry::adopt(MachineIndex machine_index, JobIndex job_index, const TaskStatus &task,
+                           std::vector<TaskCommand> &orders) {
   Machine &machine = at(machine_index);
   const Job &job = jobs_[job_index];
   Allocation allocation;
@@ -311,9 +314,9 @@
   }
 }
 
-void WorkerRegistry::exited(int machine_index, Allocation &allocation, const TaskStatus &task) {
+void WorkerRegistry::exited(MachineIndex machine_index, Allocation &allocation, const TaskStatus &task) {
   Machine &machine = at(machine_index);
-  if (allocation.job < 0) return;
+  if (!allocation.job.valid()) return;
   events_.publish(TaskExited{allocation.job, allocation.index, machine_index, machine.name, task.cause,
                              allocation.placed_at, allocation.running_since});
   if (task.cause != ExitCause::Done || jobs_[allocation.job].spec.shape == Shape::Service) return;
@@ -325,7 +328,7 @@
     machine.busy_cpu_s += (runtime_.now() - allocation.running_since) * allocation.need.cpus;
 }
 
-void WorkerRegistry::answer(int machine_index, bool may_start, std::vector<TaskCommand> &orders) {
+void WorkerRegistry::answer(MachineIndex machine_index, bool may_start, std::vector<TaskCommand> &orders) {
   Machine &machine = at(machine_index);
   machine.stops_news = false;
   std::size_t starts = 0;
@@ -335,7 +338,7 @@
       if (allocation.seen && allocation.phase != TaskPhase::Exited)
         orders.push_back(
             {TaskCommand::Verb::Stop, allocation.job_id, allocation.index, allocation.attempt, allocation.grace_s});
-    } else if (may_start && !machine.downlink_lost() && !allocation.seen && allocation.job >= 0 &&
+    } else if (may_start && !machine.downlink_lost() && !allocation.seen && allocation.job.valid() &&
                !jobs_[allocation.job].paused && state_writer_.recorded(allocation.job, allocation.index) &&
                !machine.returning && starts < kMaxOrders) {
       if (!std::exchange(allocation.sent, true)) {
@@ -355,7 +358,7 @@
 
 // ---- slots ----
 
-void WorkerRegistry::put(int machine_index, int job_index, std::uint32_t i, std::uint64_t attempt) {
+void WorkerRegistry::put(MachineIndex machine_index, JobIndex job_index, std::uint32_t i, std::uint64_t attempt) {
   Machine &machine = at(machine_index);
   const Job &job = jobs_[job_index];
   Allocation allocation;
@@ -371,7 +374,7 @@
   machine.allocations.push_back(std::move(allocation));
 }
 
-void WorkerRegistry::drop(int machine_index, std::size_t s) {
+void WorkerRegistry::drop(MachineIndex machine_index, std::size_t s) {
   Machine &machine = at(machine_index);
   const Allocation allocation = std::move(machine.allocations[s]);
   machine.allocations.erase(machine.allocations.begin() + static_cast<long>(s));
@@ -380,19 +383,19 @@
   machine.used.add(allocation.need, -1);
   // An attempt that an earlier leader started may be an old one, shown by a report that was held up: its end
   // says nothing about a later attempt elsewhere, which may not be heard of yet.
-  if (allocation.job >= 0)
+  if (allocation.job.valid())
     jobs_.release(allocation.job, allocation.index, machine_index, allocation.adopted && jobs_.unaccounted_until() > 0);
 }
 
-void WorkerRegistry::freed(int machine_index, const Allocation &allocation, bool done) {
-  if (allocation.job < 0 || allocation.held_since < 0) return; // nobody's, or never sent
+void WorkerRegistry::freed(MachineIndex machine_index, const Allocation &allocation, bool done) {
+  if (!allocation.job.valid() || allocation.held_since < 0) return; // nobody's, or never sent
   const Machine &machine = at(machine_index);
   events_.publish(TaskReleased{allocation.job, allocation.index, machine_index, done, allocation.held_since,
                                allocation.waiting_since, allocation.running_since, machine.type, machine.zone,
                                machine.spot});
 }
 
-void WorkerRegistry::stop(int machine_index, std::size_t s, double grace_s) {
+void WorkerRegistry::stop(MachineIndex machine_index, std::size_t s, double grace_s) {
   Allocation &allocation = at(machine_index).allocations[s];
   if (!allocation.sent && !allocation.seen)
     drop(machine_index, s);
@@ -400,36 +403,40 @@
     order_stop(machine_index, allocation, grace_s);
 }
 
-bool WorkerRegistry::stop_all(int job_index, double grace_s) {
+bool WorkerRegistry::stop_all(JobIndex job_index, double grace_s) {
   bool news = false;
-  for (int machine_index = 0; machine_index < static_cast<int>(machines_.size()); ++machine_index)
-    if (machines_[static_cast<std::size_t>(machine_index)])
-      for (std::size_t s = at(machine_index).allocations.size(); s-- > 0;) {
-        const Allocation &allocation = at(machine_index).allocations[s];
-        if (allocation.job != job_index || allocation.finished) continue;
-        news |= !allocation.stop;
-        stop(machine_index, s, grace_s);
-      }
+  for (std::size_t position = 0; position < machines_.size(); ++position) {
+    const MachineIndex machine_index(position);
+    if (!machines_[position]) continue;
+    for (std::size_t s = at(machine_index).allocations.size(); s-- > 0;) {
+      const Allocation &allocation = at(machine_index).allocations[s];
+      if (allocation.job != job_index || allocation.finished) continue;
+      news |= !allocation.stop;
+      stop(machine_index, s, grace_s);
+    }
+  }
   return news;
 }
 
-void WorkerRegistry::withdraw(int job_index) {
-  for (int machine_index = 0; machine_index < static_cast<int>(machines_.size()); ++machine_index)
-    if (machines_[static_cast<std::size_t>(machine_index)])
-      for (std::size_t s = at(machine_index).allocations.size(); s-- > 0;)
-        if (const Allocation &allocation = at(machine_index).allocations[s];
-            allocation.job == job_index && !allocation.sent && !allocation.seen)
-          drop(machine_index, s);
+void WorkerRegistry::withdraw(JobIndex job_index) {
+  for (std::size_t position = 0; position < machines_.size(); ++position) {
+    const MachineIndex machine_index(position);
+    if (!machines_[position]) continue;
+    for (std::size_t s = at(machine_index).allocations.size(); s-- > 0;)
+      if (const Allocation &allocation = at(machine_index).allocations[s];
+          allocation.job == job_index && !allocation.sent && !allocation.seen)
+        drop(machine_index, s);
+  }
 }
 
-void WorkerRegistry::order_stop(int machine_index, Allocation &allocation, double grace_s) {
+void WorkerRegistry::order_stop(MachineIndex machine_index, Allocation &allocation, double grace_s) {
   if (allocation.finished) return;
   if (!allocation.stop && !std::exchange(at(machine_index).stops_news, true)) stops_news_.push_back(machine_index);
   if (!allocation.stop || grace_s < allocation.grace_s) allocation.grace_s = grace_s;
   allocation.stop = true;
 }
 
-void WorkerRegistry::tend_gang(int job_index) {
+void WorkerRegistry::tend_gang(JobIndex job_index) {
   const Job &job = jobs_[job_index];
   if (job.spec.shape != Shape::Gang || job.placed == 0) return;
   bool started = job.gang_closed;
@@ -449,7 +456,7 @@
     if (m)
       for (auto &s : m->allocations)
         if (s.job == event.job) {
-          s.job = -1; // stopped at the next report, as any task of an unknown job
+          s.job = {}; // stopped at the next report, as any task of an unknown job
           s.stop = true;
           s.grace_s = 0;
         }
@@ -458,8 +465,9 @@
 // ---- time ----
 
 void WorkerRegistry::tick() {
-  for (int machine_index = 0; machine_index < static_cast<int>(machines_.size()); ++machine_index) {
-    if (!machines_[static_cast<std::size_t>(machine_index)]) continue;
+  for (std::size_t position = 0; position < machines_.size(); ++position) {
+    const MachineIndex machine_index(position);
+    if (!machines_[machine_index.position()]) continue;
     Machine &machine = at(machine_index);
     // The last 200 that could reach it is ours: earlier leaders' were over before our term began.
     if (leadership_.active() && machine.heard && !machine.lost &&
@@ -468,7 +476,7 @@
     if (machine.taken_at && machine.heard && !machine.lost) { // drained: tasks that can save do so in time
       const double left = *machine.taken_at - runtime_.now();
       for (auto &s : machine.allocations)
-        if (s.job >= 0 && !s.stop && !s.finished && jobs_[s.job].spec.checkpoint_s > 0 &&
+        if (s.job.valid() && !s.stop && !s.finished && jobs_[s.job].spec.checkpoint_s > 0 &&
             left < jobs_[s.job].spec.save_s + 2 * settings_.heartbeat_interval_s + 1)
           order_stop(machine_index, s, jobs_[s.job].spec.save_s + 1);
     }
@@ -480,8 +488,8 @@
 // been sent and not been seen: what fetches its image when its job is cancelled never starts, and where the start has
 // not arrived the order says nothing (its attempt's number is not used again).
 void WorkerRegistry::send_stops() {
-  for (int machine_index : std::exchange(stops_news_, {})) {
-    const auto &p = machines_[static_cast<std::size_t>(machine_index)];
+  for (MachineIndex machine_index : std::exchange(stops_news_, {})) {
+    const auto &p = machines_[machine_index.position()];
     if (!p || !p->stops_news) continue; // gone, or told with an answer since
     p->stops_news = false;
     if (!leadership_.active() || p->lost || p->address.empty()) continue;
@@ -499,17 +507,16 @@
 
 std::vector<std::uint32_t> WorkerRegistry::running_counts() const {
   std::vector<std::uint32_t> out(jobs_.index_limit(), 0);
-  jobs_.each([&](int job_index, const Job &job) {
-    out[static_cast<std::size_t>(job_index)] = job.unaccounted + job.delegated_running;
-  });
+  jobs_.each(
+      [&](JobIndex job_index, const Job &job) { out[job_index.position()] = job.unaccounted + job.delegated_running; });
   for (const auto &m : machines_)
     if (m)
       for (const auto &s : m->allocations)
-        if (s.job >= 0 && !s.finished && s.phase == TaskPhase::Running) ++out[static_cast<std::size_t>(s.job)];
+        if (s.job.valid() && !s.finished && s.phase == TaskPhase::Running) ++out[s.job.position()];
   return out;
 }
 
-std::uint32_t WorkerRegistry::running(int job_index) const {
+std::uint32_t WorkerRegistry::running(JobIndex job_index) const {
   std::uint32_t out = jobs_[job_index].unaccounted + jobs_[job_index].delegated_running;
   for (const auto &m : machines_)
     if (m)
@@ -518,13 +525,13 @@
   return out;
 }
 
-bool WorkerRegistry::consistent(int machine_index) const {
+bool WorkerRegistry::consistent(MachineIndex machine_index) const {
   const Machine &machine = *find(machine_index);
   Resources used;
   for (const auto &s : machine.allocations) {
     if (!s.finished) used.add(s.need);
     // A task that was placed here is bound to this machine until its slot goes.
-    if (s.job < 0 || s.finished) continue;
+    if (!s.job.valid() || s.finished) continue;
     const Task &t = jobs_[s.job].tasks[s.index];
     if (t.state != TaskState::Placed || t.machine != machine_index) return false;
   }
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -92,16 +92,16 @@
     auto [asked, open] = std::move(under_way.front());
     under_way.pop_front();
     for (const auto &[id, at] : notes)
-      if (at <= asked && jobs.index(id) >= 0) jobs.cancel(jobs.index(id));
+      if (at <= asked && jobs.index(id).valid()) jobs.cancel(jobs.index(id));
     for (const auto &[id, marked] : open) {
-      if (jobs.index(id) < 0 && in_table.insert(id).second) {
+      if (!jobs.index(id).valid() && in_table.insert(id).second) {
         OpenRecord r;
         r.spec.id = id;
         r.spec.tasks = 1;
-        const int j = jobs.add(std::move(r), ++revision);
+        const JobIndex j = jobs.add(std::move(r), ++revision);
         events.publish(JobAccepted{j});
       }
-      if (const int j = jobs.index(id); marked && j >= 0) jobs.cancel(j);
+      if (const JobIndex j = jobs.index(id); marked && j.valid()) jobs.cancel(j);
     }
     known.news(asked);
     deliver();
@@ -109,13 +109,13 @@
   void end_job() { // a job that is over leaves the table; its mark was followed
     if (!in_table.empty()) {
       const auto id = *in_table.begin();
-      if (const int j = jobs.index(id); j >= 0) jobs.remove(j);
+      if (const JobIndex j = jobs.index(id); j.valid()) jobs.remove(j);
       deliver();
     }
   }
   std::string check() const {
     for (const auto &[id, at] : notes)
-      if (const int j = jobs.index(id); at < known.known_until() - 1e-6 && j >= 0 && !jobs[j].cancelled)
+      if (const JobIndex j = jobs.index(id); at < known.known_until() - 1e-6 && j.valid() && !jobs[j].cancelled)
         return id + " noted at " + std::to_string(at) + ", known until " + std::to_string(known.known_until());
     return {};
   }
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -218,11 +218,11 @@
       } else {
         const auto &id = ids[pick(ids.size())];
         auto &x = plain.jobs[id];
-        const int j = jobs.index(id);
-        if (what < 6 && j >= 0) { // cancelled by its user
+        const core::JobIndex j = jobs.index(id);
+        if (what < 6 && j.valid()) { // cancelled by its user
           jobs.cancel(j);
           x.cancelled = true;
-        } else if (what < 9 && j >= 0) { // ends; sometimes nobody here has heard how
+        } else if (what < 9 && j.valid()) { // ends; sometimes nobody here has heard how
           const bool cancelled = plain.stopped(id);
           if (!cancelled && !plain.ready(id)) continue;
           x.open = false;
@@ -234,7 +234,7 @@
           end.end_wall = port.wall();
           if (x.told) ended.remember(id, end);
           jobs.remove(j);
-        } else if (j < 0 && !x.told) { // it is looked up
+        } else if (!j.valid() && !x.told) { // it is looked up
           ++looked_up;
           x.told = true;
           EndRecord end;
@@ -245,8 +245,8 @@
       }
       deliver();
       for (const auto &id : ids) {
-        const int j = jobs.index(id);
-        if (j < 0) continue;
+        const core::JobIndex j = jobs.index(id);
+        if (!j.valid()) continue;
         ASSERT_EQ(jobs[j].cancelled, plain.stopped(id)) << "seed " << seed << " step " << step << " " << id;
         if (!jobs[j].cancelled) {
           ASSERT_EQ(graph.ready(j), plain.ready(id)) << "seed " << seed << " step " << step << " " << id;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -23,7 +23,7 @@
   Case c;
   for (int i = 0, n = 1 + pick(max_machines); i < n; ++i) {
     PlaceMachine m;
-    m.id = i;
+    m.id = MachineIndex(static_cast<std::size_t>(i));
     m.type = pick(2);
     m.size = m.type ? Resources{32, 4, 128} : Resources{4, 0, 16};
     m.free = {m.size.cpus - pick(4), m.size.gpus, m.size.memory - pick(8)};
@@ -53,7 +53,7 @@
     j.started = pick(2);
     j.small = pick(2);
     j.team = pick(2);
-    if (pick(5) == 0) j.barred.push_back(pick(static_cast<int>(c.machines.size())));
+    if (pick(5) == 0) j.barred.emplace_back(static_cast<std::size_t>(pick(static_cast<int>(c.machines.size()))));
     c.jobs.push_back(j);
   }
   c.room = {{-1, -1, -1}, {static_cast<double>(pick(20)), -1, -1}};
@@ -204,13 +204,13 @@
   PlaceMachine m;
   m.size = {32, 0, 128};
   m.free = {20, 0, 100};
-  m.held_for = 7;
+  m.held_for = JobIndex(7);
   PlaceJob big, small;
   big.need = {30, 0, 64};
   small.need = {1, 0, 1};
   big.types = small.types = {1};
-  big.self = 7;
-  small.self = 3;
+  big.self = JobIndex(7);
+  small.self = JobIndex(3);
   big.ready = big.limit = 1;
   small.ready = small.limit = 5;
   EXPECT_TRUE(place_round({m}, {big, small}, {}, {}).empty());
@@ -218,7 +218,7 @@
   auto plan = place_round({m}, {big, small}, {}, {});
   ASSERT_EQ(plan.size(), 1u);
   EXPECT_EQ(plan[0].job, 0);
-  m.held_for = -1;
+  m.held_for = {};
   EXPECT_EQ(place_round({m}, {big, small}, {}, {}).size(), 3u);
 }
 
