--- a/cmake/LoftrouterModule.cmake
+++ b/cmake/LoftrouterModule.cmake
@@ -33,11 +33,11 @@
     target_compile_options(${name} PRIVATE -fsanitize=undefined)
     target_link_options(${name} PUBLIC -fsanitize=undefined)
   endif()
-  # The lowest module makes the precompiled header that all of them use.
+  # The lowest module makes the precompiled header that all those above it use; one beside it has other definitions.
   if(name STREQUAL "loftrouter_model")
     target_precompile_headers(${name} PRIVATE
       <nlohmann/json.hpp> <fmt/format.h> <functional> <map> <string> <vector>)
-  else()
+  elseif(MODULE_DEPENDS)
     target_precompile_headers(${name} REUSE_FROM loftrouter_model)
   endif()
 endfunction()
