--- a/include/loftrouter/core/workers/worker_registry.hpp
+++ b/include/loftrouter/core/workers/worker_registry.hpp
@@ -1,16 +1,19 @@
-// The fleet table of a leader: machines, and the tasks that are or may be on them.
+// The worker registry of a leader: machines, and the tasks that are or may be on them.
 //
-// Owns machines and their slots. Promises that a slot goes only on proof that its attempt is over there: a newer
-// report, a lease that has run out, or the cloud's word. If that were wrong, the task would be started elsewhere while
-// it runs (ran_twice). See docs/safety.md, "ran_twice".
+// Owns machines and their allocations; used by the core's thread alone. Invariant: an allocation is released only on
+// proof that its attempt is over on that machine: it was never sent, a newer heartbeat does not list it, the lease has
+// expired, or the cloud has taken the machine back. If that were wrong, the task would be started elsewhere while it
+// runs (ran_twice). See docs/safety.md, "ran_twice".
+//
+// Machines are named by their index, which is free for another one once `MachineRemoved` has been delivered.
 #pragma once
 
-#include <list>
-#include <map>
+#include <cstddef>
+#include <cstdint>
 #include <memory>
 #include <optional>
 #include <string>
-#include <tuple>
+#include <string_view>
 #include <unordered_map>
 #include <vector>
 
@@ -21,60 +24,10 @@
 #include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/runtime/events.hpp"
 #include "loftrouter/core/state/state_writer.hpp"
+#include "loftrouter/core/workers/machine.hpp"
 
 namespace loftrouter::core {
 
-struct Allocation {
-  JobIndex job; // none: a task of an unknown job, to be stopped
-  std::string job_id;
-  std::uint32_t index = 0;
-  std::uint64_t attempt = 0;
-  TaskPhase phase = TaskPhase::Fetching;
-  bool sent = false; // its start
-  bool seen = false;
-  bool stop = false;
-  bool adopted = false; // started by an earlier leader and unaccounted for until seen
-  double grace_s = 0;
-  double placed_at = 0, held_since = -1, waiting_since = -1, running_since = -1; // held: its start is sent
-  bool finished = false;                                                         // exited with success
-  Resources need;
-};
-struct Machine {
-  std::string name, address;
-  int forwarding_replica = -1; // the sibling that its last report came through, or -1
-  int type = -1, zone = -1;
-  bool spot = false;
-  bool heard = false;
-  bool lost = false;      // its lease ran out, or it failed
-  bool returning = false; // no new tasks; given back
-  bool listed_failed = false;
-  bool listed_running = false;                  // up, by the cloud's list; it may be gone for half a minute
-  bool draining = false;                        // surplus: takes no new tasks and goes back once empty
-  bool stops_news = false;                      // tasks were told to stop that the worker does not know of yet
-  std::optional<wire::MachineAdminState> order; // by an operator: takes no new tasks
-  std::uint64_t incarnation = 0, sequence = 0;  // of the last report
-  double known_since = 0, last_answer = -1, idle_since = -1, first_heard = -1, rented_at = 0;
-  std::optional<double> taken_at; // notice
-  // It has shown this leader's token, or was rented by it: what it says was not said before this term, and our answers
-  // have reached it. Until then it takes no tasks.
-  bool verified = false;
-  // Answers in a row that have not reached it, by what it reports; since when that is more than chance; and when its
-  // session last changed.
-  int unacknowledged_responses = 0;
-  double downlink_lost_since = -1, incarnation_since = 0;
-  std::vector<Allocation> allocations;
-  Resources size, used;
-  std::list<std::pair<int, double>> images; // and their GB, most recent first
-  double busy_cpu_s = 0;                    // CPU seconds of tasks that ran to their end here
-
-  bool silent(double now, double heartbeat_interval_s) const {
-    return now - last_answer > 2.5 * heartbeat_interval_s + 1;
-  }
-  bool downlink_lost() const { return downlink_lost_since >= 0; }
-  bool accepts_commands() const { return verified && !downlink_lost(); } // may be given tasks
-};
-using MachineKind = std::tuple<int, int, bool>; // type, zone, spot
-
 class WorkerRegistry {
 public:
   WorkerRegistry(Runtime &runtime, Events &events, const Settings &settings, InstanceTypeCatalog &catalog,
@@ -82,70 +35,113 @@
       : runtime_(runtime), events_(events), settings_(settings), catalog_(catalog), operators_(operators),
         leadership_(leadership), jobs_(jobs), state_writer_(state_writer) {}
 
+  // ---- look-ups ----
+
   std::size_t index_limit() const { return machines_.size(); } // indices are below this
-  const Machine *find(MachineIndex machine_index) const {
-    return machines_[machine_index.position()].get();
-  } // null: none there
+  // The machine at this index, or null.
+  const Machine *find(MachineIndex machine_index) const { return machines_[machine_index.position()].get(); }
+  // There has to be one.
   const Machine &operator[](MachineIndex machine_index) const { return *machines_[machine_index.position()]; }
-  MachineIndex index(const std::string &name) const; // none: not known
-  template <class Fn> void each(Fn &&fn) const {     // fn(index, machine)
-    for (std::size_t m = 0; m < machines_.size(); ++m)
-      if (machines_[m]) fn(MachineIndex(m), *machines_[m]);
+  MachineIndex index(const std::string &name) const;      // none: not known
+  template <class Visit> void each(Visit &&visit) const { // visit(index, machine), by ascending index
+    for (std::size_t i = 0; i < machines_.size(); ++i)
+      if (machines_[i]) visit(MachineIndex(i), *machines_[i]);
   }
-  std::size_t live() const;               // heard and not lost
-  std::size_t kept_by(int replica) const; // workers; -1: by this node itself
-  // When the cloud took it back; nothing if it did not, or that is forgotten.
-  std::optional<double> gone(const std::string &name) const;
-  std::vector<std::uint32_t> running_counts() const; // by job; tasks unaccounted for most likely run too
-  std::uint32_t running(JobIndex job_index) const;
-
-  // What it says of a machine that is not known makes it known.
-  MachineIndex add(const std::string &name, const std::string &type, const std::string &zone, bool spot);
-  void set_rented_at(MachineIndex machine_index, double at);
-  void set_verified(MachineIndex machine_index); // rented by this leader
-  void give_back(MachineIndex machine_index);    // takes no new tasks from here on
-  void set_draining(MachineIndex machine_index, bool draining);
-  void listed_failed(MachineIndex machine_index); // it stopped on its own
-  void listed_running(MachineIndex machine_index);
-  void listed_again(const std::string &name) { gone_.erase(name); }
-  void remove(MachineIndex machine_index); // the cloud has taken it back
-  void forget_gone(double older_s);
-
-  // A report, in two steps: what it says, and, once others have listened to that, its answer.
-  enum class Heard : std::uint8_t { Late, Failed, Taken };
-  Heard hear(MachineIndex machine_index, const Heartbeat &heartbeat, int forwarding_replica);
-  void take_tasks(MachineIndex machine_index, const Heartbeat &heartbeat, std::vector<TaskCommand> &orders);
-  void answer(MachineIndex machine_index, bool may_start, std::vector<TaskCommand> &orders);
-
-  void put(MachineIndex machine_index, JobIndex job_index, std::uint32_t i, std::uint64_t attempt); // a task's slot
-  // The task goes: at once if its start was never sent, otherwise when the worker shows it gone.
+  std::size_t available_count() const;
+  // Available workers whose heartbeats come through this replica, or with -1 to this node directly.
+  std::size_t available_count(int forwarding_replica) const;
+  // When the cloud took the machine back, monotonic; nothing if it did not, or if that is forgotten.
+  std::optional<double> removed_at(const std::string &name) const;
+  // By job index. Tasks unaccounted for are counted too, as most of them run.
+  std::vector<std::uint32_t> running_tasks_by_job() const;
+  std::uint32_t running_tasks(JobIndex job_index) const;
+  // Allocations agree with the job table and with `used`; for asserts and tests.
+  bool consistent(MachineIndex machine_index) const;
+
+  // ---- lifecycle of machines ----
+
+  // The index of the machine of this name, which is added if it is not known.
+  MachineIndex find_or_add(const std::string &name, const std::string &type, const std::string &zone, bool spot);
+  void set_rented_at(MachineIndex machine_index, double rented_at); // monotonic
+  void mark_verified(MachineIndex machine_index);                   // rented by this leader
+  void mark_returning(MachineIndex machine_index);                  // takes no new tasks from here on
+  void set_draining(MachineIndex machine_index, bool draining);     // without effect on one that is returning
+  void mark_listed_running(MachineIndex machine_index);
+  void mark_listed_failed(MachineIndex machine_index); // it stopped on its own: lost, and to be given back
+  void remove(MachineIndex machine_index);             // the cloud has taken it back
+  void forget_removal(const std::string &name) { removed_at_.erase(name); } // it is listed again
+  void forget_removals(double older_than_s);
+
+  // ---- heartbeats ----
+
+  enum class HeartbeatResult : std::uint8_t {
+    Stale,         // not newer than the last one accepted: as old as its list of tasks
+    MachineFailed, // the cloud has listed the machine as failed
+    Accepted,
+  };
+  // Renews the lease and reconciles the allocations with the tasks that the worker lists. `commands` receives what is
+  // to be forgotten or stopped of those; `build_response` adds the rest once others have acted on the events.
+  [[nodiscard]] HeartbeatResult accept_heartbeat(MachineIndex machine_index, const Heartbeat &heartbeat,
+                                                 int forwarding_replica, std::vector<TaskCommand> &commands);
+  // Appends the commands of the response: stops, and with `may_start` the starts that are recorded.
+  void build_response(MachineIndex machine_index, bool may_start, std::vector<TaskCommand> &commands);
+
+  // ---- allocations ----
+
+  void allocate(MachineIndex machine_index, JobIndex job_index, std::uint32_t task_index, std::uint64_t attempt);
+  // Released at once if its start was never sent, otherwise when a heartbeat shows it gone. `allocation`: its position
+  // among the machine's. `grace_s`: time to save a checkpoint.
   void stop(MachineIndex machine_index, std::size_t allocation, double grace_s);
-  bool stop_all(JobIndex job_index, double grace_s); // of a job; false: all were told already
-  void withdraw(JobIndex job_index);                 // its tasks whose start was never sent
-  // A gang that can no longer complete its attempt is stopped whole; the next attempt starts when every task of this
+  // Stops all tasks of a job; false if all of them were to be stopped already.
+  bool stop_job(JobIndex job_index, double grace_s);
+  void release_unsent(JobIndex job_index);
+  // Stops a gang that can no longer complete its attempt as a whole; the next attempt starts when every task of this
   // one is gone.
-  void tend_gang(JobIndex job_index);
+  void reconcile_gang(JobIndex job_index);
 
-  void tick();       // leases and notices
-  void send_stops(); // at the end of each batch
-  void on(const JobCancelled &event) { stop_all(event.job, 0); }
+  // ---- time and events ----
+
+  void tick();               // expired leases, and notices of spot instances being reclaimed
+  void send_stop_commands(); // at the end of each batch
+  void on(const JobCancelled &event) { stop_job(event.job, 0); }
   void on(const JobFinalized &event);
-  void on(const MachineQuarantined &event) { give_back(event.machine); }
-  void on(const MachineAdminStatesChanged &e);
-  void on(const TermStarted &) { gone_.clear(); }
+  void on(const MachineQuarantined &event) { mark_returning(event.machine); }
+  void on(const MachineAdminStatesChanged &event);
+  void on(const TermStarted &) { removed_at_.clear(); }
   void on(const TermEnded &);
-  bool consistent(MachineIndex machine_index) const; // for asserts and tests
 
 private:
+  struct TaskListing; // how the tasks that a heartbeat lists match the allocations
+
   Machine &at(MachineIndex machine_index) { return *machines_[machine_index.position()]; }
-  void exited(MachineIndex machine_index, Allocation &allocation, const TaskStatus &task);
-  void update_downlink_state(Machine &machine, bool heeded, bool missed);
-  void adopt(MachineIndex machine_index, JobIndex job_index, const TaskStatus &task, std::vector<TaskCommand> &orders);
-  void drop(MachineIndex machine_index, std::size_t s);
-  void freed(MachineIndex machine_index, const Allocation &allocation, bool done);
-  void order_stop(MachineIndex machine_index, Allocation &allocation, double grace_s);
-  void lose(MachineIndex machine_index, std::string_view why);
-  void touch_image(Machine &machine, int image, double gb);
+  MachineIndex free_index();
+  void mark_lost(MachineIndex machine_index, std::string_view why);
+  bool lease_expired(const Machine &machine) const;
+  void stop_checkpointable_before_reclaim(MachineIndex machine_index);
+
+  DownlinkEvidence fencing_token_evidence(const Machine &machine, const Heartbeat &heartbeat) const;
+  void renew_lease(Machine &machine, const Heartbeat &heartbeat, int forwarding_replica);
+  void reconcile_tasks(MachineIndex machine_index, const Heartbeat &heartbeat, DownlinkEvidence evidence,
+                       std::vector<TaskCommand> &commands);
+  TaskListing match_listed_tasks(MachineIndex machine_index, const Heartbeat &heartbeat, DownlinkEvidence &evidence);
+  void observe(MachineIndex machine_index, Allocation &allocation, const TaskStatus &task);
+  void handle_listed_exits(MachineIndex machine_index, TaskListing &listing, std::vector<TaskCommand> &commands);
+  void handle_exit(MachineIndex machine_index, Allocation &allocation, const TaskStatus &task);
+  void update_downlink(Machine &machine, const DownlinkEvidence &evidence);
+  void release_absent(MachineIndex machine_index, const TaskListing &listing);
+  void reconcile_unknown_task(MachineIndex machine_index, const TaskStatus &task, std::vector<TaskCommand> &commands);
+  bool may_adopt(JobIndex job_index, const TaskStatus &task);
+  void adopt(MachineIndex machine_index, JobIndex job_index, const TaskStatus &task,
+             std::vector<TaskCommand> &commands);
+  void add_unwanted(MachineIndex machine_index, JobIndex job_index, const TaskStatus &task);
+  bool may_send_start(const Machine &machine, const Allocation &allocation) const;
+  void mark_start_sent(MachineIndex machine_index, Allocation &allocation);
+
+  void release(MachineIndex machine_index, std::size_t allocation);
+  void publish_released(MachineIndex machine_index, const Allocation &allocation, bool done);
+  void request_stop(MachineIndex machine_index, Allocation &allocation, double grace_s);
+  void touch_cached_image(Machine &machine, int image, double image_gb);
+  bool gang_has_started(JobIndex job_index) const;
 
   Runtime &runtime_;
   Events &events_;
@@ -155,11 +151,10 @@
   const Leadership &leadership_;
   JobTable &jobs_;
   StateWriter &state_writer_;
-  std::vector<std::unique_ptr<Machine>> machines_;
+  std::vector<std::unique_ptr<Machine>> machines_; // by index; null: free
   std::unordered_map<std::string, MachineIndex> index_;
-  std::unordered_map<std::string, double> gone_; // names given back, and when
-  bool heeded_ = false, missed_ = false;         // by the report that is being taken: answers have, have not reached it
-  std::vector<MachineIndex> stops_news_;         // machines whose `stops_news` was set in this batch
+  std::unordered_map<std::string, double> removed_at_; // by name; see `forget_removals`
+  std::vector<MachineIndex> stop_commands_pending_;    // machines whose `stop_commands_pending` was set in this batch
 };
 
 } // namespace loftrouter::core
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -72,7 +72,7 @@
     const auto &x = replicas_[i];
     const auto word = connectivity_.word(i);
     status.replicas.push_back({replicas_.name(i), ago(x.stated_at), x.cut_off, x.passes,
-                               leads ? workers_.kept_by(static_cast<int>(i)) : 0,
+                               leads ? workers_.available_count(static_cast<int>(i)) : 0,
                                word ? word->says : ConnectivityRecord{},
                                !word           ? "nothing"
                                : word->by_link ? "link"
@@ -89,11 +89,12 @@
   workers_.each([&](MachineIndex, const Machine &machine) {
     if (machine.type < 0) return;
     auto &k = kinds[{machine.type, machine.zone, machine.spot}];
-    const bool quiet = machine.heard && machine.silent(runtime_.now(), settings_.heartbeat_interval_s);
-    ++(quiet ? k.silent : machine.heard ? k.up : k.starting);
+    const bool quiet =
+        machine.heartbeat.received() && machine.heartbeat_overdue(runtime_.now(), settings_.heartbeat_interval_s);
+    ++(quiet ? k.silent : machine.heartbeat.received() ? k.up : k.starting);
     silent += quiet;
-    ordered += machine.order.has_value();
-    if (!machine.heard || quiet) return;
+    ordered += machine.admin_state.has_value();
+    if (!machine.heartbeat.received() || quiet) return;
     k.cpus += machine.size.cpus;
     k.used += machine.used.cpus;
   });
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -21,9 +21,9 @@
 StatusReporter::Supplies StatusReporter::supplies() const {
   Supplies out;
   workers_.each([&](MachineIndex, const Machine &machine) {
-    if (machine.type < 0 || machine.lost || machine.returning || machine.order) return;
+    if (machine.type < 0 || machine.lost() || machine.returning() || machine.admin_state) return;
     auto &s = out[{machine.type, machine.zone, machine.spot}];
-    ++(machine.heard ? s.up : s.starting);
+    ++(machine.heartbeat.received() ? s.up : s.starting);
   });
   return out;
 }
@@ -226,10 +226,10 @@
     double cpus = 0, used = 0;
   } kinds[2]; // ordinary, spot
   workers_.each([&](MachineIndex, const Machine &machine) {
-    if (machine.lost) return;
+    if (machine.lost()) return;
     Kind &k = kinds[machine.spot];
-    ++(machine.heard ? k.up : k.booting);
-    if (!machine.heard) return;
+    ++(machine.heartbeat.received() ? k.up : k.booting);
+    if (!machine.heartbeat.received()) return;
     k.cpus += machine.size.cpus;
     k.used += machine.used.cpus;
   });
@@ -258,7 +258,7 @@
 void StatusReporter::publish_to_replicas() {
   if (!leadership_.leading() || runtime_.now() < next_digest_ || replicas_.count() == 0) return;
   next_digest_ = runtime_.now() + kDigestEvery;
-  const auto running = workers_.running_counts();
+  const auto running = workers_.running_tasks_by_job();
   std::vector<JobIndex> first, rest;
   const std::size_t n = jobs_.index_limit();
   for (std::size_t k = 0; k < n; ++k) {
@@ -314,7 +314,7 @@
   JobView view{id, cancelled ? JobState::Cancelled : JobState::Queued, 0, 0, {}};
   if (const JobIndex job_index = leadership_.leading() ? jobs_.index(id) : JobIndex(); job_index.valid()) {
     view.done = jobs_[job_index].done;
-    view.running = workers_.running(job_index);
+    view.running = workers_.running_tasks(job_index);
     view.reason = why(job_index, supplies());
   } else if (cancelled) {
     view.reason = "stopped: cancelled by its user";
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -136,17 +136,17 @@
 
 void Autoscaler::merge(const wire::CloudReply &reply) {
   for (const auto &l : reply.machines) {
-    if (const auto gone = workers_.gone(l.name)) {
+    if (const auto gone = workers_.removed_at(l.name)) {
       if (runtime_.now() - *gone < 4 * settings_.cloud_list_lag_s + 5) continue; // the list lags
-      workers_.listed_again(l.name);                                             // still there: give it back again
-      workers_.give_back(workers_.add(l.name, l.type, l.zone, l.spot));
+      workers_.forget_removal(l.name);                                           // still there: give it back again
+      workers_.mark_returning(workers_.find_or_add(l.name, l.type, l.zone, l.spot));
       continue;
     }
     const bool fresh = !workers_.index(l.name).valid();
-    const MachineIndex machine_index = workers_.add(l.name, l.type, l.zone, l.spot);
+    const MachineIndex machine_index = workers_.find_or_add(l.name, l.type, l.zone, l.spot);
     if (fresh) workers_.set_rented_at(machine_index, runtime_.now() - l.age_s);
-    if (l.status == MachineStatus::Running) workers_.listed_running(machine_index);
-    if (l.status == MachineStatus::Failed) workers_.listed_failed(machine_index);
+    if (l.status == MachineStatus::Running) workers_.mark_listed_running(machine_index);
+    if (l.status == MachineStatus::Failed) workers_.mark_listed_failed(machine_index);
   }
 }
 
@@ -156,45 +156,46 @@
   std::vector<std::string> names;
   int live = 0, lost = 0, downlink_lost = 0;
   workers_.each([&](MachineIndex, const Machine &machine) {
-    if (!machine.heard) return;
-    ++(machine.lost ? lost : live);
-    downlink_lost += machine.downlink_lost();
+    if (!machine.heartbeat.received()) return;
+    ++(machine.lost() ? lost : live);
+    downlink_lost += machine.downlink.lost();
   });
   const double now = runtime_.now(), cheapest = catalog_.cheapest_cpu();
   workers_.each([&](MachineIndex machine_index, const Machine &machine) {
     const double age = now - machine.rented_at, boot = machine.type >= 0 ? catalog_.type(machine.type).boot_s : 60;
     const bool awaited = failure_detector_.awaited(machine_index);
-    bool go = !machine.heard && !awaited && now - machine.known_since > 10 && age > kBootGiveUp * boot + 10;
+    bool go =
+        !machine.heartbeat.received() && !awaited && now - machine.known_since > 10 && age > kBootGiveUp * boot + 10;
     // Many machines silent at once points at the network rather than at them.
-    go |= machine.heard && machine.lost && !awaited &&
-          (lost <= live || now - machine.last_answer > settings_.lease_s + 30);
-    go |= machine.taken_at && now > *machine.taken_at + 1 &&
-          now - machine.last_answer > settings_.heartbeat_interval_s * 1.5 + 1;
-    if (machine.heard && !machine.lost && !awaited && machine.allocations.empty() && machine.idle_since >= 0 &&
-        (age >= kMinimumCharge - 2 || machine.order)) {
+    go |= machine.heartbeat.received() && machine.lost() && !awaited &&
+          (lost <= live || now - machine.heartbeat.last_accepted_at > settings_.lease_s + 30);
+    go |= machine.reclaim_at && now > *machine.reclaim_at + 1 &&
+          now - machine.heartbeat.last_accepted_at > settings_.heartbeat_interval_s * 1.5 + 1;
+    if (machine.available() && !awaited && machine.allocations.empty() && machine.idle_since >= 0 &&
+        (age >= kMinimumCharge - 2 || machine.admin_state)) {
       const bool keep = !machine.spot && scheduler_.kept(machine.type, 300);
       double hold = boot * (keep ? kHoldBootsKept : operators_.tunables().idle_boots);
       if (!keep && machine.type >= 0 && machine.size.cpus > 0)
         hold *= std::min(1.0, cheapest / InstanceTypeCatalog::cpu_price(catalog_.type(machine.type), machine.spot));
-      if (machine.draining) hold = std::min(hold, 3.0);
-      if (machine.order) hold = *machine.order == wire::MachineAdminState::Drain ? 0 : 1e9;
+      if (machine.draining()) hold = std::min(hold, 3.0);
+      if (machine.admin_state) hold = *machine.admin_state == wire::MachineAdminState::Drain ? 0 : 1e9;
       // Guards against what has come up, or has become free, in an outage being given back the moment that it is over.
       go |= now - std::max(machine.idle_since, nothing_placed_until_) > hold;
     }
     // One that hears nothing is replaced once its tasks are over by its lease; where many hear nothing it is the
     // network, and they are waited for as silent ones are.
-    if (machine.downlink_lost())
-      go |= now - machine.downlink_lost_since >
+    if (machine.downlink.lost())
+      go |= now - machine.downlink.lost_since() >
             settings_.lease_s +
                 (downlink_lost < 3 || 3 * downlink_lost <= live ? kDownlinkLossPatience : kMinimumCharge + boot);
-    if (go) workers_.give_back(machine_index);
-    if (machine.returning && names.size() < 100) names.push_back(machine.name);
+    if (go) workers_.mark_returning(machine_index);
+    if (machine.returning() && names.size() < 100) names.push_back(machine.name);
   });
   return names;
 }
 
 void Autoscaler::return_machines() {
-  workers_.forget_gone(600);
+  workers_.forget_removals(600);
   if (returning_) return;
   auto names = names_to_return();
   if (names.empty() || !calls_.take(runtime_.now())) return;
@@ -219,12 +220,12 @@
   std::vector<Candidate> candidates;
   double used = waiting_cpus, size = 0;
   workers_.each([&](MachineIndex machine_index, const Machine &machine) {
-    if (machine.returning || machine.lost || !machine.heard || machine.type < 0) return;
+    if (machine.returning() || machine.lost() || !machine.heartbeat.received() || machine.type < 0) return;
     if (!machine.spot && scheduler_.kept(machine.type, 600)) return;
     used += machine.used.cpus;
     size += machine.size.cpus;
     for (const auto &s : machine.allocations) // it keeps no dear machine
-      if (s.job.valid() && !s.finished && scheduler_.deferrable(s.job)) {
+      if (s.job.valid() && !s.completed() && scheduler_.deferrable(s.job)) {
         used -= s.need.cpus;
         size -= s.need.cpus;
       }
@@ -236,8 +237,8 @@
   });
   // Of the same price those go on draining that have begun, then those with least on them.
   std::sort(candidates.begin(), candidates.end(), [](const Candidate &a, const Candidate &candidate) {
-    return std::tuple(-a.price, !a.machine->draining, a.used_share) <
-           std::tuple(-candidate.price, !candidate.machine->draining, candidate.used_share);
+    return std::tuple(-a.price, !a.machine->draining(), a.used_share) <
+           std::tuple(-candidate.price, !candidate.machine->draining(), candidate.used_share);
   });
   double surplus = size - used / kDrainBelow;
   for (const auto &c : candidates) {
@@ -269,7 +270,7 @@
   };
   std::vector<Place> booting;
   workers_.each([&](MachineIndex, const Machine &machine) {
-    if (!machine.heard && !machine.listed_running && !machine.returning && machine.type >= 0)
+    if (!machine.heartbeat.received() && !machine.listing.running && !machine.returning() && machine.type >= 0)
       booting.push_back({machine.size, machine.type, machine.zone, machine.spot});
   });
   for (const auto &[key, count] : rents_open_)
@@ -288,7 +289,7 @@
     const Machine &machine =
         workers_[machine_index]; // one that is heard and not proven yet is so within a report or two
     return failure_detector_.expected(machine_index) ||
-           (machine.heard && !machine.lost && !machine.verified && !machine.downlink_lost());
+           (machine.available() && !machine.downlink.verified() && !machine.downlink.lost());
   });
   // Machines already up, those alike together, and the CPU seconds that they are expected to still spend.
   struct Alike {
@@ -303,7 +304,7 @@
     group.one.id = {};
     ++group.count;
     for (const auto &s : workers_[index[i]].allocations) {
-      if (!s.job.valid() || s.finished) continue;
+      if (!s.job.valid() || s.completed()) continue;
       const double ran = s.running_since >= 0 ? runtime_.now() - s.running_since : 0;
       busy[i] += std::max(5.0, jobs_[s.job].spec.estimate_s - ran) * s.need.cpus;
     }
@@ -490,7 +491,8 @@
     const auto pause = runtime_.now() + kNoCapacityPause;
     if (reply.status == 200) {
       for (const auto &name : reply.names)
-        if (!workers_.gone(name)) workers_.set_verified(workers_.add(name, call.type, call.zone, call.spot));
+        if (!workers_.removed_at(name))
+          workers_.mark_verified(workers_.find_or_add(name, call.type, call.zone, call.spot));
       if (static_cast<int>(reply.names.size()) < call.count) no_capacity_until_[kind] = pause;
     } else if (reply.status == 503 && reply.no_capacity) {
       no_capacity_until_[kind] = pause;
--- a/src/core/connectivity/connectivity_monitor.cpp
+++ b/src/core/connectivity/connectivity_monitor.cpp
@@ -273,7 +273,7 @@
 void ConnectivityMonitor::make_room() {
   if (!leadership_.active()) return;
   const double now = runtime_.now();
-  const auto live = workers_.live();
+  const auto live = workers_.available_count();
   const bool several = live >= FailureDetector::Count::kMin;
   const bool young = now - leadership_.took_over_at() < kYoung;
   const bool heard_any = last_report_at_ > leadership_.leading_since();
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -63,7 +63,7 @@
     deliver();
     state_writer_.flush();
     deliver();
-    workers_.send_stops();
+    workers_.send_stop_commands();
   }
   return runtime_.take();
 }
@@ -109,7 +109,7 @@
   if (!leadership_.leading()) return;
   step([this] {
     for (JobIndex job_index : jobs_.age())
-      workers_.tend_gang(job_index);
+      workers_.reconcile_gang(job_index);
   });
   step([this] { dependencies_.tick(); });
   status_reporter_.log_summary();
@@ -129,7 +129,7 @@
   workers_.each([&](MachineIndex machine_index, const Machine &machine) {
     good &= workers_.consistent(machine_index);
     for (const auto &s : machine.allocations)
-      if (s.job.valid() && !s.finished) ++allocations[s.job.position()];
+      if (s.job.valid() && !s.completed()) ++allocations[s.job.position()];
   });
   jobs_.each([&](JobIndex job_index, const Job &job) {
     good &= jobs_.consistent(job_index) && allocations[job_index.position()] == job.placed;
--- a/src/core/federation/capacity_survey.cpp
+++ b/src/core/federation/capacity_survey.cpp
@@ -11,21 +11,21 @@
 void CellFederation::survey() {
   std::map<MachineKind, Lot> lots;
   workers_.each([&](MachineIndex, const Machine &machine) {
-    if (machine.type < 0 || machine.lost || machine.returning || machine.order || machine.taken_at) return;
+    if (machine.type < 0 || machine.lost() || machine.returning() || machine.admin_state || machine.reclaim_at) return;
     Lot &lot = lots[{machine.type, machine.zone, machine.spot}];
     lot.size = machine.size;
-    if (!machine.heard) {
+    if (!machine.heartbeat.received()) {
       ++lot.starting;
       return;
     }
-    if (machine.silent(runtime_.now(), settings_.heartbeat_interval_s)) return;
+    if (machine.heartbeat_overdue(runtime_.now(), settings_.heartbeat_interval_s)) return;
     ++lot.machines;
     lot.idle += machine.allocations.empty();
     lot.cpus += machine.size.cpus;
     lot.free.add(machine.size);
     lot.free.add(machine.used, -1);
     for (const auto &s : machine.allocations) {
-      if (!s.job.valid() || s.finished || jobs_[s.job].delegated_here) continue;
+      if (!s.job.valid() || s.completed() || jobs_[s.job].delegated_here) continue;
       const double ran = s.running_since >= 0 ? runtime_.now() - s.running_since : 0;
       lot.busy += std::max(3.0, jobs_[s.job].spec.estimate_s - ran) * s.need.cpus;
     }
@@ -34,7 +34,7 @@
     for (const auto &zone : catalog_.types()[t].zones)
       for (bool spot : {false, true}) {
         const MachineKind kind(static_cast<int>(t), catalog_.find_zone(zone), spot);
-        if (std::get<1>(kind) < 0) continue;
+        if (kind.zone < 0) continue;
         Lot &lot = lots[kind];
         lot.size = catalog_.types()[t].size;
         lot.refused = autoscaler_.refused(kind);
@@ -70,14 +70,14 @@
       load += l.busy + l.ahead;
       if (l.ahead <= 0) {
         cells::View one;
-        one.kinds.push_back({"", "", std::get<2>(l.kind), false, static_cast<std::uint32_t>(l.machines),
+        one.kinds.push_back({"", "", l.kind.spot, false, static_cast<std::uint32_t>(l.machines),
                              static_cast<std::uint32_t>(l.idle), l.size, l.free, 0, 1});
         auto any = work;
         any.types.clear();
         places += cells::room(any, one);
       }
-      const auto &type = catalog_.type(std::get<0>(l.kind));
-      const bool price_premium = InstanceTypeCatalog::cpu_price(type, std::get<2>(l.kind)) > kExpensiveRatio * cheapest;
+      const auto &type = catalog_.type(l.kind.type);
+      const bool price_premium = InstanceTypeCatalog::cpu_price(type, l.kind.spot) > kExpensiveRatio * cheapest;
       if (l.starting > 0 || (!l.refused && !(price_premium && job.spec.urgency == Urgency::Low)))
         soon = std::min(soon, 1.1 * type.boot_s + 1);
     }
--- a/src/core/federation/delegations_in.cpp
+++ b/src/core/federation/delegations_in.cpp
@@ -7,8 +7,8 @@
 
 bool CellFederation::may_use(const cells::Work &work, const Lot &lot) const {
   wire::CellKind k;
-  k.type = catalog_.type_name(std::get<0>(lot.kind));
-  k.spot = std::get<2>(lot.kind);
+  k.type = catalog_.type_name(lot.kind.type);
+  k.spot = lot.kind.spot;
   k.size = lot.size;
   return cells::allowed(work, k);
 }
@@ -26,8 +26,8 @@
     rentable |= !l.refused;
   }
   workers_.each([&](MachineIndex, const Machine &machine) {
-    if (!machine.heard || machine.lost || machine.returning || machine.order || machine.taken_at || machine.draining ||
-        machine.silent(runtime_.now(), settings_.heartbeat_interval_s) ||
+    if (!machine.available() || machine.returning() || machine.admin_state || machine.reclaim_at ||
+        machine.draining() || machine.heartbeat_overdue(runtime_.now(), settings_.heartbeat_interval_s) ||
         !open.contains({machine.type, machine.zone, machine.spot}))
       return;
     Resources room = machine.size;
@@ -127,7 +127,7 @@
 void CellFederation::tend_inbound() {
   if (inbound_list_.empty()) return;
   const double now = runtime_.now();
-  const auto counts = workers_.running_counts();
+  const auto counts = workers_.running_tasks_by_job();
   for (std::size_t k = 0; k < inbound_list_.size(); ++k) {
     const JobIndex job_index = inbound_list_[k];
     auto &d = *inbound_[job_index.position()];
@@ -140,7 +140,7 @@
       d.idle_since = now;
     if (waits && now - d.idle_since > kUnstarted && !std::exchange(d.draining, true)) {
       jobs_.pause(job_index, true);
-      workers_.withdraw(job_index); // or it would keep a place for a start that is never sent
+      workers_.release_unsent(job_index); // or it would keep a place for a start that is never sent
     }
     const bool still = job.placed == 0 && job.unaccounted == 0;
     if (d.draining && still) close(job_index, d);
--- a/src/core/heartbeats/heartbeat_handler.cpp
+++ b/src/core/heartbeats/heartbeat_handler.cpp
@@ -61,7 +61,7 @@
   return {spread_.direct_rate(),
           spread_.limits().reports,
           spread_.passed_rate(),
-          leads ? workers_.kept_by(-1) : relay_.workers(),
+          leads ? workers_.available_count(-1) : relay_.workers(),
           leads ? spread_.limits().sockets : relay_.most(),
           leads && spread_.wanted()};
 }
@@ -71,7 +71,7 @@
   if (leadership_.leading() &&
       (failure_detector_.in_part() || (own.workers != WorkerReachability::Reachable && connectivity_.carried(own))))
     spread_.call_for(runtime_.now() + kCalledFor);
-  spread_.tick(runtime_.now(), Replicas::kPingEvery, leadership_.leading() ? workers_.kept_by(-1) : 0);
+  spread_.tick(runtime_.now(), Replicas::kPingEvery, leadership_.leading() ? workers_.available_count(-1) : 0);
 }
 
 void HeartbeatHandler::pong_taken(const wire::PeerMessage &message) {
@@ -86,7 +86,7 @@
   // A copy of an old report says nothing of who reaches this node; a leader can tell.
   const MachineIndex known = leadership_.leading() ? workers_.index(cmd.report.machine) : MachineIndex();
   if (!known.valid() || std::pair(cmd.report.incarnation, cmd.report.sequence) >
-                            std::pair(workers_[known].incarnation, workers_[known].sequence))
+                            std::pair(workers_[known].heartbeat.incarnation, workers_[known].heartbeat.sequence))
     connectivity_.heard(cmd.report.zone);
   if (relay_to() < 0) {
     if (leadership_.role() == Role::Follower) relay_.left(cmd.report.machine);
@@ -115,7 +115,7 @@
   }
   if (!replicas_.answering()) return no("leadership is being renewed");
   // A machine that was given back can only speak through packets held up on the way.
-  if (workers_.gone(heartbeat.machine)) return no("this machine was given back");
+  if (workers_.removed_at(heartbeat.machine)) return no("this machine was given back");
   if (unsure_ && unsure_(heartbeat)) return no("what it runs for another cell is being confirmed");
   spread_.heard(from.direct());
   if (from.direct())
@@ -123,22 +123,22 @@
       runtime_.reply(from.req, 421, wire::encode_redirect(replicas_.name(static_cast<std::size_t>(s))));
       return std::nullopt;
     }
-  const MachineIndex machine_index = workers_.add(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot);
-  switch (workers_.hear(machine_index, heartbeat, from.replica)) {
-  case WorkerRegistry::Heard::Late:
+  const MachineIndex machine_index =
+      workers_.find_or_add(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot);
+  Pending p{from, machine_index, {}};
+  switch (workers_.accept_heartbeat(machine_index, heartbeat, from.replica, p.orders)) {
+  case WorkerRegistry::HeartbeatResult::Stale:
     return no("a newer report is known");
-  case WorkerRegistry::Heard::Failed:
+  case WorkerRegistry::HeartbeatResult::MachineFailed:
     return no("this machine has failed");
-  case WorkerRegistry::Heard::Taken:
+  case WorkerRegistry::HeartbeatResult::Accepted:
     break;
   }
-  Pending p{from, machine_index, {}};
-  workers_.take_tasks(machine_index, heartbeat, p.orders);
   return p;
 }
 
 void HeartbeatHandler::answer(Pending &&p) {
-  workers_.answer(p.machine, leadership_.active() && replicas_.answering(), p.orders);
+  workers_.build_response(p.machine, leadership_.active() && replicas_.answering(), p.orders);
   tell(p.from, 200, p.orders);
 }
 
@@ -200,7 +200,7 @@
   const MachineIndex known = workers_.index(heartbeat.machine);
   if (known.valid()) {
     if (runtime_.now() - grown(sent_away_, known, -1e9) < kSentAwayAgain ||
-        runtime_.now() - workers_[known].last_answer > 2 * settings_.heartbeat_interval_s)
+        runtime_.now() - workers_[known].heartbeat.last_accepted_at > 2 * settings_.heartbeat_interval_s)
       return -1;
   } else if (!heartbeat.tasks.empty()) {
     return -1;
@@ -213,7 +213,7 @@
   for (std::size_t i = 0; i < replicas_.count(); ++i) {
     const auto &s = replicas_[i];
     if (!s.passes || runtime_.now() - s.stated_at > kWordLife) continue;
-    if (const auto keeps = workers_.kept_by(static_cast<int>(i)); best < 0 || keeps < least) {
+    if (const auto keeps = workers_.available_count(static_cast<int>(i)); best < 0 || keeps < least) {
       best = static_cast<int>(i);
       least = keeps;
     }
--- a/src/core/liveness/failure_detector.cpp
+++ b/src/core/liveness/failure_detector.cpp
@@ -14,13 +14,14 @@
 } // namespace
 
 std::size_t FailureDetector::way(const Machine &machine) const {
-  return machine.heard ? static_cast<std::size_t>(machine.forwarding_replica + 1) : settings_.replicas.size() + 1;
+  return machine.heartbeat.received() ? static_cast<std::size_t>(machine.heartbeat.forwarding_replica + 1)
+                                      : settings_.replicas.size() + 1;
 }
 
 std::optional<double> FailureDetector::late_from(const Machine &machine) const {
-  if (machine.returning || machine.listed_failed || machine.type < 0) return std::nullopt;
-  if (!machine.heard && !machine.listed_running) return std::nullopt; // it boots
-  const double since = machine.heard ? machine.last_answer : machine.known_since;
+  if (machine.returning() || machine.listing.failed || machine.type < 0) return std::nullopt;
+  if (!machine.heartbeat.received() && !machine.listing.running) return std::nullopt; // it boots
+  const double since = machine.heartbeat.received() ? machine.heartbeat.last_accepted_at : machine.known_since;
   return runtime_.now() - since > late_after(settings_) ? std::optional(since) : std::nullopt;
 }
 
@@ -33,9 +34,9 @@
   next_ = runtime_.now() + kEvery;
   table_.assign(settings_.replicas.size() + 2, {});
   workers_.each([this](MachineIndex, const Machine &machine) {
-    if (machine.type < 0 || machine.returning || machine.listed_failed) return;
+    if (machine.type < 0 || machine.returning() || machine.listing.failed) return;
     const bool late = late_from(machine).has_value();
-    if (!machine.heard && !late) return;
+    if (!machine.heartbeat.received() && !late) return;
     Count &count = grown(table_[way(machine)], machine.zone);
     ++count.known;
     count.late += late;
@@ -101,13 +102,14 @@
   if (!from) return false;
   const double silent = runtime_.now() - *from;
   if (cause(machine_index) != Cause::Machine) return silent < hold_s(machine);
-  return !machine.heard && silent < std::max(kUnheardLeast, settings_.lease_s + 2 * settings_.heartbeat_interval_s);
+  return !machine.heartbeat.received() &&
+         silent < std::max(kUnheardLeast, settings_.lease_s + 2 * settings_.heartbeat_interval_s);
 }
 
 bool FailureDetector::expected(MachineIndex machine_index) const {
   const Machine &machine = workers_[machine_index];
   const auto from = late_from(machine);
-  if (!from) return !machine.heard && machine.listed_running; // it was up, and has still time to report
+  if (!from) return !machine.heartbeat.received() && machine.listing.running; // it was up, and has still time to report
   const double silent = runtime_.now() - *from;
   switch (cause(machine_index)) {
   case Cause::All:
@@ -116,7 +118,7 @@
     return silent < std::min(hold_s(machine),
                              kTryNode * static_cast<double>(ways_.size() - 1) + 2 * settings_.heartbeat_interval_s);
   default:
-    return !machine.heard && silent < 2 * late_after(settings_);
+    return !machine.heartbeat.received() && silent < 2 * late_after(settings_);
   }
 }
 
--- a/src/core/quotas/quotas.cpp
+++ b/src/core/quotas/quotas.cpp
@@ -147,7 +147,7 @@
   });
   for (JobIndex job_index : jobs) {
     if (!beyond(used()[static_cast<std::size_t>(team)], here(team))) return;
-    workers_.withdraw(job_index);
+    workers_.release_unsent(job_index);
   }
 }
 
@@ -186,10 +186,10 @@
   workers_.each([&](MachineIndex machine_index, const Machine &machine) {
     for (std::size_t s = 0; s < machine.allocations.size(); ++s) {
       const Allocation &allocation = machine.allocations[s];
-      if (!allocation.job.valid() || allocation.finished || jobs_[allocation.job].team != team) continue;
+      if (!allocation.job.valid() || allocation.completed() || jobs_[allocation.job].team != team) continue;
       if (!(cpus && allocation.need.cpus > 0) && !(gpus && allocation.need.gpus > 0))
         continue; // its end would help nobody
-      if (allocation.stop)
+      if (allocation.stop_requested())
         left.add(allocation.need, -1);
       else
         places.push_back({jobs_[allocation.job].submit_wall, allocation.placed_at, allocation.job, machine_index, s});
@@ -214,7 +214,7 @@
   for (auto [m, s] : stops)
     workers_.stop(m, s, jobs_[workers_[m].allocations[s].job].spec.save_s + 1);
   for (JobIndex job_index : jobs)
-    workers_.stop_all(job_index, jobs_[job_index].spec.save_s + 1);
+    workers_.stop_job(job_index, jobs_[job_index].spec.save_s + 1);
   if (!stops.empty() || !jobs.empty())
     runtime_.log(LogLevel::Info, "over_quota_tasks_stopped",
                  {{"team", limit.name}, {"tasks", stops.size()}, {"gangs", jobs.size()}});
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -86,9 +86,10 @@
   for (std::size_t position = first; position < end; ++position) {
     const MachineIndex machine_index(position);
     const Machine *p = workers_.find(machine_index);
-    if (!p || p->returning || p->taken_at || p->draining || p->order || p->type < 0) continue;
+    if (!p || p->returning() || p->reclaim_at || p->draining() || p->admin_state || p->type < 0) continue;
     // Probably dead, hanging or cut off.
-    if ((!p->heard || p->lost || p->silent(runtime_.now(), settings_.heartbeat_interval_s) || !p->accepts_commands()) &&
+    if ((!p->available() || p->heartbeat_overdue(runtime_.now(), settings_.heartbeat_interval_s) ||
+         !p->downlink.accepts_commands()) &&
         !(silent_too && silent_too(machine_index)))
       continue;
     PlaceMachine machine;
@@ -111,7 +112,7 @@
       machine.spare = p->size;
       machine.spare.add(k->need, -1);
       for (const auto &s : p->allocations)
-        if (!s.finished && small(s)) machine.spare.add(s.need, -1);
+        if (!s.completed() && small(s)) machine.spare.add(s.need, -1);
     }
     out.push_back(std::move(machine));
     index.push_back(machine_index);
@@ -127,7 +128,7 @@
   auto small_only = [&](int k) {
     const auto &allocations = workers_[index[static_cast<std::size_t>(k)]].allocations;
     return std::all_of(allocations.begin(), allocations.end(),
-                       [&](const Allocation &allocation) { return allocation.finished || small(allocation); });
+                       [&](const Allocation &allocation) { return allocation.completed() || small(allocation); });
   };
   for (int k = 0; k < static_cast<int>(out.size()); ++k) {
     auto &m = out[static_cast<std::size_t>(k)];
@@ -231,7 +232,7 @@
 }
 
 void Scheduler::offer(MachineIndex machine_index) {
-  if (!wanted() || workers_[machine_index].returning || !workers_[machine_index].accepts_commands() ||
+  if (!wanted() || workers_[machine_index].returning() || !workers_[machine_index].downlink.accepts_commands() ||
       !leadership_.active() || !quotas_.ready() || line_.empty())
     return;
   std::vector<MachineIndex> index;
@@ -290,7 +291,7 @@
     attempt = job.gang_attempt;
   state_writer_.start(job_index, i);
   jobs_.place(job_index, i, machine_index, workers_[machine_index].zone);
-  workers_.put(machine_index, job_index, i, attempt);
+  workers_.allocate(machine_index, job_index, i, attempt);
   grown(waits_, job_index).since = runtime_.now();
   if (!state_writer_.recorded(job_index, i)) jobs_.changed(job_index, true);
   if (job.placed == 1 && runtime_.shows(LogLevel::Debug))
@@ -387,7 +388,7 @@
         if (job.team == team && job.placed > 0) running.push_back(job_index);
       });
       for (JobIndex job_index : running)
-        if (workers_.stop_all(job_index, jobs_[job_index].spec.save_s + 1))
+        if (workers_.stop_job(job_index, jobs_[job_index].spec.save_s + 1))
           events_.publish(TasksStoppedByBudget{job_index});
     }
 }
@@ -433,8 +434,8 @@
     for (std::size_t s = 0; s < allocations.size(); ++s) {
       const Allocation &allocation = allocations[s];
       const Job *owner = allocation.job.valid() ? jobs_.find(allocation.job) : nullptr;
-      if (allocation.finished) continue;
-      if (allocation.stop) { // going anyway
+      if (allocation.completed()) continue;
+      if (allocation.stop_requested()) { // going anyway
         offer.free.add(allocation.need);
         offer.at_once &= owner && owner->spec.checkpoint_s <= 0;
       } else if (owner && (dependencies_.urgency(allocation.job) < job.urgency || owner->delegated_here) &&
