--- a/include/loftrouter/client/verbs.hpp
+++ b/include/loftrouter/client/commands.hpp
@@ -10,7 +10,7 @@
 
 enum Exit { kGood = 0, kRefused = 1, kUsage = 2, kUnreachable = 3 };
 
-struct Verb {
+struct Command {
   enum class Kind {
     Status,
     Jobs,
@@ -38,6 +38,6 @@
 };
 
 // Writes to standard output, and what went wrong to standard error; an `Exit`.
-int run(const Verb &verb);
+int run(const Command &command);
 
 } // namespace loftrouter::client
--- a/include/loftrouter/client/ask.hpp
+++ b/include/loftrouter/client/service_client.hpp
@@ -23,10 +23,10 @@
   std::function<double()> chance;    // from 0 to 1
 };
 
-class Service {
+class ServiceClient {
 public:
   // `servers`: "http://a:8080,b:8080"; the scheme may be left out.
-  Service(const std::string &servers, double deadline_s, Transport transport, Clock clock);
+  ServiceClient(const std::string &servers, double deadline_s, Transport transport, Clock clock);
   Answer ask(const std::string &method, const std::string &path, const std::string &body = "");
 
 private:
--- a/include/loftrouter/client/render.hpp
+++ b/include/loftrouter/client/tables.hpp
@@ -13,9 +13,9 @@
   std::vector<std::string> head;
   std::vector<std::vector<std::string>> rows;
 };
-Table jobs_table(const nlohmann::json &jobs);       // of /admin/v1/jobs, /foreseen or /report
-Table teams_table(const nlohmann::json &statement); // of /admin/v1/statement
-Table used_table(const nlohmann::json &statement);  // its jobs
+Table jobs_table(const nlohmann::json &jobs);               // of /admin/v1/jobs, /foreseen or /report
+Table usage_by_team_table(const nlohmann::json &statement); // of /admin/v1/statement
+Table usage_by_job_table(const nlohmann::json &statement);  // its jobs
 Table budgets_table(const nlohmann::json &budgets);
 Table quotas_table(const nlohmann::json &quotas);               // of /admin/v1/quotas
 Table configuration_table(const nlohmann::json &configuration); // of /admin/v1/configuration
--- a/src/client/ask.cpp
+++ b/src/client/service_client.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/client/ask.hpp"
+#include "loftrouter/client/service_client.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -12,19 +12,19 @@
 namespace loftrouter::client {
 
 namespace {
-constexpr double kTry = 5.0;                 // s, for one try
-constexpr double kPause = 0.2, kLongest = 3; // s, between tries
-constexpr std::size_t kMaxBytes = 64 << 20;  // of an answer
+constexpr double kTryTimeoutS = 5.0;                 // s, for one try
+constexpr double kFirstPauseS = 0.2, kMaxPauseS = 3; // s, between tries
+constexpr std::size_t kMaxAnswerBytes = 64 << 20;    // of an answer
 
 std::size_t take(char *data, std::size_t size, std::size_t n, void *to) {
   auto &body = *static_cast<std::string *>(to);
-  if (body.size() + size * n > kMaxBytes) return 0; // ends the transfer
+  if (body.size() + size * n > kMaxAnswerBytes) return 0; // ends the transfer
   body.append(data, size * n);
   return size * n;
 }
 } // namespace
 
-Service::Service(const std::string &servers, double deadline_s, Transport transport, Clock clock)
+ServiceClient::ServiceClient(const std::string &servers, double deadline_s, Transport transport, Clock clock)
     : deadline_s_(deadline_s), transport_(std::move(transport)), clock_(std::move(clock)) {
   for (std::size_t from = 0; from <= servers.size();) {
     const auto to = std::min(servers.find(',', from), servers.size());
@@ -36,14 +36,14 @@
   }
 }
 
-Answer Service::ask(const std::string &method, const std::string &path, const std::string &body) {
+Answer ServiceClient::ask(const std::string &method, const std::string &path, const std::string &body) {
   const double until = clock_.now() + deadline_s_;
   const bool again = method == "GET" || method == "PUT";
   Answer last;
   last.problem = "no server is named";
-  for (double pause = kPause; !servers_.empty(); pause = std::min(2 * pause, kLongest)) {
+  for (double pause = kFirstPauseS; !servers_.empty(); pause = std::min(2 * pause, kMaxPauseS)) {
     const auto &server = servers_[next_ % servers_.size()];
-    last = transport_(method, server + path, body, std::min(kTry, std::max(0.05, until - clock_.now())));
+    last = transport_(method, server + path, body, std::min(kTryTimeoutS, std::max(0.05, until - clock_.now())));
     if (last.status != 0 && last.status != 503) return last;
     ++next_; // another node may be better off
     const double wait = std::max<double>(last.retry_after_s, pause * (0.5 + clock_.chance()));
--- a/src/client/render.cpp
+++ b/src/client/tables.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/client/render.hpp"
+#include "loftrouter/client/tables.hpp"
 
 #include <algorithm>
 #include <array>
@@ -35,13 +35,13 @@
   return json.is_object() && json.contains("cpu_hours") ? text(json["cpu_hours"], kind) : "";
 }
 
-std::vector<std::string> used(const Json &json) {
+std::vector<std::string> usage_columns(const Json &json) {
   return {hours(json, "held"),    hours(json, "useful"),   hours(json, "fetch"),     hours(json, "gang_wait"),
           hours(json, "lost"),    hours(json, "unsorted"), hours(json, "uncertain"), text(json, "gb_hours"),
           text(json, "attempts"), text(json, "retries"),   text(json, "cost")};
 }
-const std::vector<std::string> kUsed = {"cpu_h",     "useful", "fetch",    "gang_wait", "lost", "unsorted",
-                                        "uncertain", "gb_h",   "attempts", "retries",   "cost"};
+const std::vector<std::string> kUsageColumns = {"cpu_h",     "useful", "fetch",    "gang_wait", "lost", "unsorted",
+                                                "uncertain", "gb_h",   "attempts", "retries",   "cost"};
 
 void append(std::vector<std::string> &to, const std::vector<std::string> &from) {
   to.insert(to.end(), from.begin(), from.end());
@@ -98,24 +98,24 @@
   return table;
 }
 
-Table teams_table(const Json &statement) {
+Table usage_by_team_table(const Json &statement) {
   Table table{{"team", "budget", "spent"}, {}};
-  append(table.head, kUsed);
+  append(table.head, kUsageColumns);
   for (const auto &x : list(statement, "teams")) {
     table.rows.push_back({text(x, "team"), text(x, "budget_cpu_hours"), text(x, "spent")});
-    append(table.rows.back(), used(x));
+    append(table.rows.back(), usage_columns(x));
   }
   return table;
 }
 
-Table used_table(const Json &statement) {
+Table usage_by_job_table(const Json &statement) {
   Table table{{"job", "team", "class", "outcome", "late", "retried"}, {}};
-  append(table.head, kUsed);
+  append(table.head, kUsageColumns);
   table.head.push_back("reason");
   for (const auto &x : list(statement, "jobs")) {
     table.rows.push_back(
         {text(x, "id"), text(x, "team"), text(x, "class"), text(x, "outcome"), text(x, "late"), text(x, "retried")});
-    append(table.rows.back(), used(x));
+    append(table.rows.back(), usage_columns(x));
     table.rows.back().push_back(text(x, "reason"));
   }
   return table;
--- a/tests/client_test.cpp
+++ b/tests/client_test.cpp
@@ -2,8 +2,8 @@
 #include <gtest/gtest.h>
 
 #include "loftrouter/app/features.hpp"
-#include "loftrouter/client/ask.hpp"
-#include "loftrouter/client/render.hpp"
+#include "loftrouter/client/service_client.hpp"
+#include "loftrouter/client/tables.hpp"
 
 using namespace loftrouter;
 using namespace loftrouter::client;
@@ -18,13 +18,13 @@
   double now = 0;
 
   Answer ask(const std::string &method, double deadline_s) {
-    Service s("a:1,http://b:2/", deadline_s,
-              [this](const std::string &, const std::string &url, const std::string &, double) {
-                urls.push_back(url);
-                now += 0.01;
-                return answers[std::min(urls.size(), answers.size()) - 1];
-              },
-              {[this] { return now; }, [this](double s) { now += s; }, [] { return 0.5; }});
+    ServiceClient s("a:1,http://b:2/", deadline_s,
+                    [this](const std::string &, const std::string &url, const std::string &, double) {
+                      urls.push_back(url);
+                      now += 0.01;
+                      return answers[std::min(urls.size(), answers.size()) - 1];
+                    },
+                    {[this] { return now; }, [this](double s) { now += s; }, [] { return 0.5; }});
     return s.ask(method, "/x");
   }
 };
