--- a/include/loftrouter/client/commands.hpp
+++ b/include/loftrouter/client/commands.hpp
@@ -1,4 +1,7 @@
-// What loftrouterctl does, apart from reading its command line.
+// The commands of loftrouterctl, apart from reading its command line: each asks the administration API of any replica
+// and prints the answer.
+//
+// Owns nothing beyond one call. It changes the service's state by the administration API alone.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +11,17 @@
 
 namespace loftrouter::client {
 
-enum Exit { kGood = 0, kRefused = 1, kUsage = 2, kUnreachable = 3 };
+// Exit codes of the program, for scripts.
+enum Exit : std::uint8_t {
+  kGood = 0,
+  kRefused = 1,     // by the service: the request itself is wrong
+  kUsage = 2,       // the command line is wrong, or a file cannot be written
+  kUnreachable = 3, // no replica has answered within the timeout
+};
 
+// One command with its options, as they were given.
 struct Command {
-  enum class Kind {
+  enum class Kind : std::uint8_t {
     Status,
     Jobs,
     Statement,
@@ -22,22 +32,39 @@
     QuotaSet,
     ConfigStatus,
     ConfigHistory
-  } kind = Kind::Status;
-  std::string servers = "127.0.0.1:8080", output = "table"; // table, json or csv
-  double timeout_s = 20;
-  std::string team, period, html;
-  bool late = false, ended = false, by_job = false;
+  };
+  Kind kind = Kind::Status;
+  std::string servers = "127.0.0.1:8080"; // of any replicas, joined by commas
+  std::string output = "table";           // table, json or csv
+  double timeout_s = 20;                  // for all tries together
+  std::string team;                       // empty: all
+  std::string period;                     // by the date of its beginning; empty: the present one
+  std::string html;                       // Report: the file to write
+
+  // Jobs, Statement
+  bool late = false;
+  bool ended = false;
+  bool by_job = false;
+
   // BudgetSet
-  std::optional<double> cpu_hours, warn_share;
-  std::string when_spent, every, starts, utc_offset;
-  bool none = false;
+  std::optional<double> cpu_hours;
+  std::optional<double> warn_share;
+  std::string when_spent; // finish or stop
+  std::string every;      // day or week
+  std::string starts;     // hh:mm
+  std::string utc_offset; // +hh:mm
+  bool none = false;      // BudgetSet, QuotaSet: remove it
+
   // QuotaSet
-  std::optional<double> cpus, cpus_max, gpus, gpus_max;
-  std::optional<std::uint64_t> version;
-  std::vector<std::string> shares; // cell=CPUs
+  std::optional<double> cpus;
+  std::optional<double> cpus_max;
+  std::optional<double> gpus;
+  std::optional<double> gpus_max;
+  std::optional<std::uint64_t> version; // only if the quota still has this one
+  std::vector<std::string> shares;      // cell=CPUs
 };
 
-// Writes to standard output, and what went wrong to standard error; an `Exit`.
+// Writes the answer to standard output, and what went wrong to standard error. Returns an `Exit`.
 int run(const Command &command);
 
 } // namespace loftrouter::client
--- a/src/client/main.cpp
+++ b/src/client/main.cpp
@@ -28,8 +28,8 @@
   return group;
 }
 
-void add_team_filter(CLI::App *command, Command &command) {
-  command->add_option("--team", command.team, "only this team's");
+void add_team_filter(CLI::App *subcommand, Command &command) {
+  subcommand->add_option("--team", command.team, "only this team's");
 }
 
 void add_common_options(CLI::App &app, Command &command) {
--- a/tests/client_test.cpp
+++ b/tests/client_test.cpp
@@ -2,6 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "loftrouter/app/features.hpp"
+#include "loftrouter/client/report.hpp"
 #include "loftrouter/client/service_client.hpp"
 #include "loftrouter/client/tables.hpp"
 
