--- a/include/loftrouter/client/commands.hpp
+++ b/include/loftrouter/client/commands.hpp
@@ -12,11 +12,11 @@
 namespace loftrouter::client {
 
 // Exit codes of the program, for scripts.
-enum Exit : std::uint8_t {
-  kGood = 0,
-  kRefused = 1,     // by the service: the request itself is wrong
-  kUsage = 2,       // the command line is wrong, or a file cannot be written
-  kUnreachable = 3, // no replica has answered within the timeout
+enum class ExitCode : std::uint8_t {
+  Success = 0,
+  Refused = 1,     // by the service: the request itself is wrong
+  Usage = 2,       // the command line is wrong, or a file cannot be written
+  Unreachable = 3, // no replica has answered within the timeout
 };
 
 // One command with its options, as they were given.
@@ -64,7 +64,7 @@
   std::vector<std::string> shares;      // cell=CPUs
 };
 
-// Writes the answer to standard output, and what went wrong to standard error. Returns an `Exit`.
-int run(const Command &command);
+// Writes the answer to standard output, and what went wrong to standard error.
+[[nodiscard]] ExitCode run(const Command &command);
 
 } // namespace loftrouter::client
--- a/src/client/commands.cpp
+++ b/src/client/commands.cpp
@@ -22,20 +22,22 @@
 
 // Ends a command with an exit code and the line that says why.
 struct CommandError {
-  Exit code;
+  ExitCode code;
   std::string reason;
 };
 
 json ask(ServiceClient &service, const std::string &method, const std::string &path, const json &body = nullptr) {
   const Answer answer = service.ask(method, path, body.is_null() ? "" : body.dump());
-  if (answer.status == 0) throw CommandError{kUnreachable, "no answer: " + answer.problem};
+  if (answer.status == 0) throw CommandError{ExitCode::Unreachable, "no answer: " + answer.problem};
   auto parsed = json::parse(answer.body, nullptr, false);
   const std::string error = parsed.is_object() ? parsed.value("error", "") : "";
   if (answer.status >= kFirstServerErrorStatus)
-    throw CommandError{kUnreachable, fmt::format("the service cannot tell now ({}): {}", answer.status, error)};
+    throw CommandError{ExitCode::Unreachable,
+                       fmt::format("the service cannot tell now ({}): {}", answer.status, error)};
   if (answer.status >= kFirstErrorStatus)
-    throw CommandError{kRefused, fmt::format("{} ({})", error.empty() ? "refused" : error, answer.status)};
-  if (!parsed.is_object()) throw CommandError{kUnreachable, "not an answer of loftrouter: is this its address?"};
+    throw CommandError{ExitCode::Refused, fmt::format("{} ({})", error.empty() ? "refused" : error, answer.status)};
+  if (!parsed.is_object())
+    throw CommandError{ExitCode::Unreachable, "not an answer of loftrouter: is this its address?"};
   return parsed;
 }
 
@@ -86,7 +88,7 @@
 // The answer with one team alone, if the command names it.
 json only_team(json quotas, const std::string &team) {
   if (team.empty()) return quotas;
-  if (!quotas["teams"].contains(team)) throw CommandError{kRefused, "there is no such team"};
+  if (!quotas["teams"].contains(team)) throw CommandError{ExitCode::Refused, "there is no such team"};
   return {{"teams", {{team, quotas["teams"][team]}}}};
 }
 
@@ -120,7 +122,7 @@
   const auto plot = plot_by_hour(statement);
   std::ofstream file(command.html);
   file << report_html(statement, all_pages(service, "/admin/v1/jobs", ""), plot);
-  if (!file.flush()) throw CommandError{kUsage, command.html + ": cannot be written"};
+  if (!file.flush()) throw CommandError{ExitCode::Usage, command.html + ": cannot be written"};
   if (plot.empty()) std::fputs("loftrouterctl: no plot: nothing has ended, or gnuplot is not installed\n", stderr);
   std::cout << command.html << "\n";
 }
@@ -144,14 +146,14 @@
   json change = json::object();
   const json budget = team_budget(command);
   if (command.team.empty() && (command.none || !budget.empty()))
-    throw CommandError{kUsage, "name the team whose budget this is"};
+    throw CommandError{ExitCode::Usage, "name the team whose budget this is"};
   if (!command.team.empty() && !command.none && budget.empty())
-    throw CommandError{kUsage, "nothing to set for this team"};
+    throw CommandError{ExitCode::Usage, "nothing to set for this team"};
   if (!command.team.empty()) change["teams"][command.team] = command.none ? json() : budget;
   if (!command.every.empty()) change["every"] = command.every;
   if (!command.starts.empty()) change["starts"] = command.starts;
   if (!command.utc_offset.empty()) change["utc_offset"] = command.utc_offset;
-  if (change.empty()) throw CommandError{kUsage, "nothing to set; see loftrouterctl budget set --help"};
+  if (change.empty()) throw CommandError{ExitCode::Usage, "nothing to set; see loftrouterctl budget set --help"};
   return change;
 }
 
@@ -193,10 +195,10 @@
   for (const auto &share : command.shares) {
     const auto equals = share.find('=');
     const auto cpus = share_cpus(share, equals);
-    if (!cpus) throw CommandError{kUsage, "--share: cell=CPUs is wanted"};
+    if (!cpus) throw CommandError{ExitCode::Usage, "--share: cell=CPUs is wanted"};
     change["shares"][share.substr(0, equals)] = {{"cpus", *cpus}};
   }
-  if (change.empty()) throw CommandError{kUsage, "nothing to set; see loftrouterctl quota set --help"};
+  if (change.empty()) throw CommandError{ExitCode::Usage, "nothing to set; see loftrouterctl quota set --help"};
   if (command.version) change["version"] = *command.version;
   return change;
 }
@@ -244,7 +246,7 @@
 
 } // namespace
 
-int run(const Command &command) {
+ExitCode run(const Command &command) {
   ServiceClient service(command.servers, command.timeout_s, curl_transport(), real_clock());
   try {
     dispatch(service, command);
@@ -252,7 +254,7 @@
     std::fprintf(stderr, "loftrouterctl: %s\n", error.reason.c_str());
     return error.code;
   }
-  return kGood;
+  return ExitCode::Success;
 }
 
 } // namespace loftrouter::client
--- a/src/client/main.cpp
+++ b/src/client/main.cpp
@@ -1,5 +1,7 @@
 // loftrouterctl, the command-line client: reads its command line and hands it on.
+#include <cstdio>
 #include <cstdlib>
+#include <exception>
 
 #include <CLI/CLI.hpp>
 
@@ -8,6 +10,7 @@
 namespace {
 
 using loftrouter::client::Command;
+using loftrouter::client::ExitCode;
 using Kind = Command::Kind;
 
 constexpr const char *kServerVariable = "LOFTROUTER_SERVER";
@@ -110,15 +113,7 @@
   if (const char *servers = std::getenv(kOldServerVariable)) command.servers = servers;
 }
 
-} // namespace
-
-int main(int argc, char **argv) {
-  CLI::App app{"loftrouterctl, the command-line client of loftrouter", "loftrouterctl"};
-  app.require_subcommand(1);
-  app.set_version_flag("--version", std::string("loftrouterctl ") + LOFTROUTER_VERSION);
-  app.footer("Exit codes: 0 good, 1 refused by the service, 2 wrong use, 3 no answer in time.\n"
-             "LOFTROUTER_SERVER names the nodes: LOFTROUTER_SERVER=10.0.0.1:8080,10.0.0.2:8080 loftrouterctl jobs");
-  Command command;
+void add_all(CLI::App &app, Command &command) {
   add_common_options(app, command);
   app.fallthrough();
   add_jobs(app, command);
@@ -128,11 +123,34 @@
   add_config(app, command);
   add_report(app, command);
   add_leaf(app, command, Kind::Status, "status", "leader, fleet, queues and troubles, as JSON");
+}
+
+ExitCode parse_and_run(int argc, char **argv) {
+  CLI::App app{"loftrouterctl, the command-line client of loftrouter", "loftrouterctl"};
+  app.require_subcommand(1);
+  app.set_version_flag("--version", std::string("loftrouterctl ") + LOFTROUTER_VERSION);
+  app.footer("Exit codes: 0 good, 1 refused by the service, 2 wrong use, 3 no answer in time.\n"
+             "LOFTROUTER_SERVER names the nodes: LOFTROUTER_SERVER=10.0.0.1:8080,10.0.0.2:8080 loftrouterctl jobs");
+  Command command;
+  add_all(app, command);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError &error) {
-    return app.exit(error) == 0 ? loftrouter::client::kGood : loftrouter::client::kUsage;
+    return app.exit(error) == 0 ? ExitCode::Success : ExitCode::Usage; // help and version are such errors, too
   }
   apply_old_server_variable(app, command);
   return loftrouter::client::run(command);
 }
+
+} // namespace
+
+int main(int argc, char **argv) {
+  try {
+    return static_cast<int>(parse_and_run(argc, argv));
+  } catch (const std::exception &error) { // out of memory, or an answer whose fields are of other types
+    std::fprintf(stderr, "loftrouterctl: %s\n", error.what());
+  } catch (...) {
+    std::fputs("loftrouterctl: an unknown error\n", stderr);
+  }
+  return static_cast<int>(ExitCode::Unreachable);
+}
--- a/src/client/report.cpp
+++ b/src/client/report.cpp
@@ -121,8 +121,13 @@
 
 // ---- plot ----
 
-enum Outcome : std::uint8_t { kInTime, kLate, kStopped, kOutcomes };
-using JobsByHour = std::map<int, std::array<int, kOutcomes>>;
+// Jobs that ended within an hour.
+struct HourCount {
+  int in_time = 0;
+  int late = 0;
+  int stopped = 0;
+};
+using JobsByHour = std::map<int, HourCount>;
 
 constexpr int kHoursADay = 24;
 constexpr const char *kPlotHead =
@@ -134,9 +139,13 @@
     "EOD\nplot $d using 2:xtic(1) title 'in time' lc rgb '#2f7d6b', '' using 3 title 'late' lc rgb '#d98e04', "
     "'' using 4 title 'stopped' lc rgb '#8a94a0'\n";
 
-Outcome outcome_of(const json &job) {
-  if (is_cancelled(job)) return kStopped;
-  return is_late(job) ? kLate : kInTime;
+void count_job(HourCount &count, const json &job) {
+  if (is_cancelled(job))
+    ++count.stopped;
+  else if (is_late(job))
+    ++count.late;
+  else
+    ++count.in_time;
 }
 
 JobsByHour count_by_hour(const json &statement) {
@@ -145,7 +154,7 @@
     const auto ended = field_text(job, "ended"); // hh:mm...
     if (ended.size() < 2) continue;
     const int hour = std::atoi(ended.substr(0, 2).c_str());
-    ++counts[hour][outcome_of(job)];
+    count_job(counts[hour], job);
   }
   return counts;
 }
@@ -153,8 +162,8 @@
 std::string plot_script(JobsByHour &counts) {
   std::string script = kPlotHead;
   for (int hour = 0; hour < kHoursADay; ++hour) {
-    const auto &count = counts[hour];
-    script += fmt::format("{:02} {} {} {}\n", hour, count[kInTime], count[kLate], count[kStopped]);
+    const HourCount &count = counts[hour];
+    script += fmt::format("{:02} {} {} {}\n", hour, count.in_time, count.late, count.stopped);
   }
   return script + kPlotTail;
 }
