--- a/include/loftrouter/accounts/period.hpp
+++ b/include/loftrouter/accounts/period.hpp
@@ -1,5 +1,5 @@
-// Accounting periods by the clock: a day or a week that begins at a time of day, at a fixed distance from UTC. Pure.
-// (No daylight saving: an operator who has it changes the distance.)
+// Accounting periods: days or weeks that begin at a time of day, at a fixed distance from UTC. Pure functions of the
+// wall clock, without state. There is no daylight saving: an operator who has it changes the distance.
 #pragma once
 
 #include <optional>
@@ -8,19 +8,26 @@
 
 namespace loftrouter::accounts {
 
+// Divides time into periods without gaps. Wall-clock times are in seconds since 1970, UTC.
 struct Clock {
-  int starts_min = 0;  // minute of the local day
-  int offset_min = 0;  // local time minus UTC
-  bool weekly = false; // from Monday
+  int starts_min = 0;  // when a period begins: minute of the local day, 0 to 1439
+  int offset_min = 0;  // local time minus UTC, in minutes, -840 to 840
+  bool weekly = false; // periods of a week, from Monday; otherwise of a day
   bool operator==(const Clock &) const = default;
 
-  double begin(double wall) const; // of the period that `wall` (s since 1970, UTC) lies in
-  double end(double wall) const { return begin(wall) + (weekly ? 7 : 1) * 86400.0; }
-  std::string name(double wall) const; // local date of its beginning, 2026-12-01
+  // Begin of the period that `wall` lies in.
+  [[nodiscard]] double begin(double wall) const;
+  // Begin of the one after it.
+  [[nodiscard]] double end(double wall) const;
+  // Its name: the local date of its begin, as 2026-12-01. Names sort as the periods do.
+  [[nodiscard]] std::string name(double wall) const;
 };
 
-std::optional<int> parse_minute(std::string_view hh_mm);    // "20:00"
-std::optional<int> parse_offset(std::string_view distance); // "+05:30"
+// Minute of the day of "20:00"; nothing if it is no time of day.
+std::optional<int> parse_minute(std::string_view text);
+// Minutes of "+05:30", from -14:00 to +14:00; nothing if it is no such distance.
+std::optional<int> parse_offset(std::string_view text);
+// The reverse.
 std::string format_minute(int minute);
 std::string format_offset(int minutes);
 
--- a/src/accounts/period.cpp
+++ b/src/accounts/period.cpp
@@ -8,40 +8,67 @@
 
 namespace loftrouter::accounts {
 
+namespace {
+constexpr double kDay = 86400.0; // s
+constexpr double kMinute = 60.0; // s
+constexpr int kDaysPerWeek = 7;
+constexpr int kDaysSinceMonday = 3; // of 1970-01-01, a Thursday
+constexpr int kMinutesPerHour = 60;
+constexpr int kMaxOffset = 14 * kMinutesPerHour;
+
+// The number that two digits stand for; nothing if they are none.
+std::optional<int> two_digits(std::string_view text) {
+  int number = 0;
+  for (char digit : text) {
+    if (digit < '0' || digit > '9') return std::nullopt;
+    number = number * 10 + (digit - '0');
+  }
+  return number;
+}
+} // namespace
+
 double Clock::begin(double wall) const {
-  const double local = wall + offset_min * 60.0 - starts_min * 60.0;
-  double day = std::floor(local / 86400.0);
-  if (weekly) day -= std::fmod(std::fmod(day + 3, 7) + 7, 7); // 1970-01-01 was a Thursday
-  return day * 86400.0 + starts_min * 60.0 - offset_min * 60.0;
+  const double local = wall + offset_min * kMinute - starts_min * kMinute;
+  double day = std::floor(local / kDay);
+  if (weekly) {
+    const double days_after_monday = std::fmod(day + kDaysSinceMonday, kDaysPerWeek);
+    day -= std::fmod(days_after_monday + kDaysPerWeek, kDaysPerWeek); // also before 1970
+  }
+  return day * kDay + starts_min * kMinute - offset_min * kMinute;
+}
+
+double Clock::end(double wall) const {
+  return begin(wall) + (weekly ? kDaysPerWeek : 1) * kDay;
 }
 
 std::string Clock::name(double wall) const {
-  const auto day = static_cast<int>(std::floor((begin(wall) + offset_min * 60.0) / 86400.0));
-  const std::chrono::year_month_day date{std::chrono::sys_days{std::chrono::days{day}}};
+  const auto days_since_1970 = static_cast<int>(std::floor((begin(wall) + offset_min * kMinute) / kDay));
+  const std::chrono::year_month_day date{std::chrono::sys_days{std::chrono::days{days_since_1970}}};
   return fmt::format("{:04}-{:02}-{:02}", static_cast<int>(date.year()), static_cast<unsigned>(date.month()),
                      static_cast<unsigned>(date.day()));
 }
 
-std::optional<int> parse_minute(std::string_view t) {
-  auto digit = [&](std::size_t i) { return t[i] >= '0' && t[i] <= '9' ? t[i] - '0' : 100; };
-  if (t.size() != 5 || t[2] != ':') return std::nullopt;
-  const int h = digit(0) * 10 + digit(1), m = digit(3) * 10 + digit(4);
-  return h < 24 && m < 60 ? std::optional(h * 60 + m) : std::nullopt;
+std::optional<int> parse_minute(std::string_view text) {
+  if (text.size() != 5 || text[2] != ':') return std::nullopt;
+  const auto hours = two_digits(text.substr(0, 2));
+  const auto minutes = two_digits(text.substr(3, 2));
+  if (!hours || !minutes || *hours >= 24 || *minutes >= kMinutesPerHour) return std::nullopt;
+  return *hours * kMinutesPerHour + *minutes;
 }
 
-std::optional<int> parse_offset(std::string_view t) {
-  if (t.size() != 6 || (t[0] != '+' && t[0] != '-')) return std::nullopt;
-  const auto m = parse_minute(t.substr(1));
-  if (!m || *m > 14 * 60) return std::nullopt;
-  return t[0] == '-' ? -*m : *m;
+std::optional<int> parse_offset(std::string_view text) {
+  if (text.size() != 6 || (text[0] != '+' && text[0] != '-')) return std::nullopt;
+  const auto minutes = parse_minute(text.substr(1));
+  if (!minutes || *minutes > kMaxOffset) return std::nullopt;
+  return text[0] == '-' ? -*minutes : *minutes;
 }
 
-std::string format_minute(int m) {
-  return fmt::format("{:02}:{:02}", m / 60, m % 60);
+std::string format_minute(int minute) {
+  return fmt::format("{:02}:{:02}", minute / kMinutesPerHour, minute % kMinutesPerHour);
 }
 
-std::string format_offset(int m) {
-  return (m < 0 ? "-" : "+") + format_minute(std::abs(m));
+std::string format_offset(int minutes) {
+  return (minutes < 0 ? "-" : "+") + format_minute(std::abs(minutes));
 }
 
 } // namespace loftrouter::accounts
--- a/src/wire/cell.cpp
+++ b/src/wire/cell.cpp
@@ -133,7 +133,7 @@
   put(out, message.other_term);
   put(out, static_cast<std::uint8_t>(message.yes));
   put(out, message.running);
-  for (auto v : message.usage.v)
+  for (auto v : message.usage.values)
     put(out, static_cast<std::uint64_t>(std::max<std::int64_t>(0, v)));
   put_ranges(out, message.ranges);
 }
@@ -142,7 +142,7 @@
   const auto yes = reader.get<std::uint8_t>();
   message.yes = yes == 1;
   message.running = reader.get<std::uint32_t>();
-  for (auto &v : message.usage.v) {
+  for (auto &v : message.usage.values) {
     const auto n = reader.get<std::uint64_t>();
     if (n >= 1ULL << 53) return reader.ok = false;
     v = static_cast<std::int64_t>(n);
