--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -5,6 +5,8 @@
 
 #include <fmt/format.h>
 
+#include "loftrouter/wire/storage_keys.hpp"
+
 namespace loftrouter::core {
 
 namespace {
@@ -190,8 +192,8 @@
 // Open jobs by id, a page at a time: all of them, or those foreseen to be late.
 void AdministrationApiHandler::jobs(RequestId req, const wire::AdminRequest &ask, bool foreseen) {
   if (!state_limits_.take_read(runtime_.now())) return fail(req, 503, "too many questions at once");
-  runtime_.store(StoreList{"open/", ask.from.empty() ? "" : "open/" + ask.from}, kAdminDeadline,
-                 [this, req, ask, foreseen](const wire::StoreReply &reply) {
+  runtime_.store(StoreList{std::string(wire::kOpenPrefix), ask.from.empty() ? "" : wire::open_key(ask.from)},
+                 kAdminDeadline, [this, req, ask, foreseen](const wire::StoreReply &reply) {
                    if (reply.status != 200) return fail(req, 503, "the state service did not answer");
                    std::vector<wire::AdminJob> out;
                    std::string next;
@@ -217,8 +219,8 @@
 // What has ended within the period, a page of the records at a time.
 void AdministrationApiHandler::report(RequestId req, const wire::AdminRequest &ask) {
   if (!state_limits_.take_read(runtime_.now())) return fail(req, 503, "too many questions at once");
-  runtime_.store(StoreList{"end/", ask.from.empty() ? "" : "end/" + ask.from}, kAdminDeadline,
-                 [this, req, ask](const wire::StoreReply &reply) {
+  runtime_.store(StoreList{std::string(wire::kEndPrefix), ask.from.empty() ? "" : wire::end_key(ask.from)},
+                 kAdminDeadline, [this, req, ask](const wire::StoreReply &reply) {
                    if (reply.status != 200) return fail(req, 503, "the state service did not answer");
                    std::vector<wire::AdminJob> out;
                    std::string next;
@@ -250,32 +252,35 @@
     }
   if (statement.ends == 0)
     return fail(req, 404, "no such period: the date of its beginning is wanted, within 400 days");
-  runtime_.store(StoreList{"progress/", ""}, kAdminDeadline, [this, req, ask, statement](const wire::StoreReply &r) {
-    if (r.status != 200 || r.more) return fail(req, 503, "the state service did not answer");
-    SumsByTeam sums;
-    for (const auto &e : r.entries)
-      if (auto shard = wire::progress_from_json(e.key, e.value)) add(sums, shard->sums);
-    runtime_.store(StoreGet{"accounts/" + statement.period}, kAdminDeadline,
-                   [this, req, ask, statement, sums](const wire::StoreReply &reply) mutable {
-                     if (reply.status != 200 && reply.status != 404)
-                       return fail(req, 503, "the state service did not answer");
-                     if (reply.status == 200 && reply.entries.size() == 1)
-                       if (auto kept = wire::sums_from_json(reply.entries[0].value)) add(sums, *kept);
-                     const auto &budgets = operators_.budgets().teams;
-                     for (const auto &t : settings_.teams) {
-                       if (!ask.team.empty() && ask.team != t.name) continue;
-                       const auto b = budgets.find(t.name);
-                       statement.teams.push_back({t.name, sums[{statement.period, t.name}],
-                                                  b == budgets.end() ? std::nullopt : std::optional(b->second)});
-                     }
-                     statement_jobs(req, ask, std::move(statement));
-                   });
-  });
+  runtime_.store(StoreList{std::string(wire::kProgressPrefix), ""}, kAdminDeadline,
+                 [this, req, ask, statement](const wire::StoreReply &r) {
+                   if (r.status != 200 || r.more) return fail(req, 503, "the state service did not answer");
+                   SumsByTeam sums;
+                   for (const auto &e : r.entries)
+                     if (auto shard = wire::progress_from_json(e.key, e.value)) add(sums, shard->sums);
+                   runtime_.store(StoreGet{wire::accounts_key(statement.period)}, kAdminDeadline,
+                                  [this, req, ask, statement, sums](const wire::StoreReply &reply) mutable {
+                                    if (reply.status != 200 && reply.status != 404)
+                                      return fail(req, 503, "the state service did not answer");
+                                    if (reply.status == 200 && reply.entries.size() == 1)
+                                      if (auto kept = wire::sums_from_json(reply.entries[0].value)) add(sums, *kept);
+                                    const auto &budgets = operators_.budgets().teams;
+                                    for (const auto &t : settings_.teams) {
+                                      if (!ask.team.empty() && ask.team != t.name) continue;
+                                      const auto b = budgets.find(t.name);
+                                      statement.teams.push_back(
+                                          {t.name, sums[{statement.period, t.name}],
+                                           b == budgets.end() ? std::nullopt : std::optional(b->second)});
+                                    }
+                                    statement_jobs(req, ask, std::move(statement));
+                                  });
+                 });
 }
 
 void AdministrationApiHandler::statement_jobs(RequestId req, const wire::AdminRequest &ask,
                                               wire::AdminStatement statement) {
-  runtime_.store(StoreList{"end/", ask.from.empty() ? "" : "end/" + ask.from}, kAdminDeadline,
+  runtime_.store(StoreList{std::string(wire::kEndPrefix), ask.from.empty() ? "" : wire::end_key(ask.from)},
+                 kAdminDeadline,
                  [this, req, ask, statement = std::move(statement)](const wire::StoreReply &reply) mutable {
                    if (reply.status != 200) return fail(req, 503, "the state service did not answer");
                    std::string last;
--- a/src/core/api/job_api_handler.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -6,6 +6,8 @@
 
 #include <fmt/format.h>
 
+#include "loftrouter/wire/storage_keys.hpp"
+
 namespace loftrouter::core {
 
 namespace {
@@ -216,8 +218,8 @@
     return runtime_.refuse(question.req, "too many submissions at once");
   ++under_way_;
   auto value = wire::to_json(record);
-  runtime_.store(StoreCommit{{{"open/" + question.id, 0}, {"end/" + question.id, 0}},
-                             {{"open/" + question.id, std::move(value), 0}}},
+  runtime_.store(StoreCommit{{{wire::open_key(question.id), 0}, {wire::end_key(question.id), 0}},
+                             {{wire::open_key(question.id), std::move(value), 0}}},
                  kUserDeadline, [this, question, record = std::move(record)](const wire::StoreReply &reply) {
                    --under_way_;
                    if (reply.status == 200) {
@@ -284,7 +286,7 @@
 void JobApiHandler::learn(const std::string &id, std::function<void(Named)> then) {
   if (under_way_ >= kMaxUserOps || !state_limits_.take_read(runtime_.now(), 1.3)) return then(Named::Unknown);
   ++under_way_;
-  runtime_.store(StoreGet{"open/" + id}, kUserDeadline / 2, [this, id, then](const wire::StoreReply &r) {
+  runtime_.store(StoreGet{wire::open_key(id)}, kUserDeadline / 2, [this, id, then](const wire::StoreReply &r) {
     --under_way_;
     const bool one = r.status == 200 && r.entries.size() == 1;
     if (auto end = one ? wire::final_from_json(r.entries[0].value) : std::nullopt) {
@@ -298,7 +300,7 @@
       return then(Named::Unknown);
     }
     ++under_way_;
-    runtime_.store(StoreGet{"end/" + id}, kUserDeadline / 2, [this, id, then](const wire::StoreReply &reply) {
+    runtime_.store(StoreGet{wire::end_key(id)}, kUserDeadline / 2, [this, id, then](const wire::StoreReply &reply) {
       --under_way_;
       if (reply.status == 404) return then(Named::Never);
       auto end =
@@ -333,26 +335,27 @@
   if (under_way_ >= kMaxUserOps || !state_limits_.take_read(runtime_.now(), 1.3))
     return runtime_.refuse(question.req, "too many questions at once");
   ++under_way_;
-  runtime_.store(StoreGet{"open/" + question.id}, kUserDeadline / 2, [this, question](const wire::StoreReply &reply) {
-    --under_way_;
-    if (reply.status == 404) return read_end(question, false);
-    if (auto end = reply.entries.size() == 1 ? wire::final_from_json(reply.entries[0].value) : std::nullopt) {
-      ended_.remember(question.id, *end);
-      return answer_end(question.req, question.id, *end, question.as_submit);
-    }
-    auto open =
-        reply.status == 200 && reply.entries.size() == 1 ? wire::open_from_json(reply.entries[0].value) : std::nullopt;
-    if (!open) return no_answer(question, Verb::Look, "the state service did not answer");
-    if (open->delegated)
-      return question.as_submit ? want_id(question, reply.entries[0].mod_revision, std::move(*open))
-                                : read_end(question, false);
-    note_open(*open, reply.entries[0].mod_revision, open->cancelled);
-    if (open->cancelled || open->spec.waits_for.empty()) return tell_open(question, open->cancelled);
-    Question names = question; // how those are that it waits for
-    names.patience = kNamesPatience;
-    names.unchanged.push_back("open/" + question.id);
-    questions_.push_back(std::move(names));
-  });
+  runtime_.store(
+      StoreGet{wire::open_key(question.id)}, kUserDeadline / 2, [this, question](const wire::StoreReply &reply) {
+        --under_way_;
+        if (reply.status == 404) return read_end(question, false);
+        if (auto end = reply.entries.size() == 1 ? wire::final_from_json(reply.entries[0].value) : std::nullopt) {
+          ended_.remember(question.id, *end);
+          return answer_end(question.req, question.id, *end, question.as_submit);
+        }
+        auto open = reply.status == 200 && reply.entries.size() == 1 ? wire::open_from_json(reply.entries[0].value)
+                                                                     : std::nullopt;
+        if (!open) return no_answer(question, Verb::Look, "the state service did not answer");
+        if (open->delegated)
+          return question.as_submit ? want_id(question, reply.entries[0].mod_revision, std::move(*open))
+                                    : read_end(question, false);
+        note_open(*open, reply.entries[0].mod_revision, open->cancelled);
+        if (open->cancelled || open->spec.waits_for.empty()) return tell_open(question, open->cancelled);
+        Question names = question; // how those are that it waits for
+        names.patience = kNamesPatience;
+        names.unchanged.push_back(wire::open_key(question.id));
+        questions_.push_back(std::move(names));
+      });
 }
 
 // A job that it names and that was cancelled, as far as this node knows; empty: none.
@@ -406,7 +409,7 @@
     return std::nullopt;
   }
   Compared out;
-  all.emplace_back("open/" + question.id, own->second.mod_revision);
+  all.emplace_back(wire::open_key(question.id), own->second.mod_revision);
   const auto names = own->second.waits_for; // what is learnt below may move the entry
   std::vector<std::string> done;
   for (const auto &name : names) {
@@ -427,7 +430,7 @@
     if (found == Named::Done)
       done.push_back(name);
     else
-      all.emplace_back("open/" + name, known_open_.find(name)->second.mod_revision);
+      all.emplace_back(wire::open_key(name), known_open_.find(name)->second.mod_revision);
   }
   if (auto it = known_open_.find(question.id); it != known_open_.end() && !done.empty())
     std::erase_if(it->second.waits_for,
@@ -494,13 +497,13 @@
         no_answer(q, Verb::Look, "the state service did not answer");
         continue;
       }
-      if (failed("open/" + q.id)) {
+      if (failed(wire::open_key(q.id))) {
         read_open(q); // cancelled or over by now
         continue;
       }
       for (const auto &key : c.keys)
         if (failed(key)) { // so is one that it waits for: that is read again
-          known_open_.erase(key.substr(5));
+          known_open_.erase(wire::record_name(key));
           q.patience = kNamesPatience;
         }
       if (reply.status == 200 && c.whole) {
@@ -520,16 +523,17 @@
 void JobApiHandler::want_id(const Question &question, std::uint64_t mod_revision, OpenRecord record) {
   const std::string why = "work of cell " + record.delegated->origin + " bears this id here; it is being given back";
   if (!std::exchange(record.cancelled, true) && state_limits_.take_write(runtime_.now()))
-    runtime_.store(
-        StoreCommit{{{"open/" + question.id, mod_revision}}, {{"open/" + question.id, wire::to_json(record), 0}}},
-        kUserDeadline, [](const wire::StoreReply &) {});
+    runtime_.store(StoreCommit{{{wire::open_key(question.id), mod_revision}},
+                               {{wire::open_key(question.id), wire::to_json(record), 0}}},
+                   kUserDeadline, [](const wire::StoreReply &) {});
   runtime_.refuse(question.req, why, 2);
 }
 
 void JobApiHandler::read_end(const Question &question, bool as_abort) {
   ++under_way_;
   runtime_.store(
-      StoreGet{"end/" + question.id}, kUserDeadline / 2, [this, question, as_abort](const wire::StoreReply &reply) {
+      StoreGet{wire::end_key(question.id)}, kUserDeadline / 2,
+      [this, question, as_abort](const wire::StoreReply &reply) {
         --under_way_;
         if (reply.status == 404 && !question.as_submit)
           return runtime_.reply(question.req, 404, wire::encode_error("no such job"));
@@ -561,7 +565,7 @@
   if (under_way_ >= kMaxUserOps || !state_limits_.take_write(runtime_.now()))
     return runtime_.refuse(question.req, "too many requests at once");
   ++under_way_;
-  runtime_.store(StoreGet{"open/" + question.id}, kUserDeadline / 2, [this, question](const wire::StoreReply &r) {
+  runtime_.store(StoreGet{wire::open_key(question.id)}, kUserDeadline / 2, [this, question](const wire::StoreReply &r) {
     --under_way_;
     if (r.status == 404) return read_end(question, true);
     if (auto end = r.entries.size() == 1 ? wire::final_from_json(r.entries[0].value) : std::nullopt) {
@@ -584,8 +588,8 @@
       shorter.spec.waits_for.clear();
       value = wire::to_json(shorter);
     }
-    runtime_.store(StoreCommit{{{"open/" + question.id, r.entries[0].mod_revision}},
-                               {{"open/" + question.id, std::move(value), 0}}},
+    runtime_.store(StoreCommit{{{wire::open_key(question.id), r.entries[0].mod_revision}},
+                               {{wire::open_key(question.id), std::move(value), 0}}},
                    kUserDeadline, [this, question, record = *open](const wire::StoreReply &reply) {
                      --under_way_;
                      if (reply.status == 200) {
--- a/src/core/federation/delegations_in.cpp
+++ b/src/core/federation/delegations_in.cpp
@@ -3,6 +3,8 @@
 
 #include <algorithm>
 
+#include "loftrouter/wire/storage_keys.hpp"
+
 namespace loftrouter::core {
 
 bool CellFederation::may_use(const cells::Work &work, const Lot &lot) const {
@@ -70,7 +72,7 @@
   if (!capacity_grants_.take(m.number, tasks, runtime_.now())) return answer(false, "no room was promised for it");
   OpenRecord record{std::move(*job), runtime_.wall(), false, DelegationSource{m.from, m.generation, m.ranges}};
   record.spec.zone.reset();
-  const std::string key = "open/" + record.spec.id, end = "end/" + record.spec.id;
+  const std::string key = wire::open_key(record.spec.id), end = wire::end_key(record.spec.id);
   auto value = wire::to_json(record);
   if (!state_limits_.fits(value, StateServiceLimits::kRoomForMark))
     return answer(false, "its description is too long to be kept");
@@ -78,7 +80,7 @@
   taking_.insert(m.generation);
   // The record comes before the yes; an id that anybody here uses or has used is not mixed with it.
   runtime_.store(
-      StoreCommit{{{"leader", leadership_.term()}, {key, 0}, {end, 0}}, {{key, value, 0}}}, 1.5,
+      StoreCommit{{{std::string(wire::kLeaderKey), leadership_.term()}, {key, 0}, {end, 0}}, {{key, value, 0}}}, 1.5,
       [this, answer, key, value, g = m.generation, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
         if (epoch != leadership_.epoch()) return;
         taking_.erase(g);
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "loftrouter/wire/storage_keys.hpp"
+
 namespace loftrouter::core {
 
 namespace {
@@ -145,11 +147,11 @@
     if (end) ended_.remember(name, std::move(*end));
   };
   const auto epoch = leadership_.epoch();
-  runtime_.store(StoreGet{"open/" + name}, 1.0, [this, name, told, epoch](const wire::StoreReply &r) {
+  runtime_.store(StoreGet{wire::open_key(name)}, 1.0, [this, name, told, epoch](const wire::StoreReply &r) {
     if (epoch != leadership_.epoch()) return;
     if (r.status != 404)
       return told(r.status == 200 && r.entries.size() == 1 ? wire::final_from_json(r.entries[0].value) : std::nullopt);
-    runtime_.store(StoreGet{"end/" + name}, 1.0, [this, told, epoch](const wire::StoreReply &reply) {
+    runtime_.store(StoreGet{wire::end_key(name)}, 1.0, [this, told, epoch](const wire::StoreReply &reply) {
       if (epoch != leadership_.epoch()) return;
       told(reply.status == 200 && reply.entries.size() == 1 ? wire::end_from_json(reply.entries[0].value)
                                                             : std::nullopt);
