--- a/include/loftrouter/core/api/administration_api_handler.hpp
+++ b/include/loftrouter/core/api/administration_api_handler.hpp
@@ -22,7 +22,7 @@
                            const Autoscaler &autoscaler, const Replicas &replicas,
                            const ConnectivityMonitor &connectivity, const CellFederation &cells,
                            const HeartbeatHandler &heartbeats, const ServiceLevelCounters &service_levels,
-                           const StatusReporter &status_reporter, const Ledger &ledger,
+                           const StatusReporter &status_reporter, const UsageLedger &ledger,
                            ConfigurationApiHandler &configuration)
       : runtime_(runtime), settings_(settings), catalog_(catalog), operators_(operators), state_limits_(state_limits),
         leadership_(leadership), cancellations_(cancellations), jobs_(jobs), dependencies_(dependencies),
@@ -59,7 +59,7 @@
   const HeartbeatHandler &heartbeats_;
   const ServiceLevelCounters &service_levels_;
   const StatusReporter &status_reporter_;
-  const Ledger &ledger_;
+  const UsageLedger &ledger_;
   ConfigurationApiHandler &configuration_;
 };
 
--- a/include/loftrouter/core/api/status_reporter.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -23,7 +23,7 @@
                  const JobTable &jobs, const EndedJobs &ended, const Dependencies &dependencies,
                  const FailureAttribution &failure_attribution, const PendingReasons &pending_reasons,
                  const WorkerRegistry &workers, const Scheduler &scheduler, const Quotas &quotas,
-                 const Autoscaler &autoscaler, const JobObjectives &objectives, const Ledger &ledger,
+                 const Autoscaler &autoscaler, const JobObjectives &objectives, const UsageLedger &ledger,
                  Replicas &replicas)
       : runtime_(runtime), settings_(settings), catalog_(catalog), operators_(operators), leadership_(leadership),
         cancellations_(cancellations), jobs_(jobs), ended_(ended), dependencies_(dependencies),
@@ -86,7 +86,7 @@
   const Quotas &quotas_;
   const Autoscaler &autoscaler_;
   const JobObjectives &objectives_;
-  const Ledger &ledger_;
+  const UsageLedger &ledger_;
   Replicas &replicas_;
   std::unordered_map<std::string, News> news_;
   std::deque<std::string> news_order_;
--- a/include/loftrouter/core/core.hpp
+++ b/include/loftrouter/core/core.hpp
@@ -61,7 +61,7 @@
   Dependencies dependencies_;
   FailureAttribution failure_attribution_;
   PendingReasons pending_reasons_;
-  Ledger ledger_;
+  UsageLedger ledger_;
   StateWriter state_writer_;
   Cancellations cancellations_;
   StateWatch watch_;
--- a/include/loftrouter/core/federation/cell_federation.hpp
+++ b/include/loftrouter/core/federation/cell_federation.hpp
@@ -43,7 +43,7 @@
   CellFederation(Runtime &runtime, Events &events, const Settings &settings, const InstanceTypeCatalog &catalog,
                  const Operators &operators, const Leadership &leadership, const Cancellations &cancellations,
                  StateServiceLimits &state_limits, JobTable &jobs, const FailureAttribution &failure_attribution,
-                 Ledger &ledger, StateWriter &state_writer, WorkerRegistry &workers, Replicas &replicas,
+                 UsageLedger &ledger, StateWriter &state_writer, WorkerRegistry &workers, Replicas &replicas,
                  const Quotas &quotas, const Autoscaler &autoscaler, const JobObjectives &objectives);
 
   bool on() const { return !settings_.cells.name.empty(); }
@@ -161,7 +161,7 @@
   StateServiceLimits &state_limits_;
   JobTable &jobs_;
   const FailureAttribution &failure_attribution_;
-  Ledger &ledger_;
+  UsageLedger &ledger_;
   StateWriter &state_writer_;
   WorkerRegistry &workers_;
   Replicas &replicas_;
--- a/include/loftrouter/core/scheduling/scheduler.hpp
+++ b/include/loftrouter/core/scheduling/scheduler.hpp
@@ -29,7 +29,7 @@
   Scheduler(Runtime &runtime, Events &events, const Settings &settings, const InstanceTypeCatalog &catalog,
             const Operators &operators, const Leadership &leadership, JobTable &jobs, const Dependencies &dependencies,
             const FailureAttribution &failure_attribution, StateWriter &state_writer, WorkerRegistry &workers,
-            const JobObjectives &objectives, const Ledger &ledger, const Quotas &quotas)
+            const JobObjectives &objectives, const UsageLedger &ledger, const Quotas &quotas)
       : runtime_(runtime), events_(events), settings_(settings), catalog_(catalog), operators_(operators),
         leadership_(leadership), jobs_(jobs), dependencies_(dependencies), failure_attribution_(failure_attribution),
         state_writer_(state_writer), workers_(workers), objectives_(objectives), ledger_(ledger), quotas_(quotas) {}
@@ -102,7 +102,7 @@
   StateWriter &state_writer_;
   WorkerRegistry &workers_;
   const JobObjectives &objectives_;
-  const Ledger &ledger_;
+  const UsageLedger &ledger_;
   const Quotas &quotas_;
   double next_round_ = 0, next_ahead_ = 0, up_cpus_ = 0;
   bool room_ = false; // a task has exited since the last round
--- a/include/loftrouter/core/state/cancellations.hpp
+++ b/include/loftrouter/core/state/cancellations.hpp
@@ -1,16 +1,16 @@
-// Which cancellations this leader knows of, and so how long it may keep workers alive.
+// Up to which moment this replica, as leader, knows every cancellation, and so for how long it may keep workers alive.
 //
-// Owns what this node has read or written of cancellations, what its siblings have said of theirs, and the moment up to
-// which that is complete: `known_until`. Promises that every cancellation told to any user before then is marked in the
-// job table, also for a job that comes into it later. It is the only place that decides whether a worker's lease may be
-// renewed as far as cancellations go; if it were wrong, a task would outlive its cancellation (ran_cancelled). See
-// docs/safety.md, "ran_cancelled". It decides nothing about who leads.
+// Owns what this replica has read or written of cancellations, what the other replicas have reported of theirs, and
+// the moment up to which that is complete: `known_until`. Invariant: every cancellation that any user was told of
+// before then is marked in the job table, also for a job that comes into it later. It is the only place that decides
+// whether workers' leases may be renewed as far as cancellations go; if it were wrong, a task would outlive its
+// cancellation (rule `ran_cancelled`; docs/safety.md has the argument). It takes no part in elections. Times are
+// monotonic, in seconds, unless a name says otherwise. Not thread-safe: used by the core's thread alone.
 #pragma once
 
 #include <deque>
 #include <string>
 #include <unordered_map>
-#include <utility>
 #include <vector>
 
 #include "loftrouter/core/election/leadership.hpp"
@@ -22,46 +22,56 @@
 
 class Cancellations {
 public:
-  Cancellations(Runtime &runtime, const Settings &settings, const Leadership &leadership, JobTable &jobs)
-      : runtime_(runtime), settings_(settings), leadership_(leadership), jobs_(jobs),
-        words_(settings.replicas.size(), -1e9) {}
+  Cancellations(Runtime &runtime, const Settings &settings, const Leadership &leadership, JobTable &jobs);
 
-  // This node has read or written that a job is cancelled. Always before a user is told.
-  void note(const std::string &id);
-  // What this node has noted within `cancel_s`, newest first, as far as a frame holds.
-  std::vector<std::string> repeated();
-  bool all_repeated() const { return noted_.size() <= wire::kPeerMaxCancelled; }
+  // This replica has read or written that a job is cancelled. To be called before any user is told.
+  void record(const std::string &id);
+  // Ids that this replica has recorded within `Settings::cancel_s`, the newest first, as many as a message to another
+  // replica holds.
+  [[nodiscard]] std::vector<std::string> recent();
+  // Whether `recent` has left none out.
+  [[nodiscard]] bool recent_is_complete() const { return recorded_here_.size() <= wire::kPeerMaxCancelled; }
 
-  // The state service's word: all that was recorded before `asked` (mono) is in the job table.
-  void news(double asked);
-  // A sibling's word, in answer to a question asked at `asked`: what it repeats, and how long its process has been up.
-  void hear(std::size_t replica, double asked, double uptime_s, const std::vector<std::string> &ids);
+  // Everything that was in the state service at `asked_at` has been taken into the job table.
+  void confirmed_by_state_service(double asked_at);
+  // Another replica's `recent`, in answer to a question sent at `asked_at`, and for how long its process has run.
+  void confirmed_by_replica(std::size_t replica, double asked_at, double uptime_s, const std::vector<std::string> &ids);
 
-  double known_until() const; // mono
-  double known_until_wall() const { return runtime_.wall() - (runtime_.now() - known_until()); }
-  // Whatever is not known here would still be over in time, if an answer now lets a worker run on for a lease.
-  bool may_renew() const;
+  // The moment up to which every cancellation is known; and the same on the wall clock, s since 1970.
+  [[nodiscard]] double known_until() const;
+  [[nodiscard]] double known_until_wall() const { return runtime_.wall() - (runtime_.now() - known_until()); }
+  // Whether a worker's lease may be renewed now: a task whose cancellation is not known here would still end in time.
+  [[nodiscard]] bool may_renew() const;
 
   void on(const LeaderElected &);
   void on(const JobAccepted &);
   void on(const TermEnded &);
 
 private:
-  // Jobs; as many as a node remembers as open, at 0.12 KB each.
-  static constexpr std::size_t kMaxNoted = 12'000, kMaxAwaited = 12'000;
-  bool reads() const { return leadership_.role() == Role::Loading || leadership_.role() == Role::Leading; }
-  bool mark(const std::string &id); // false: too many are awaited
+  static constexpr double kNever = -1e9;
+  // Bounds, in jobs: as many as a replica remembers as open, at 0.12 KB each.
+  static constexpr std::size_t kMaxRecorded = 12'000;
+  static constexpr std::size_t kMaxUnmatched = 12'000;
+
+  struct RecordedCancellation {
+    std::string id;
+    double recorded_at;
+  };
+
+  [[nodiscard]] bool collecting() const;
+  [[nodiscard]] bool apply(const std::string &id);
 
   Runtime &runtime_;
   const Settings &settings_;
   const Leadership &leadership_;
   JobTable &jobs_;
-  std::deque<std::pair<std::string, double>> noted_; // by this node, and when
-  // Cancelled, but not in the job table: what was read before may still bring it in, without its mark. Until news asked
-  // for later than this time.
-  std::unordered_map<std::string, double> awaited_;
-  std::vector<double> words_;               // by sibling: all that its processes had noted by then is known here
-  double news_ = -1e9, unmarked_at_ = -1e9; // the latter: when one of this node's own could not be kept
+  std::deque<RecordedCancellation> recorded_here_;
+  // Cancelled jobs that are not in the job table, and when this was learned: an answer of the state service that was
+  // asked for before then may still bring the job in, without its cancellation.
+  std::unordered_map<std::string, double> unmatched_;
+  double confirmed_by_state_service_ = kNever;
+  std::vector<double> confirmed_by_replica_; // by replica: all that its processes had recorded by then is known here
+  double dropped_at_ = kNever;               // when an own record found no room in `unmatched_`
 };
 
 } // namespace loftrouter::core
--- /dev/null
+++ b/include/loftrouter/core/state/state_context.hpp
@@ -0,0 +1,30 @@
+// The parts of the core that the state module is built on. Passed to the constructors of the module's classes, each of
+// which keeps references to those that it needs; every part outlives them.
+#pragma once
+
+#include "loftrouter/core/election/leadership.hpp"
+#include "loftrouter/core/jobs/dependencies.hpp"
+#include "loftrouter/core/jobs/failure_attribution.hpp"
+#include "loftrouter/core/jobs/pending_reasons.hpp"
+#include "loftrouter/core/runtime/events.hpp"
+#include "loftrouter/core/runtime/state_service_limits.hpp"
+#include "loftrouter/core/state/usage_ledger.hpp"
+
+namespace loftrouter::core {
+
+struct StateContext {
+  Runtime &runtime;
+  Events &events;
+  const Settings &settings;
+  Leadership &leadership;
+  StateServiceLimits &state_limits;
+  JobTable &jobs;
+  EndedJobs &ended_jobs;
+  const Dependencies &dependencies;
+  FailureAttribution &failure_attribution;
+  const PendingReasons &pending_reasons;
+  const JobObjectives &objectives;
+  UsageLedger &ledger;
+};
+
+} // namespace loftrouter::core
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -177,12 +177,12 @@
   if (silent) out.push_back(fmt::format("machines that are silent: {}", silent));
   if (ordered) out.push_back(fmt::format("machines that take no tasks by an operator's order: {}", ordered));
   for (int t = 0; leads && t < static_cast<int>(settings_.teams.size()); ++t)
-    if (ledger_.warned(t))
+    if (ledger_.budget_warning_due(t))
       out.push_back(fmt::format("team {} has used {:.1f} of its {:g} CPU hours of this period{}",
                                 settings_.teams[static_cast<std::size_t>(t)].name,
                                 static_cast<double>(ledger_.used(t)) / accounts::kSumsAnHour,
                                 ledger_.budget(t)->cpu_hours,
-                                ledger_.spent(t) ? ": nothing new of it is started" : ""));
+                                ledger_.budget_exhausted(t) ? ": nothing new of it is started" : ""));
   if (suspects) out.push_back(fmt::format("jobs that fail on every machine: {}; see /admin/v1/jobs", suspects));
   if (const auto late = status_reporter_.foreseen_late_count())
     out.push_back(fmt::format("jobs that will miss or have missed their time: {}; see /admin/v1/foreseen", late));
@@ -239,7 +239,7 @@
 // What each team has used in a period, from the records, so that any node can tell it; then the jobs that ended in it,
 // a page at a time. The records follow what happens within a second or two.
 void AdministrationApiHandler::statement(RequestId req, const wire::AdminRequest &ask) {
-  if (!ledger_.on()) return fail(req, 409, kNoAccounts);
+  if (!ledger_.enabled()) return fail(req, 409, kNoAccounts);
   if (!state_limits_.take_read(runtime_.now(), 3)) return fail(req, 503, "too many questions at once");
   const auto &clock = operators_.budgets().clock;
   wire::AdminStatement statement;
--- a/src/core/api/job_api_handler.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -384,7 +384,7 @@
   const std::string &id = record.spec.id;
   // Whoever tells a user so has to tell the leader too, also if another node wrote it, or this one without an answer.
   const auto before = known_open_.find(id);
-  if (cancelled && (before == known_open_.end() || !before->second.cancelled)) cancellations_.note(id);
+  if (cancelled && (before == known_open_.end() || !before->second.cancelled)) cancellations_.record(id);
   auto [it, fresh] = known_open_.try_emplace(
       id, KnownOpen{mod_revision, cancelled, record.spec.shape == Shape::Service, record.spec.waits_for});
   if (!fresh && mod_revision > it->second.mod_revision) {
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -59,7 +59,7 @@
   else if (!cancellations_.may_renew())
     wait = fmt::format("nothing is started: the state service has told of no cancellations since {}",
                        wire::clock_time(cancellations_.known_until_wall()));
-  else if (job.pending() && ledger_.spent(job.team))
+  else if (job.pending() && ledger_.budget_exhausted(job.team))
     wait = why_held(job);
   else if (job.unaccounted)
     wait = fmt::format("{} started by an earlier leader {} looked for on the machines; what is not found by {} starts "
--- a/src/core/connectivity/replicas.cpp
+++ b/src/core/connectivity/replicas.cpp
@@ -62,9 +62,9 @@
   message.kind = wire::PeerMessage::Kind::Pong;
   message.nonce = cmd.message.nonce;
   message.term = standing.leads ? leadership_.term() : leadership_.highest_term();
-  message.cancelled = cancellations_.repeated();
+  message.cancelled = cancellations_.recent();
   // More than can be repeated: a leader of the production version goes by this.
-  message.cut_off = cut_off() && cancellations_.all_repeated();
+  message.cut_off = cut_off() && cancellations_.recent_is_complete();
   message.connectivity = own_;
   message.sender = self_;
   message.leads = standing.leads;
@@ -91,7 +91,7 @@
   s.term = m.term;
   s.uptime_s = m.uptime_ms / 1000.0;
   s.use = {m.reads / 10.0, m.writes / 10.0};
-  cancellations_.hear(static_cast<std::size_t>(cmd.replica), s.stated_at, s.uptime_s, m.cancelled);
+  cancellations_.confirmed_by_replica(static_cast<std::size_t>(cmd.replica), s.stated_at, s.uptime_s, m.cancelled);
   return true;
 }
 
--- a/src/core/federation/cell_federation.cpp
+++ b/src/core/federation/cell_federation.cpp
@@ -17,9 +17,9 @@
                                const InstanceTypeCatalog &catalog, const Operators &operators,
                                const Leadership &leadership, const Cancellations &cancellations,
                                StateServiceLimits &state_limits, JobTable &jobs,
-                               const FailureAttribution &failure_attribution, Ledger &ledger, StateWriter &state_writer,
-                               WorkerRegistry &workers, Replicas &replicas, const Quotas &quotas,
-                               const Autoscaler &autoscaler, const JobObjectives &objectives)
+                               const FailureAttribution &failure_attribution, UsageLedger &ledger,
+                               StateWriter &state_writer, WorkerRegistry &workers, Replicas &replicas,
+                               const Quotas &quotas, const Autoscaler &autoscaler, const JobObjectives &objectives)
     : runtime_(runtime), events_(events), settings_(settings), catalog_(catalog), operators_(operators),
       leadership_(leadership), cancellations_(cancellations), state_limits_(state_limits), jobs_(jobs),
       failure_attribution_(failure_attribution), ledger_(ledger), state_writer_(state_writer), workers_(workers),
--- a/src/core/federation/delegations_in.cpp
+++ b/src/core/federation/delegations_in.cpp
@@ -86,7 +86,7 @@
         taking_.erase(g);
         if (reply.status == 409) return answer(false, "its id is in use here");
         if (reply.status != 200) return; // if it is there all the same, the watch tells, and the next offer gets a yes
-        state_writer_.take_open(key, value, reply.revision);
+        state_writer_.load_open_record(key, value, reply.revision);
         answer(true, "");
       });
 }
@@ -150,7 +150,7 @@
     // An id that an own user wants is not kept waiting for another cell's answer.
     if (d.ended && d.wanted) jobs_.settle(job_index);
     const std::uint32_t running = counts[job_index.position()];
-    const auto used = ledger_.on() ? ledger_.usage(job_index) : accounts::Usage{};
+    const auto used = ledger_.enabled() ? ledger_.current_usage(job_index) : accounts::Usage{};
     const bool news = d.ended || job.done != d.told_done || running != d.told_running || used.held() != d.told_held;
     if (job.ending || now < d.next_told || (!news && now < d.next_told + kToldAtLeast - kToldEvery)) continue;
     if (d.origin < 0) continue;
--- a/src/core/federation/delegations_out.cpp
+++ b/src/core/federation/delegations_out.cpp
@@ -83,8 +83,8 @@
     int &eager = grown(eager_, job_index);
     const bool whole = job.spec.shape == Shape::Gang || job.spec.one_zone || job.spec.spread;
     if (job.delegated_here || job.cancelled || job.ending || job.pending() == 0 ||
-        job.delegations.size() >= StateWriter::kMaxDelegations || failure_attribution_.suspect(job_index) ||
-        job.team < 0 || ledger_.spent(job.team) || !may_leave(job.spec) ||
+        job.delegations.size() >= kMaxDelegationsPerJob || failure_attribution_.suspect(job_index) || job.team < 0 ||
+        ledger_.budget_exhausted(job.team) || !may_leave(job.spec) ||
         (whole && (job.placed || job.unaccounted || job.delegated))) {
       eager = 0;
       return;
@@ -154,8 +154,7 @@
       tasks > wanted.tasks)
     return;
   const bool whole = job->spec.shape == Shape::Gang || job->spec.one_zone || job->spec.spread;
-  if (job->pending() == 0 || job->delegations.size() >= StateWriter::kMaxDelegations ||
-      (whole && tasks < job->pending()))
+  if (job->pending() == 0 || job->delegations.size() >= kMaxDelegationsPerJob || (whole && tasks < job->pending()))
     return;
   // What may run there counts against its team's limit from now on.
   tasks = std::min(tasks, team_allows(wanted.job));
@@ -303,7 +302,7 @@
   const auto used = m.usage - record->charged;
   // Of an attempt that is counted twice, or a word that comes late, nothing is taken.
   if (std::all_of(used.values.begin(), used.values.end(), [](auto x) { return x >= 0; }) && !used.none()) {
-    ledger_.add(job_index, used);
+    ledger_.charge_remote_usage(job_index, used);
     jobs_.charge_delegation(job_index, m.generation, m.usage);
     jobs_.changed(job_index, false);
   }
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -168,7 +168,8 @@
   if (n.spec.spread) job.zone_cap = static_cast<int>((n.spec.tasks + 1) / 2);
   job.barred = failure_attribution_.barred(job_index);
   job.ready = n.pending();
-  bool held = n.cancelled || n.ending || n.paused || ledger_.spent(n.team) || // of its team's budget, not an end
+  bool held = n.cancelled || n.ending || n.paused ||
+              ledger_.budget_exhausted(n.team) || // of its team's budget, not an end
               !dependencies_.ready(job_index);
   if (suspect) { // one task, or one gang, at a time and seldom
     held |= runtime_.now() < failure_attribution_.retry_at(job_index) || n.placed > 0 || n.unaccounted > 0;
@@ -245,7 +246,7 @@
     if (!has_room(place_job, machines[0])) continue;
     const Job *job = jobs_.find(place_job.self);
     if (!job || job->serial != line_serials_[k] || job->cancelled || job->ending || job->paused ||
-        ledger_.spent(job->team))
+        ledger_.budget_exhausted(job->team))
       continue;
     if (place_job.gang || place_job.one_zone || place_job.zone_cap >= 0 ||
         failure_attribution_.failed_lately(place_job.self)) {
@@ -289,11 +290,11 @@
     attempt = jobs_.next_gang_attempt(job_index, (leadership_.term() << 20) + ++attempts_);
   else
     attempt = job.gang_attempt;
-  state_writer_.start(job_index, i);
+  state_writer_.mark_started(job_index, i);
   jobs_.place(job_index, i, machine_index, workers_[machine_index].zone);
   workers_.allocate(machine_index, job_index, i, attempt);
   grown(waits_, job_index).since = runtime_.now();
-  if (!state_writer_.recorded(job_index, i)) jobs_.changed(job_index, true);
+  if (!state_writer_.start_recorded(job_index, i)) jobs_.changed(job_index, true);
   if (job.placed == 1 && runtime_.shows(LogLevel::Debug))
     runtime_.log(LogLevel::Debug, "job_started",
                  {{"job", job.spec.id},
@@ -373,7 +374,7 @@
     const double fits = std::max(0.0, left / std::max(0.01, job.spec.need.cpus));
     const auto ahead = std::min(job.pending(), std::max(kAheadLeast, static_cast<std::uint32_t>(std::min(1e6, fits))));
     left -= ahead * job.spec.need.cpus;
-    state_writer_.set_ahead(j, ahead);
+    state_writer_.set_prerecorded_tasks(j, ahead);
   }
 }
 
@@ -382,7 +383,7 @@
 // Where an operator wants it so, the running tasks of a team whose budget is spent are stopped, with time to save.
 void Scheduler::stop_spent() {
   for (int team = 0; team < static_cast<int>(settings_.teams.size()); ++team)
-    if (const auto *b = ledger_.budget(team); b && b->stop && ledger_.spent(team)) {
+    if (const auto *b = ledger_.budget(team); b && b->stop && ledger_.budget_exhausted(team)) {
       std::vector<JobIndex> running;
       jobs_.each([&](JobIndex job_index, const Job &job) {
         if (job.team == team && job.placed > 0) running.push_back(job_index);
--- a/src/core/state/state_watch.cpp
+++ b/src/core/state/state_watch.cpp
@@ -4,114 +4,165 @@
 #include <set>
 #include <utility>
 
+#include "loftrouter/wire/storage_keys.hpp"
+
 namespace loftrouter::core {
 
 namespace {
-constexpr double kLoadRetry = 0.2;
-constexpr double kAuditEvery = 5.0, kAuditReads = 100; // s; and one read in so many
-constexpr double kFollowHold = 3.0;                    // short, so that a watch that has died is noticed soon
+constexpr double kListDeadline = 2.0; // s
+constexpr double kRetryDelay = 0.2;   // s
+// A page is audited so often, but no more than one read in so many is spent on it.
+constexpr double kMinAuditInterval = 5.0; // s
+constexpr double kReadsPerAudit = 100;
+constexpr double kWatchHold = 3.0;         // s; short, so that a watch that has died is noticed soon
+constexpr double kWatchAnswerMargin = 1.5; // s, beyond the hold
+constexpr int kWatchTooFarBehind = 410;    // status
+constexpr std::size_t kMaxLoggedKey = 60;  // characters
+
+// The key after which the next page begins; empty: this was the last one.
+std::string next_page(const wire::StoreReply &reply) {
+  return reply.more && !reply.entries.empty() ? reply.entries.back().key : std::string();
+}
 } // namespace
 
+StateWatch::StateWatch(Runtime &runtime, const Settings &settings, Leadership &leadership, StateWriter &state_writer,
+                       Cancellations &cancellations)
+    : runtime_(runtime), settings_(settings), leadership_(leadership), state_writer_(state_writer),
+      cancellations_(cancellations) {}
+
 void StateWatch::tick() {
-  if (leadership_.leading() && !following_) follow();
-  if (leadership_.active() && !auditing_ && runtime_.now() >= next_audit_) audit();
+  if (leadership_.leading() && !watching_) watch();
+  if (leadership_.active() && !auditing_ && runtime_.now() >= next_audit_at_) audit();
 }
 
-// What is open in the state service against what this leader has, a page at a time and for one in a hundred of the
-// reads. Guards against a job that stands still for ever, whatever has been missed; that it finds anything is a defect
-// to be traced.
-void StateWatch::audit() {
-  next_audit_ = runtime_.now() + std::max(kAuditEvery, kAuditReads / settings_.state_rps);
-  auditing_ = true;
-  runtime_.store(StoreList{"open/", audited_}, 2.0, [this, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
-    if (epoch != leadership_.epoch()) return;
-    auditing_ = false;
-    if (reply.status != 200) return;
-    const std::string from =
-        std::exchange(audited_, reply.more && !reply.entries.empty() ? reply.entries.back().key : "");
-    std::set<std::string> there;
-    for (const auto &e : reply.entries) {
-      there.insert(e.key);
-      if (e.mod_revision > follow_from_) continue; // the watch has yet to tell
-      const auto news = state_writer_.compare(e);
-      if (!news.empty())
-        runtime_.log(LogLevel::Error, "audit_mismatch_found", {{"key", e.key.substr(0, 60)}, {"what", news}});
-    }
-    for (const auto &key : state_writer_.not_there(from, audited_, there, reply.revision))
-      runtime_.log(LogLevel::Error, "audit_mismatch_found", {{"key", key.substr(0, 60)}, {"what", "no longer open"}});
-  });
+void StateWatch::on(const LeaderElected &) {
+  watched_revision_ = 0;
+  auditing_ = false;
+  audited_until_.clear();
+  next_audit_at_ = runtime_.now() + kMinAuditInterval;
+  load_progress_records("");
 }
 
-void StateWatch::again(std::function<void()> fn) {
-  runtime_.later(kLoadRetry, [this, epoch = leadership_.epoch(), fn = std::move(fn)] {
-    if (epoch == leadership_.epoch()) fn();
+void StateWatch::on(const TermEnded &) {
+  watching_ = false;
+  relisting_ = false;
+  auditing_ = false;
+}
+
+void StateWatch::retry_later(std::function<void()> action) {
+  runtime_.later(kRetryDelay, [this, epoch = leadership_.epoch(), action = std::move(action)] {
+    if (epoch == leadership_.epoch()) action();
   });
 }
 
-void StateWatch::on(const LeaderElected &) {
-  follow_from_ = 0;
-  auditing_ = false;
-  audited_.clear();
-  next_audit_ = runtime_.now() + kAuditEvery;
-  load_progress("");
+// ---- lists ----
+
+// Progress is read before the open records: a job that ends in between is then simply not found open.
+void StateWatch::load_progress_records(const std::string &from) {
+  runtime_.store(StoreList{std::string(wire::kProgressPrefix), from}, kListDeadline,
+                 [this, from, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
+                   if (epoch == leadership_.epoch()) on_progress_page(from, reply);
+                 });
 }
 
-// Progress is read before the open jobs: a job that ends in between is then simply not found open.
-void StateWatch::load_progress(std::string from) {
-  runtime_.store(
-      StoreList{"progress/", from}, 2.0, [this, from, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
-        if (epoch != leadership_.epoch()) return;
-        if (reply.status != 200) return again([this, from] { load_progress(from); });
-        for (const auto &e : reply.entries)
-          if (!state_writer_.load_progress(e)) { // what it may have said was started is not known, so nothing may be
-            runtime_.log(LogLevel::Error, "record_rejected", {{"key", e.key.substr(0, 60)}, {"then", "term ended"}});
-            return leadership_.step_down("a progress record cannot be read");
-          }
-        if (reply.more && !reply.entries.empty()) return load_progress(reply.entries.back().key);
-        load_open("");
-      });
+void StateWatch::on_progress_page(const std::string &from, const wire::StoreReply &reply) {
+  if (reply.status != 200) return retry_later([this, from] { load_progress_records(from); });
+  for (const auto &record : reply.entries) {
+    if (state_writer_.load_progress_record(record)) continue;
+    // What it may have said of started tasks is not known, so nothing may be started.
+    runtime_.log(LogLevel::Error, "record_rejected",
+                 {{"key", record.key.substr(0, kMaxLoggedKey)}, {"then", "term ended"}});
+    return leadership_.step_down("a progress record cannot be read");
+  }
+  if (const std::string next = next_page(reply); !next.empty()) return load_progress_records(next);
+  load_open_records("");
 }
 
 // All open records: before leading, and again whenever the watch has failed.
-void StateWatch::load_open(std::string from) {
-  if (from.empty()) listed_from_ = runtime_.now();
-  runtime_.store(StoreList{"open/", from}, 2.0,
+void StateWatch::load_open_records(const std::string &from) {
+  if (from.empty()) listed_at_ = runtime_.now();
+  runtime_.store(StoreList{std::string(wire::kOpenPrefix), from}, kListDeadline,
                  [this, from, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
-                   if (epoch != leadership_.epoch()) return;
-                   if (reply.status != 200) return again([this, from] { load_open(from); });
-                   if (from.empty()) follow_from_ = reply.revision;
-                   for (const auto &e : reply.entries) {
-                     if (!relisting_) state_writer_.load_end(e);
-                     state_writer_.take_open(e.key, e.value, e.mod_revision);
-                   }
-                   if (reply.more && !reply.entries.empty()) return load_open(reply.entries.back().key);
-                   cancellations_.news(listed_from_);
-                   if (relisting_) {
-                     relisting_ = false;
-                     return;
-                   }
-                   leadership_.begin_term();
+                   if (epoch == leadership_.epoch()) on_open_page(from, reply);
                  });
 }
 
-void StateWatch::follow() {
-  if (following_ || relisting_) return;
-  following_ = true;
-  runtime_.store(StoreWatch{"open/", follow_from_, kFollowHold}, kFollowHold + 1.5,
-                 [this, sent = runtime_.now(), epoch = leadership_.epoch()](const wire::StoreReply &reply) {
-                   if (epoch != leadership_.epoch()) return;
-                   following_ = false;
-                   if (reply.status == 410 || reply.status == 0) { // too far behind, or no answer: a list may get one
-                     relisting_ = true;
-                     return load_open("");
-                   }
-                   if (reply.status != 200) return; // tried again with the next tick
-                   for (const auto &e : reply.events)
-                     if (e.value) state_writer_.take_open(e.key, *e.value, e.mod_revision);
-                   follow_from_ = std::max(follow_from_, reply.revision);
-                   cancellations_.news(sent);
-                   follow();
+void StateWatch::on_open_page(const std::string &from, const wire::StoreReply &reply) {
+  if (reply.status != 200) return retry_later([this, from] { load_open_records(from); });
+  if (from.empty()) watched_revision_ = reply.revision;
+  for (const auto &record : reply.entries) {
+    if (!relisting_) state_writer_.load_end_record(record);
+    state_writer_.load_open_record(record.key, record.value, record.mod_revision);
+  }
+  if (const std::string next = next_page(reply); !next.empty()) return load_open_records(next);
+  on_open_records_loaded();
+}
+
+void StateWatch::on_open_records_loaded() {
+  cancellations_.confirmed_by_state_service(listed_at_);
+  if (!relisting_) return leadership_.begin_term();
+  relisting_ = false;
+}
+
+// ---- watch ----
+
+void StateWatch::watch() {
+  if (watching_ || relisting_) return;
+  watching_ = true;
+  runtime_.store(StoreWatch{std::string(wire::kOpenPrefix), watched_revision_, kWatchHold},
+                 kWatchHold + kWatchAnswerMargin,
+                 [this, asked_at = runtime_.now(), epoch = leadership_.epoch()](const wire::StoreReply &reply) {
+                   if (epoch == leadership_.epoch()) on_watch_reply(asked_at, reply);
                  });
 }
 
+void StateWatch::on_watch_reply(double asked_at, const wire::StoreReply &reply) {
+  watching_ = false;
+  if (reply.status == kWatchTooFarBehind || reply.status == 0) { // without an answer, a list may still get one
+    relisting_ = true;
+    return load_open_records("");
+  }
+  if (reply.status != 200) return; // tried again with the next tick
+  for (const auto &event : reply.events)
+    if (event.value) state_writer_.load_open_record(event.key, *event.value, event.mod_revision);
+  watched_revision_ = std::max(watched_revision_, reply.revision);
+  cancellations_.confirmed_by_state_service(asked_at);
+  watch();
+}
+
+// ---- audit ----
+
+// Compares what is open in the state service with what this leader has, a page at a time. Guards against a job that
+// stands still for ever, whatever has been missed; that it finds anything is a defect to be traced.
+void StateWatch::audit() {
+  next_audit_at_ = runtime_.now() + std::max(kMinAuditInterval, kReadsPerAudit / settings_.state_rps);
+  auditing_ = true;
+  runtime_.store(StoreList{std::string(wire::kOpenPrefix), audited_until_}, kListDeadline,
+                 [this, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
+                   if (epoch == leadership_.epoch()) on_audit_page(reply);
+                 });
+}
+
+void StateWatch::on_audit_page(const wire::StoreReply &reply) {
+  auditing_ = false;
+  if (reply.status != 200) return;
+  const std::string from = std::exchange(audited_until_, next_page(reply));
+  audit_records(from, reply);
+}
+
+void StateWatch::audit_records(const std::string &from, const wire::StoreReply &reply) {
+  std::set<std::string> listed;
+  for (const auto &record : reply.entries) {
+    listed.insert(record.key);
+    if (record.mod_revision > watched_revision_) continue; // the watch has yet to deliver it
+    const std::string_view missed = state_writer_.audit_open_record(record);
+    if (missed.empty()) continue;
+    runtime_.log(LogLevel::Error, "audit_mismatch_found",
+                 {{"key", record.key.substr(0, kMaxLoggedKey)}, {"what", missed}});
+  }
+  for (const auto &key : state_writer_.resync_absent_jobs(from, audited_until_, listed, reply.revision))
+    runtime_.log(LogLevel::Error, "audit_mismatch_found",
+                 {{"key", key.substr(0, kMaxLoggedKey)}, {"what", "no longer open"}});
+}
+
 } // namespace loftrouter::core
--- a/src/core/state/usage_ledger.cpp
+++ b/src/core/state/usage_ledger.cpp
@@ -3,216 +3,270 @@
 #include <algorithm>
 #include <cassert>
 #include <cmath>
+#include <utility>
 
 namespace loftrouter::core {
 
 namespace {
-constexpr double kTick = 0.5; // s
+constexpr double kTickInterval = 0.5; // s
+constexpr double kMsPerHour = 3.6e6;
+constexpr double kCostPerUnit = 1e6; // costs are counted in millionths of the cloud's unit
+
+std::int64_t to_ms(double seconds) {
+  return static_cast<std::int64_t>(seconds * 1000);
+}
+
+double share(double part, double whole) {
+  return whole > 0 ? part / whole : 0.0;
+}
 } // namespace
 
-const std::string &Ledger::period() {
-  const auto &clock = operators_.budgets().clock;
-  if (runtime_.wall() < period_begin_ || runtime_.wall() >= period_end_ || !(clock == period_clock_)) {
-    period_clock_ = clock;
-    period_ = clock.name(runtime_.wall());
-    period_begin_ = clock.begin(runtime_.wall());
-    period_end_ = clock.end(runtime_.wall());
-  }
-  return period_;
+UsageLedger::UsageLedger(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog, JobTable &jobs,
+                         const Operators &operators)
+    : runtime_(runtime), settings_(settings), catalog_(catalog), jobs_(jobs), operators_(operators) {}
+
+void UsageLedger::on(const TermEnded &) {
+  accounts_.clear();
+  sums_.clear();
+  used_.clear();
 }
 
-SumsByTeam &Ledger::sums_at(std::size_t record) {
-  if (record >= sums_.size()) sums_.resize(record + 1);
-  return sums_[record];
+// ---- sums of shards ----
+
+const std::string &UsageLedger::current_period() {
+  const auto &clock = operators_.budgets().clock;
+  const double wall = runtime_.wall();
+  if (wall < period_.begin || wall >= period_.end || !(clock == period_.clock))
+    period_ = {clock.name(wall), clock.begin(wall), clock.end(wall), clock};
+  return period_.name;
 }
 
-const SumsByTeam &Ledger::sums(std::size_t record) const {
+const SumsByTeam &UsageLedger::sums(ShardIndex shard) const {
   static const SumsByTeam none;
-  return record < sums_.size() ? sums_[record] : none;
+  return shard.position() < sums_.size() ? sums_[shard.position()] : none;
+}
+
+void UsageLedger::load_sums(ShardIndex shard, SumsByTeam sums) {
+  sums_at(shard) = std::move(sums);
 }
 
-void Ledger::load_sums(std::size_t record, SumsByTeam sums) {
-  sums_at(record) = std::move(sums);
+void UsageLedger::charge_to_sums(ShardIndex shard, const std::string &team, const accounts::Usage &usage,
+                                 const Resources &need) {
+  if (!usage.none()) sums_at(shard)[{current_period(), team}] += accounts::sums_of(usage, need);
 }
 
-std::string Ledger::over(std::size_t record) {
-  // Names of periods are dates, so the smallest is the oldest. What a change of the clock has left behind goes too.
-  const auto &sums = this->sums(record);
-  return !sums.empty() && sums.begin()->first.first < period() ? sums.begin()->first.first : std::string();
+// Names of periods are dates, so the smallest is the oldest. What a change of the clock has left behind counts as past.
+std::string UsageLedger::oldest_past_period(ShardIndex shard) {
+  const auto &sums = this->sums(shard);
+  if (sums.empty()) return {};
+  const std::string &oldest = sums.begin()->first.first;
+  return oldest < current_period() ? oldest : std::string();
 }
 
-void Ledger::forget(std::size_t record, const std::string &period) {
-  std::erase_if(sums_at(record), [&](const auto &s) { return s.first.first == period; });
+void UsageLedger::remove_period(ShardIndex shard, const std::string &period) {
+  std::erase_if(sums_at(shard), [&](const auto &entry) { return entry.first.first == period; });
 }
 
-void Ledger::open(JobIndex job_index, int record) {
+// ---- accounts of jobs ----
+
+void UsageLedger::open_account(JobIndex job_index, ShardIndex shard) {
   grown(accounts_, job_index) = {};
-  at(job_index).record = static_cast<std::size_t>(record);
+  account(job_index).shard = shard;
 }
 
 // The attempts under way when this was written have held that much by then; how they went on is not known.
-void Ledger::restore(JobIndex job_index, const ProgressRecord &written) {
-  Account &account = at(job_index);
-  account.usage = written.usage;
-  account.at_ms = written.at_ms;
+void UsageLedger::restore_account(JobIndex job_index, const ProgressRecord &written) {
+  Account &restored = account(job_index);
+  restored.usage = written.usage;
+  restored.written_at_ms = written.at_ms;
+  if (!enabled()) return;
   accounts::Usage usage;
   usage[accounts::Unsorted] = written.running_ms;
-  if (on()) charge(job_index, usage);
+  charge(job_index, usage);
+}
+
+std::int64_t UsageLedger::held_in_flight_ms(const Account &account) const {
+  return account.attempts_in_flight * to_ms(runtime_.now()) - account.held_since_ms;
 }
 
-std::int64_t Ledger::since_record(const Account &account) const {
-  return account.at_ms ? std::max<std::int64_t>(0, ms(runtime_.wall()) - account.at_ms) : 0;
+std::int64_t UsageLedger::since_written_ms(const Account &account) const {
+  if (account.written_at_ms == 0) return 0;
+  return std::max<std::int64_t>(0, to_ms(runtime_.wall()) - account.written_at_ms);
 }
 
-// Of a task that an earlier leader has recorded as started and that was not seen since that record: it may have held a
-// place all the time. One place at most, so this bounds all attempts of it.
-void Ledger::write(JobIndex job_index, ProgressRecord &out) {
-  if (!on()) return;
-  Account &account = at(job_index);
+// An unaccounted task, which an earlier leader has recorded as started and which was not seen since, may have held a
+// place all the time since the record. One place at most, so this bounds all attempts of it.
+void UsageLedger::write_account(JobIndex job_index, ProgressRecord &record) {
+  if (!enabled()) return;
+  Account &written = account(job_index);
   charge(job_index, {});
-  if (const auto waited_for = jobs_[job_index].unaccounted) {
+  if (const std::uint32_t unaccounted = jobs_[job_index].unaccounted; unaccounted > 0) {
     accounts::Usage usage;
-    usage[accounts::Uncertain] = waited_for * since_record(account);
+    usage[accounts::Uncertain] = unaccounted * since_written_ms(written);
     charge(job_index, usage);
   }
-  account.at_ms = ms(runtime_.wall());
-  out.usage = account.usage;
-  out.running_ms = under_way(account);
-  out.at_ms = account.at_ms;
-  account.changed = false;
+  written.written_at_ms = to_ms(runtime_.wall());
+  written.changed = false;
+  record.usage = written.usage;
+  record.running_ms = held_in_flight_ms(written);
+  record.at_ms = written.written_at_ms;
 }
 
-accounts::Usage Ledger::usage(JobIndex job_index) {
+accounts::Usage UsageLedger::current_usage(JobIndex job_index) {
   charge(job_index, {});
-  return at(job_index).usage;
+  return account(job_index).usage;
+}
+
+void UsageLedger::charge_remote_usage(JobIndex job_index, const accounts::Usage &usage) {
+  if (enabled()) charge(job_index, usage);
+}
+
+bool UsageLedger::has_unwritten_charges(JobIndex job_index) const {
+  return accounts_[job_index.position()].changed;
 }
 
 // Guards against a team's sums that hold more than its jobs: the answer to the write of an end was lost, and a worker
 // showed a task once more before it was known that the write had been carried out.
-void Ledger::correct(JobIndex job_index, const accounts::Usage &written) {
-  accounts::Sums excess = accounts::sums_of(at(job_index).usage - written, jobs_[job_index].spec.need);
-  auto &sums = sums_at(at(job_index).record);
-  for (auto it = sums.rbegin(); it != sums.rend(); ++it) // the newest period first
-    if (it->first.second == jobs_[job_index].spec.team)
-      for (std::size_t c = 0; c < accounts::kSumColumns; ++c) {
-        const auto part = std::clamp<std::int64_t>(excess[c], 0, it->second[c]);
-        it->second[c] -= part;
-        excess[c] -= part;
-      }
-}
-
-void Ledger::charge(JobIndex job_index, accounts::Usage usage) {
-  Account &account = at(job_index);
+void UsageLedger::reduce_to_recorded(JobIndex job_index, const accounts::Usage &recorded) {
+  const JobSpec &spec = jobs_[job_index].spec;
+  accounts::Sums excess = accounts::sums_of(account(job_index).usage - recorded, spec.need);
+  auto &sums = sums_at(account(job_index).shard);
+  for (auto it = sums.rbegin(); it != sums.rend(); ++it) { // the newest period first
+    auto &[key, row] = *it;
+    if (key.second != spec.team) continue;
+    for (std::size_t column = 0; column < accounts::kSumColumns; ++column) {
+      const auto part = std::clamp<std::int64_t>(excess[column], 0, row[column]);
+      row[column] -= part;
+      excess[column] -= part;
+    }
+  }
+}
+
+void UsageLedger::charge(JobIndex job_index, accounts::Usage usage) {
+  Account &charged = account(job_index);
+  const Job &job = jobs_[job_index];
   // Guards against a team's sums that hold more than its jobs: a worker may show a task of a cancelled job once more.
-  if (jobs_[job_index].ending) {
-    account.put_off += usage;
+  if (job.ending) {
+    charged.deferred += usage;
     return;
   }
-  usage += std::exchange(account.put_off, {});
+  usage += std::exchange(charged.deferred, {});
   if (usage.none()) return;
-  account.usage += usage;
-  account.changed = true;
-  sums_at(account.record)[{period(), jobs_[job_index].spec.team}] +=
-      accounts::sums_of(usage, jobs_[job_index].spec.need);
-}
-
-void Ledger::settle(std::size_t record, const std::string &team, const accounts::Usage &rest, const Resources &need) {
-  if (!rest.none()) sums_at(record)[{period(), team}] += accounts::sums_of(rest, need);
+  charged.usage += usage;
+  charged.changed = true;
+  charge_to_sums(charged.shard, job.spec.team, usage, job.spec.need);
 }
 
-void Ledger::on(const TaskAllocated &event) {
-  if (!on()) return;
-  Account &account = at(event.job);
-  ++account.in_flight;
-  account.since_ms += ms(runtime_.now());
+void UsageLedger::on(const TaskAllocated &event) {
+  if (!enabled()) return;
+  Account &charged = account(event.job);
+  ++charged.attempts_in_flight;
+  charged.held_since_ms += to_ms(runtime_.now());
   accounts::Usage usage;
   if (!event.found) usage[accounts::Attempts] = 1;
-  if (event.unaccounted) usage[accounts::Uncertain] = since_record(account);
+  if (event.unaccounted) usage[accounts::Uncertain] = since_written_ms(charged);
   charge(event.job, usage);
   if (event.found) jobs_.changed(event.job, false);
 }
 
-void Ledger::on(const TaskReleased &event) {
-  if (!on()) return;
-  Account &account = at(event.job);
-  const std::int64_t from = ms(event.held_since), to = ms(runtime_.now());
-  const std::int64_t runs = event.running_since >= 0 ? ms(event.running_since) : to;
-  const std::int64_t waits = event.waiting_since >= 0 ? ms(event.waiting_since) : runs;
-  assert(from <= waits && waits <= runs && runs <= to && account.in_flight > 0);
-  --account.in_flight;
-  account.since_ms -= from;
-  const bool useful = event.done || jobs_[event.job].spec.shape == Shape::Service; // those end by being stopped
+void UsageLedger::on(const TaskReleased &event) {
+  if (!enabled()) return;
+  Account &charged = account(event.job);
+  const std::int64_t allocated = to_ms(event.held_since);
+  const std::int64_t released = to_ms(runtime_.now());
+  const std::int64_t running = event.running_since >= 0 ? to_ms(event.running_since) : released;
+  const std::int64_t waiting = event.waiting_since >= 0 ? to_ms(event.waiting_since) : running;
+  assert(allocated <= waiting && waiting <= running && running <= released && charged.attempts_in_flight > 0);
+  --charged.attempts_in_flight;
+  charged.held_since_ms -= allocated;
+  const bool useful = event.done || jobs_[event.job].spec.shape == Shape::Service; // services end by being stopped
   accounts::Usage usage;
-  usage[accounts::Fetch] = waits - from;
-  usage[accounts::Wait] = runs - waits;
-  usage[useful ? accounts::Useful : accounts::Lost] = to - runs;
-  usage[accounts::Retries] = !useful;
-  usage[accounts::Cost] = cost(event, to - from);
+  usage[accounts::Fetch] = waiting - allocated;
+  usage[accounts::Wait] = running - waiting;
+  usage[useful ? accounts::Useful : accounts::Lost] = released - running;
+  usage[accounts::Retries] = useful ? 0 : 1;
+  usage[accounts::Cost] = cost(event, released - allocated);
   charge(event.job, usage);
   jobs_.changed(event.job, false);
 }
 
-void Ledger::on(const TasksAbandoned &event) {
-  if (!on()) return;
+void UsageLedger::on(const TasksAbandoned &event) {
+  if (!enabled()) return;
   accounts::Usage usage;
-  usage[accounts::Uncertain] = event.tasks * since_record(at(event.job));
+  usage[accounts::Uncertain] = event.tasks * since_written_ms(account(event.job));
   charge(event.job, usage);
   jobs_.changed(event.job, false);
 }
 
-void Ledger::on(const TermEnded &) {
-  accounts_.clear();
-  sums_.clear();
-  used_.clear();
-}
-
-std::int64_t Ledger::cost(const TaskReleased &event, std::int64_t held_ms) const {
+// The largest share that a task takes of its machine, by the machine's price.
+std::int64_t UsageLedger::cost(const TaskReleased &event, std::int64_t held_ms) const {
   if (event.type < 0) return 0;
   const auto &type = catalog_.type(event.type);
   const auto &need = jobs_[event.job].spec.need;
-  auto share = [](double part, double all) { return all > 0 ? part / all : 0.0; };
-  const double largest = std::max(
+  const double largest_share = std::max(
       {share(need.cpus, type.size.cpus), share(need.memory, type.size.memory), share(need.gpus, type.size.gpus)});
   const double price = event.spot ? type.spot_price : type.price;
-  return std::llround(1e6 * price * largest * static_cast<double>(held_ms) / 3.6e6);
+  return std::llround(kCostPerUnit * price * largest_share * static_cast<double>(held_ms) / kMsPerHour);
 }
 
-const wire::TeamBudget *Ledger::budget(int team) const {
-  if (!on() || team < 0) return nullptr;
-  const auto &teams = operators_.budgets().teams;
-  auto it = teams.find(settings_.teams[static_cast<std::size_t>(team)].name);
-  return it == teams.end() || it->second.cpu_hours < 0 ? nullptr : &it->second;
+// ---- budgets ----
+
+const wire::TeamBudget *UsageLedger::budget(int team) const {
+  if (!enabled() || team < 0) return nullptr;
+  const auto &budgets = operators_.budgets().teams;
+  const auto it = budgets.find(settings_.teams[static_cast<std::size_t>(team)].name);
+  return it == budgets.end() || it->second.cpu_hours < 0 ? nullptr : &it->second;
 }
 
-std::int64_t Ledger::used(int team) const {
+std::int64_t UsageLedger::used(int team) const {
   return static_cast<std::size_t>(team) < used_.size() ? used_[static_cast<std::size_t>(team)] : 0;
 }
 
-void Ledger::tick() {
-  if (!on() || runtime_.now() < next_tick_) return;
-  next_tick_ = runtime_.now() + kTick;
+bool UsageLedger::budget_exhausted(int team) const {
+  const wire::TeamBudget *limited = budget(team);
+  return limited && used(team) >= limited->limit();
+}
+
+bool UsageLedger::budget_warning_due(int team) const {
+  const wire::TeamBudget *limited = budget(team);
+  if (!limited) return false;
+  return static_cast<double>(used(team)) >= limited->warn_share * static_cast<double>(limited->limit());
+}
+
+void UsageLedger::tick() {
+  if (!enabled() || runtime_.now() < next_tick_at_) return;
+  next_tick_at_ = runtime_.now() + kTickInterval;
+  refresh_used();
+  logged_exhausted_.resize(settings_.teams.size());
+  for (std::size_t team = 0; team < settings_.teams.size(); ++team)
+    log_budget_change(team);
+}
+
+void UsageLedger::refresh_used() {
   used_.assign(settings_.teams.size(), 0);
-  told_.resize(settings_.teams.size());
-  for (const auto &record : sums_)
-    for (const auto &[key, row] : record)
-      if (const int team = jobs_.find_team(key.second); team >= 0 && key.first == period())
-        used_[static_cast<std::size_t>(team)] += row.held();
+  for (const auto &shard : sums_)
+    for (const auto &[key, row] : shard) {
+      const auto &[period, team_name] = key;
+      const int team = jobs_.find_team(team_name);
+      if (team >= 0 && period == current_period()) used_[static_cast<std::size_t>(team)] += row.held();
+    }
   jobs_.each([&](JobIndex job_index, const Job &job) {
     if (job.team < 0) return;
-    const Account &account = at(job_index);
+    const Account &open = account(job_index);
     accounts::Usage usage;
-    usage[accounts::Useful] = under_way(account) + job.unaccounted * since_record(account);
+    usage[accounts::Useful] = held_in_flight_ms(open) + job.unaccounted * since_written_ms(open);
     used_[static_cast<std::size_t>(job.team)] += accounts::sums_of(usage, job.spec.need).held();
   });
-  for (std::size_t t = 0; t < told_.size(); ++t) {
-    const bool spent = this->spent(static_cast<int>(t));
-    if (spent != told_[t])
-      runtime_.log(LogLevel::Info, spent ? "budget_spent" : "budget_has_room",
-                   {{"team", settings_.teams[t].name},
-                    {"period", period()},
-                    {"cpu_hours", static_cast<double>(used_[t]) / accounts::kSumsAnHour}});
-    told_[t] = spent;
-  }
+}
+
+void UsageLedger::log_budget_change(std::size_t team) {
+  const bool exhausted = budget_exhausted(static_cast<int>(team));
+  if (exhausted == logged_exhausted_[team]) return;
+  logged_exhausted_[team] = exhausted;
+  runtime_.log(LogLevel::Info, exhausted ? "budget_spent" : "budget_has_room",
+               {{"team", settings_.teams[team].name},
+                {"period", current_period()},
+                {"cpu_hours", static_cast<double>(used_[team]) / accounts::kSumsAnHour}});
 }
 
 } // namespace loftrouter::core
--- a/src/core/workers/heartbeat_reconciliation.cpp
+++ b/src/core/workers/heartbeat_reconciliation.cpp
@@ -132,7 +132,7 @@
     Allocation &allocation = at(machine_index).allocations[position];
     // The worker keeps the result until it is recorded here.
     if (allocation.completed()) {
-      if (!allocation.job.valid() || state_writer_.done_recorded(allocation.job, allocation.index))
+      if (!allocation.job.valid() || state_writer_.completion_recorded(allocation.job, allocation.index))
         commands.push_back(make_command(TaskCommand::Verb::Forget, allocation));
       continue;
     }
@@ -237,7 +237,7 @@
   adopted.start_sent_at = now;
   if (task.phase == TaskPhase::Waiting) adopted.waiting_since = now;
   if (task.phase == TaskPhase::Running) adopted.running_since = now;
-  state_writer_.start(job_index, task.index);
+  state_writer_.mark_started(job_index, task.index);
   events_.publish(TaskAllocated{job_index, task.index, machine_index, true, adopted.was_unaccounted});
   jobs_.place(job_index, task.index, machine_index, machine.zone);
   machine.used.add(adopted.need);
@@ -299,7 +299,7 @@
 bool WorkerRegistry::may_send_start(const Machine &machine, const Allocation &allocation) const {
   if (machine.downlink.lost() || machine.returning()) return false;
   if (allocation.observed() || !allocation.job.valid() || jobs_[allocation.job].paused) return false;
-  return state_writer_.recorded(allocation.job, allocation.index);
+  return state_writer_.start_recorded(allocation.job, allocation.index);
 }
 
 // The start is sent again while no heartbeat has shown it; it counts from the first time.
