--- a/include/loftrouter/core/api/job_api_handler.hpp
+++ b/include/loftrouter/core/api/job_api_handler.hpp
@@ -14,6 +14,7 @@
 #include <unordered_map>
 
 #include "loftrouter/core/api/status_reporter.hpp"
+#include "loftrouter/core/jobs/ended_jobs.hpp"
 #include "loftrouter/core/runtime/forwarded_requests.hpp"
 
 namespace loftrouter::core {
--- a/include/loftrouter/core/api/service_level_counters.hpp
+++ b/include/loftrouter/core/api/service_level_counters.hpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "loftrouter/core/jobs/dependencies.hpp"
+#include "loftrouter/core/jobs/ended_jobs.hpp"
 #include "loftrouter/core/runtime/events.hpp"
 #include "loftrouter/wire/admin.hpp"
 
--- a/include/loftrouter/core/api/status_reporter.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -12,6 +12,7 @@
 
 #include "loftrouter/core/autoscaling/autoscaler.hpp"
 #include "loftrouter/core/connectivity/replicas.hpp"
+#include "loftrouter/core/jobs/ended_jobs.hpp"
 #include "loftrouter/core/runtime/dense_index.hpp"
 
 namespace loftrouter::core {
@@ -60,7 +61,7 @@
   };
   // When each open job is expected to be able to start, and to be done, by estimates and the queue.
   static constexpr double kOutlookEvery = 0.5; // s
-  const Dependencies::Path &outlook() const;
+  const CriticalPath &outlook() const;
   std::string at_risk(JobIndex job_index) const;
   Supplies supplies() const;
   std::string why(JobIndex job_index, const Supplies &supply) const;
@@ -93,7 +94,7 @@
   std::uint64_t news_term_ = 0;
   std::vector<Told> told_; // by job
   double next_digest_ = 0, next_summary_ = 0;
-  mutable Dependencies::Path outlook_;
+  mutable CriticalPath outlook_;
   mutable double outlook_at_ = -1e9;
   std::size_t cursor_ = 0; // of the digest, over jobs
 };
--- a/include/loftrouter/core/catalog/instance_type_catalog.hpp
+++ b/include/loftrouter/core/catalog/instance_type_catalog.hpp
@@ -1,7 +1,10 @@
-// Machine types and zones, their names mapped to dense indices. Owns both. A type once known is never forgotten, as
+// Instance types and zones of the cloud, their names mapped to dense indices.
+//
+// Owns both; used by the core's thread alone. Invariant: a type once known is never forgotten and keeps its index, as
 // machines and jobs refer to it by index; its size and prices may change.
 #pragma once
 
+#include <algorithm>
 #include <string>
 #include <vector>
 
@@ -9,25 +12,26 @@
 
 namespace loftrouter::core {
 
-// A place dearer than the cheapest by more than this is rented and used only where time presses.
+// A machine whose CPUs cost more than this times the cheapest is rented and used only where time presses.
 constexpr double kExpensiveRatio = 1.5;
 
 class InstanceTypeCatalog {
 public:
   explicit InstanceTypeCatalog(const std::vector<std::string> &zones);
 
-  void take(std::vector<MachineType> types);
-  bool known() const { return known_; }
+  // Adds and replaces types, as the cloud or the state service has listed them. An empty list changes nothing.
+  void update(std::vector<MachineType> types);
+  bool known() const { return known_; } // a list has been seen
   const std::vector<MachineType> &types() const { return types_; }
-  const MachineType &type(int t) const { return types_[static_cast<std::size_t>(t)]; }
+  const MachineType &type(int type_index) const { return types_[static_cast<std::size_t>(type_index)]; }
 
-  int find_type(const std::string &name) const { return type_names_.find(name); }
-  const std::string &type_name(int t) const { return type_names_.name(t); }
-  int zone(const std::string &name) { return zone_names_.get(name); }
-  int find_zone(const std::string &name) const { return zone_names_.find(name); }
+  int find_type(const std::string &name) const { return type_names_.find(name); } // -1: not known
+  const std::string &type_name(int type_index) const { return type_names_.name(type_index); }
+  int find_or_add_zone(const std::string &name) { return zone_names_.get(name); }
+  int find_zone(const std::string &name) const { return zone_names_.find(name); } // -1: not known
   const std::string &zone_name(int zone_index) const { return zone_names_.name(zone_index); }
 
-  // Of a CPU, an hour.
+  // Of a CPU for an hour.
   static double cpu_price(const MachineType &type, bool spot) {
     return (spot ? type.spot_price : type.price) / std::max(0.01, type.size.cpus);
   }
@@ -36,7 +40,8 @@
 private:
   std::vector<MachineType> types_; // by index of their names
   bool known_ = false;
-  NameIndex type_names_, zone_names_;
+  NameIndex type_names_;
+  NameIndex zone_names_;
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/core.hpp
+++ b/include/loftrouter/core/core.hpp
@@ -15,6 +15,7 @@
 #include "loftrouter/core/federation/cell_federation.hpp"
 #include "loftrouter/core/federation/quota_exchange.hpp"
 #include "loftrouter/core/heartbeats/heartbeat_handler.hpp"
+#include "loftrouter/core/jobs/ended_jobs.hpp"
 #include "loftrouter/core/state/state_watch.hpp"
 
 namespace loftrouter::core {
--- a/include/loftrouter/core/jobs/failure_attribution.hpp
+++ b/include/loftrouter/core/jobs/failure_attribution.hpp
@@ -1,10 +1,12 @@
-// Whose fault failures are: a sick machine fails the tasks of every job, a job with a mistake fails on every machine.
+// Whose fault failures are: a faulty machine fails the tasks of every job, a faulty job fails on every machine.
 //
-// Owns what is held against jobs and machines. Jobs that succeed elsewhere speak against the machine, and machines
-// on which nothing else fails against the job. No rule rests on it: at worst a healthy machine is given back, or a sick
-// one kept.
+// Owns the failures counted against jobs and machines; used by the core's thread alone. Jobs that succeed elsewhere
+// count against the machine, and machines on which nothing else fails against the job. No rule rests on it: at worst a
+// healthy machine is given back, or a faulty one kept.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <string>
 #include <vector>
 
@@ -20,53 +22,63 @@
   FailureAttribution(Runtime &runtime, Events &events, JobTable &jobs, const Operators &operators)
       : runtime_(runtime), events_(events), jobs_(jobs), operators_(operators) {}
 
-  // Has failed wherever it was tried: more likely a mistake in the job than several sick machines.
-  bool suspect(JobIndex job_index) const { return jobs_[job_index].done == 0 && failed_on(job_index) >= 2; }
-  // Machines in a row, none of its tasks having succeeded since.
-  std::uint32_t failed_on(JobIndex job_index) const;
-  double retry_at(JobIndex job_index) const;                  // a suspect is held off until then
-  std::vector<MachineIndex> barred(JobIndex job_index) const; // machines on which it has failed lately
-  bool failed_lately(JobIndex job_index) const { return failed_on(job_index) > 0; }
+  // It has failed wherever it was tried: more likely a mistake in the job than several faulty machines.
+  bool suspected(JobIndex job_index) const;
+  // Different machines in a row on which a task of it has failed, none having succeeded since.
+  std::uint32_t failed_machine_count(JobIndex job_index) const;
+  bool has_failed(JobIndex job_index) const { return failed_machine_count(job_index) > 0; }
+  // Monotonic: a suspected job is not placed before.
+  double retry_at(JobIndex job_index) const;
+  // Machines on which it has failed lately, and is not placed.
+  std::vector<MachineIndex> avoided_machines(JobIndex job_index) const;
 
-  void restore(JobIndex job_index, std::uint32_t failed_on); // from an earlier leader's record
+  // From an earlier leader's record.
+  void restore(JobIndex job_index, std::uint32_t failed_machine_count);
   void on(const TaskExited &event);
   void on(const JobCancelled &event);
-  void on(const JobFinalized &event) { grown(jobs_at_, event.job) = {}; }
+  void on(const JobFinalized &event) { grown(job_histories_, event.job) = {}; }
   void on(const MachineRemoved &event);
   void on(const TermEnded &);
 
 private:
   struct Failure {
     MachineIndex machine;
-    double at;
+    double at = 0; // monotonic
   };
-  struct Record { // of a job
-    std::uint32_t failed_on = 0;
-    std::vector<Failure> failures;
+  struct JobHistory {
+    std::uint32_t failed_machine_count = 0;
+    std::vector<Failure> failures; // the last of each machine, bounded
     double retry_at = 0;
-    int probes = 0; // since it became suspect
+    int probes = 0; // since it became suspected
   };
-  struct Blame {
-    std::string job;
-    bool verified; // it has succeeded elsewhere, so the fault is not the job's
+  struct FailedJob { // a job that has failed on a machine
+    std::string id;
+    bool succeeded_elsewhere = false; // so the fault is not the job's
   };
-  struct Machine {
-    std::vector<Blame> blames; // since `failing_since`, while nothing started since then has succeeded
+  struct MachineHistory {
+    std::vector<FailedJob> failed_jobs; // since `failing_since`, while nothing started since then has succeeded
     int errors = 0;
-    double failing_since = -1, last_good_start = -1;
+    double failing_since = -1;
+    double last_good_start = -1; // when the newest task that succeeded was placed
     bool quarantined = false;
+
+    bool is_faulty() const;
   };
-  void failed(const TaskExited &event);
-  void succeeded(const TaskExited &event);
-  void blame(MachineIndex machine_index, JobIndex job_index, double at_s);
-  void absolve(JobIndex job_index);
+  const JobHistory &history(JobIndex job_index) const;
+  void task_failed(const TaskExited &event);
+  void task_succeeded(const TaskExited &event);
+  void record_failure(JobHistory &history, MachineIndex machine_index);
+  void suspect(JobIndex job_index, JobHistory &history);
+  void schedule_retry(JobHistory &history);
+  void count_against_machine(MachineIndex machine_index, JobIndex job_index, double failed_at);
+  void clear_machines_of(JobIndex job_index);
 
   Runtime &runtime_;
   Events &events_;
   JobTable &jobs_;
   const Operators &operators_;
-  std::vector<Record> jobs_at_;
-  std::vector<Machine> machines_;
+  std::vector<JobHistory> job_histories_;         // by job
+  std::vector<MachineHistory> machine_histories_; // by machine
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/jobs/job_objectives.hpp
+++ b/include/loftrouter/core/jobs/job_objectives.hpp
@@ -1,4 +1,7 @@
-// When its team wants a job to be complete, by its own deadline or by the objectives of the settings. Pure.
+// When its team wants a job to be complete, by its own deadline or by the objectives of the settings.
+//
+// Owns nothing and keeps no state: pure functions of the settings, a job and its age. No rule rests on them; they order
+// work and size the fleet.
 #pragma once
 
 #include <optional>
@@ -8,24 +11,25 @@
 
 namespace loftrouter::core {
 
+// Times are seconds from when the job could start, and so is a job's age. `deadline`: the job's own, or what the jobs
+// that depend on it leave it (`Dependencies::deadline`).
 class JobObjectives {
 public:
   explicit JobObjectives(const Settings &settings) : settings_(settings) {}
 
-  // Seconds after it could start, as its age: nothing if nobody has said. `deadline`: its own or what its path leaves
-  // it.
-  std::optional<double> wanted_after(const JobSpec &spec, std::optional<double> deadline) const;
+  // When it is late: nothing if nobody has said.
+  std::optional<double> completion_target(const JobSpec &spec, std::optional<double> deadline) const;
   // What to work for: of several objectives the first that a job of this age can still meet.
-  double due_after(const JobSpec &spec, std::optional<double> deadline, double age_s) const;
+  double achievable_target(const JobSpec &spec, std::optional<double> deadline, double age_s) const;
   // Small work that nobody wants at a certain time.
   bool deferrable(const JobSpec &spec, Urgency urgency, std::optional<double> deadline, double age_s) const;
 
 private:
-  std::optional<double> started_within(const JobSpec &spec) const;
+  std::optional<double> start_target(const JobSpec &spec) const;
   const Settings &settings_;
 };
 
-// Leaves machines alone that others need whole.
+// Keeps off machines that others need whole.
 inline bool is_small(const JobSpec &spec, Urgency urgency) {
   return urgency == Urgency::Low && spec.spot;
 }
--- a/include/loftrouter/core/jobs/pending_reasons.hpp
+++ b/include/loftrouter/core/jobs/pending_reasons.hpp
@@ -1,5 +1,6 @@
-// What happened last to each open job that is worth telling its owner, with the time of day; and what its final record
-// says. Owns the former. A listener: it changes nothing.
+// What happened last to each open job that its owner should know, with the time of day; and what its final record says.
+//
+// Owns the former, as text for users. A listener: it changes nothing, and no rule rests on it.
 #pragma once
 
 #include <string>
@@ -14,7 +15,8 @@
 
 namespace loftrouter::core {
 
-std::string stopped_with(std::string_view id); // in words: why a job is cancelled that needs this one
+// Why a job is cancelled that waits for the job of this id, for users.
+std::string dependency_cancelled_reason(std::string_view dependency_id);
 
 class PendingReasons {
 public:
@@ -23,10 +25,12 @@
       : runtime_(runtime), jobs_(jobs), dependencies_(dependencies), failure_attribution_(failure_attribution),
         objectives_(objectives) {}
 
-  const std::string &of(JobIndex job_index) const; // empty: nothing
+  // Empty: nothing has happened to it.
+  const std::string &last_event(JobIndex job_index) const;
+  // Of a job that ends now.
   EndRecord end_record(JobIndex job_index) const;
 
-  void on(const JobAccepted &event) { grown(last_, event.job).clear(); }
+  void on(const JobAccepted &event) { grown(last_events_, event.job).clear(); }
   void on(const TaskRetried &event);
   void on(const TaskLost &event);
   void on(const TaskPreempted &event);
@@ -34,13 +38,14 @@
 
 private:
   void set(JobIndex job_index, std::string_view what);
+  std::string cancellation_reason(JobIndex job_index) const;
 
   Runtime &runtime_;
   const JobTable &jobs_;
   const Dependencies &dependencies_;
   const FailureAttribution &failure_attribution_;
   const JobObjectives &objectives_;
-  std::vector<std::string> last_;
+  std::vector<std::string> last_events_; // by job
 };
 
 } // namespace loftrouter::core
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -160,7 +160,7 @@
   std::size_t suspects = 0;
   jobs_.each([&](JobIndex job_index, const Job &job) {
     unaccounted += job.unaccounted;
-    suspects += !job.cancelled && job.team >= 0 && failure_attribution_.suspect(job_index);
+    suspects += !job.cancelled && job.team >= 0 && failure_attribution_.suspected(job_index);
   });
   if (leads && unaccounted && jobs_.unaccounted_until() > runtime_.now())
     out.push_back(fmt::format("took over at {}: tasks not found again by {} are started anew",
--- a/src/core/api/job_api_handler.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -375,7 +375,7 @@
   if (auto it = known_open_.find(question.id); it != known_open_.end()) cancelled |= it->second.cancelled;
   const auto with = cancelled_name(question.id);
   auto view = status_reporter_.view(question.id, cancelled || !with.empty());
-  if (!with.empty()) view.reason = stopped_with(with);
+  if (!with.empty()) view.reason = dependency_cancelled_reason(with);
   runtime_.reply(question.req, 200,
                  question.as_submit ? wire::encode_accepted(question.id, view.state) : wire::encode_job_view(view));
 }
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -39,19 +39,20 @@
 // Why the job's tasks wait, or what last happened to them, in words for its owner.
 std::string StatusReporter::why(JobIndex job_index, const Supplies &supply) const {
   const Job &job = jobs_[job_index];
-  if (const auto &with = dependencies_.stopped_with(job_index); !with.empty()) return stopped_with(with);
+  if (const auto &with = dependencies_.cancelled_with(job_index); !with.empty())
+    return dependency_cancelled_reason(with);
   if (job.cancelled) return "stopped: cancelled by its user";
   if (!dependencies_.ready(job_index)) return why_not_ready(job_index);
   if (job.done == job.spec.tasks) return "all tasks have completed; this is being recorded";
-  if (failure_attribution_.suspect(job_index)) {
+  if (failure_attribution_.suspected(job_index)) {
     if (job.placed)
       return fmt::format("failed with an error on {} machines; being tried again: check the job",
-                         failure_attribution_.failed_on(job_index));
+                         failure_attribution_.failed_machine_count(job_index));
     return fmt::format("failed with an error on {} machines; next try in {:.0f} s: check the job",
-                       failure_attribution_.failed_on(job_index),
+                       failure_attribution_.failed_machine_count(job_index),
                        std::max(0.0, failure_attribution_.retry_at(job_index) - runtime_.now()));
   }
-  const std::string &last = pending_reasons_.of(job_index);
+  const std::string &last = pending_reasons_.last_event(job_index);
   std::string wait;
   if (!leadership_.lease_valid())
     wait = fmt::format("nothing is started: the state service has not answered since {}",
@@ -84,8 +85,8 @@
 }
 
 std::string StatusReporter::why_not_ready(JobIndex job_index) const {
-  const auto &open = dependencies_.waits_for(job_index);
-  const std::size_t others = open.size() + dependencies_.unknown(job_index) - !open.empty();
+  const auto &open = dependencies_.open_dependencies(job_index);
+  const std::size_t others = open.size() + dependencies_.unresolved_count(job_index) - !open.empty();
   if (open.empty()) return fmt::format("waits for {} that this leader is still looking up", plural(others, "job"));
   const Job &first = jobs_[open.front()];
   return fmt::format("waits for job {}, of which {} of {} tasks {} done{}", first.spec.id, first.done, first.spec.tasks,
@@ -162,10 +163,10 @@
          wait;
 }
 
-const Dependencies::Path &StatusReporter::outlook() const {
-  if (runtime_.now() - outlook_at_ < kOutlookEvery && outlook_.done_in.size() == jobs_.index_limit()) return outlook_;
+const CriticalPath &StatusReporter::outlook() const {
+  if (runtime_.now() - outlook_at_ < kOutlookEvery && outlook_.done_in_s.size() == jobs_.index_limit()) return outlook_;
   outlook_at_ = runtime_.now();
-  outlook_ = dependencies_.along([this](JobIndex job_index) {
+  outlook_ = dependencies_.critical_path([this](JobIndex job_index) {
     const Job &job = jobs_[job_index];
     const double queue = job.pending() * job.spec.need.cpus / std::max(1.0, scheduler_.up_cpus());
     return job.pending() ? job.spec.estimate_s * (1 + queue)
@@ -176,11 +177,11 @@
 
 bool StatusReporter::foreseen_late(JobIndex job_index) const {
   const Job &job = jobs_[job_index];
-  const auto wanted = objectives_.wanted_after(job.spec, dependencies_.deadline(job_index));
+  const auto wanted = objectives_.completion_target(job.spec, dependencies_.deadline(job_index));
   if (!wanted || job.cancelled || job.done == job.spec.tasks) return false;
   const auto &o = outlook();
   const auto at = job_index.position();
-  const double left = at >= o.done_in.size() ? 0 : job.pending() ? o.done_in[at] : o.begins_in[at];
+  const double left = at >= o.done_in_s.size() ? 0 : job.pending() ? o.done_in_s[at] : o.starts_in_s[at];
   return std::max(0.0, scheduler_.age(job_index)) + left > operators_.tunables().late_notice_share * *wanted;
 }
 
@@ -188,12 +189,12 @@
 std::string StatusReporter::at_risk(JobIndex job_index) const {
   const auto wanted = dependencies_.own_deadline(job_index);
   const auto &o = outlook();
-  if (!wanted || job_index.position() >= o.done_in.size()) return {};
-  const double late = std::max(0.0, scheduler_.age(job_index)) + o.done_in[job_index.position()] - *wanted;
+  if (!wanted || job_index.position() >= o.done_in_s.size()) return {};
+  const double late = std::max(0.0, scheduler_.age(job_index)) + o.done_in_s[job_index.position()] - *wanted;
   if (late <= 0) return {};
   JobIndex stage = job_index;
-  while (o.last[stage.position()].valid())
-    stage = o.last[stage.position()];
+  while (o.last_dependency[stage.position()].valid())
+    stage = o.last_dependency[stage.position()];
   if (!jobs_.find(stage)) return {};
   return fmt::format("; at risk: expected {:.0f} s after its deadline, held up by job {} ({})", std::ceil(late),
                      jobs_[stage].spec.id, jobs_[stage].spec.job_class);
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -75,7 +75,7 @@
       types_loading_ = false;
       if (reply.status != 200 || reply.types.empty()) return;
       const bool first = !catalog_.known();
-      catalog_.take(reply.types);
+      catalog_.update(reply.types);
       if (first && leadership_.role() == Role::Follower)
         runtime_.store(StoreCommit{{{kTypesKey, 0}}, {{kTypesKey, wire::to_json(catalog_.types()), 0}}}, 2.0,
                        [](const wire::StoreReply &) {});
@@ -85,7 +85,7 @@
   runtime_.store(StoreGet{kTypesKey}, 1.0, [this, from_cloud](const wire::StoreReply &reply) {
     if (reply.status == 200 && reply.entries.size() == 1)
       if (auto types = wire::types_from_json(reply.entries[0].value)) {
-        catalog_.take(std::move(*types));
+        catalog_.update(std::move(*types));
         types_loading_ = false;
         return;
       }
@@ -249,15 +249,15 @@
 
 // Seconds until each job can probably start; 0: it can. By its owners' estimates, so never beyond what is being run.
 std::vector<double> Autoscaler::ready_soon() const {
-  auto out = dependencies_.along([this](JobIndex job_index) {
+  auto out = dependencies_.critical_path([this](JobIndex job_index) {
     const double age = dependencies_.ready(job_index) ? std::max(0.0, scheduler_.age(job_index)) : 0;
     return std::max(1.0, jobs_[job_index].spec.estimate_s - age);
   });
   jobs_.each([&](JobIndex job_index, const Job &) { // one whose names are all being looked up still waits
-    auto &in = out.begins_in[job_index.position()];
+    auto &in = out.starts_in_s[job_index.position()];
     if (!dependencies_.ready(job_index)) in = std::max(in, 0.5);
   });
-  return std::move(out.begins_in);
+  return std::move(out.starts_in_s);
 }
 
 void Autoscaler::scale() {
@@ -325,7 +325,7 @@
       job.limit = job.ready;
     if (job.limit == 0) continue;
     // For work that fails everywhere nothing is rented, unless it could never be tried again.
-    if (failure_attribution_.suspect(job_index)) {
+    if (failure_attribution_.suspected(job_index)) {
       job.barred.clear();
       if (std::any_of(up.begin(), up.end(), [&](const auto &m) { return allowed(job, m) && job.need.fits(m.size); }))
         continue;
@@ -333,7 +333,8 @@
     if (!scheduler_.deferrable(job_index) || scheduler_.passed_over(job_index)) pending += job.ready * job.need.cpus;
     const bool low = job.urgency == Urgency::Low;
     const double est = std::max(8.0, n.spec.estimate_s);
-    const double due = objectives_.due_after(n.spec, dependencies_.deadline(job_index), scheduler_.age(job_index)),
+    const double due = objectives_.achievable_target(n.spec, dependencies_.deadline(job_index),
+                                                     scheduler_.age(job_index)),
                  left = due - job.wait_s;
     // A gang needs all its places at the same time, perhaps in one zone: none serves two of its tasks, one after the
     // other. Counting so from the start rents more than others leave time for (measured: worse); a gang that has waited
@@ -380,7 +381,7 @@
       if (!job.types[static_cast<std::size_t>(t)] || !job.need.fits(type.size) || soon > type.boot_s) continue;
       const double per = places_on(type);
       for (const auto &zone : type.zones) {
-        const int zone_index = catalog_.zone(zone);
+        const int zone_index = catalog_.find_or_add_zone(zone);
         if (job.zone >= 0 && job.zone != zone_index) continue;
         for (bool spot : {true, false}) {
           if (spot && !job.spot) continue;
--- a/src/core/catalog/instance_type_catalog.cpp
+++ b/src/core/catalog/instance_type_catalog.cpp
@@ -1,28 +1,29 @@
 #include "loftrouter/core/catalog/instance_type_catalog.hpp"
 
 #include <limits>
+#include <utility>
 
 namespace loftrouter::core {
 
 InstanceTypeCatalog::InstanceTypeCatalog(const std::vector<std::string> &zones) {
-  for (const auto &z : zones)
-    zone_names_.get(z);
+  for (const auto &zone : zones)
+    zone_names_.get(zone);
 }
 
-void InstanceTypeCatalog::take(std::vector<MachineType> types) {
+void InstanceTypeCatalog::update(std::vector<MachineType> types) {
   if (types.empty()) return;
-  for (auto &t : types) {
-    const auto i = static_cast<std::size_t>(type_names_.get(t.name));
-    if (i >= types_.size()) types_.resize(i + 1);
-    types_[i] = std::move(t);
+  for (auto &type : types) {
+    const auto position = static_cast<std::size_t>(type_names_.get(type.name));
+    if (position >= types_.size()) types_.resize(position + 1);
+    types_[position] = std::move(type);
   }
   known_ = true;
 }
 
 double InstanceTypeCatalog::cheapest_cpu() const {
   double cheapest = std::numeric_limits<double>::infinity();
-  for (const auto &t : types_)
-    cheapest = std::min({cheapest, cpu_price(t, true), cpu_price(t, false)});
+  for (const auto &type : types_)
+    cheapest = std::min({cheapest, cpu_price(type, true), cpu_price(type, false)});
   return std::max(1e-9, cheapest);
 }
 
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -118,7 +118,7 @@
   applied_.tick();
   if (!leadership_.leading()) return;
   step([this] {
-    for (JobIndex job_index : jobs_.age())
+    for (JobIndex job_index : jobs_.expire_unaccounted())
       workers_.reconcile_gang(job_index);
   });
   step([this] { dependencies_.tick(); });
--- a/src/core/federation/cell_federation.cpp
+++ b/src/core/federation/cell_federation.cpp
@@ -220,7 +220,8 @@
     return told(from, cell, m);
   case Kind::Settled: {
     JobIndex job_index;
-    if (InboundDelegation *d = inbound(m.generation, cell, job_index); d && d->ended) jobs_.settle(job_index);
+    if (InboundDelegation *d = inbound(m.generation, cell, job_index); d && d->ended)
+      jobs_.confirm_end_by_origin(job_index);
     return;
   }
   case Kind::Recall: {
@@ -373,7 +374,7 @@
           ++state.delegations;
           for (auto [a, b] : l.tasks)
             for (auto i = a; i < b; ++i)
-              state.delegated_out_tasks += job.tasks[i].state == TaskState::DelegationSource;
+              state.delegated_out_tasks += job.tasks[i].state == TaskState::Delegated;
         }
       if (!job.delegated_here || job.delegated_here->origin != c.name) return;
       ++state.delegations_in;
--- a/src/core/federation/delegations_in.cpp
+++ b/src/core/federation/delegations_in.cpp
@@ -148,7 +148,7 @@
     if (d.draining && still) close(job_index, d);
     d.ended = still && (d.state.closed() || job.done == job.spec.tasks);
     // An id that an own user wants is not kept waiting for another cell's answer.
-    if (d.ended && d.wanted) jobs_.settle(job_index);
+    if (d.ended && d.wanted) jobs_.confirm_end_by_origin(job_index);
     const std::uint32_t running = counts[job_index.position()];
     const auto used = ledger_.enabled() ? ledger_.current_usage(job_index) : accounts::Usage{};
     const bool news = d.ended || job.done != d.told_done || running != d.told_running || used.held() != d.told_held;
--- a/src/core/federation/delegations_out.cpp
+++ b/src/core/federation/delegations_out.cpp
@@ -83,14 +83,14 @@
     int &eager = grown(eager_, job_index);
     const bool whole = job.spec.shape == Shape::Gang || job.spec.one_zone || job.spec.spread;
     if (job.delegated_here || job.cancelled || job.ending || job.pending() == 0 ||
-        job.delegations.size() >= kMaxDelegationsPerJob || failure_attribution_.suspect(job_index) || job.team < 0 ||
+        job.delegations.size() >= kMaxDelegationsPerJob || failure_attribution_.suspected(job_index) || job.team < 0 ||
         ledger_.budget_exhausted(job.team) || !may_leave(job.spec) ||
         (whole && (job.placed || job.unaccounted || job.delegated))) {
       eager = 0;
       return;
     }
     const double age = std::max(0.0, runtime_.wall() - job.submit_wall);
-    order.emplace_back(objectives_.due_after(job.spec, job.spec.deadline_s, age) - age - job.spec.estimate_s,
+    order.emplace_back(objectives_.achievable_target(job.spec, job.spec.deadline_s, age) - age - job.spec.estimate_s,
                        job_index);
   });
   std::sort(order.begin(), order.end());
@@ -209,9 +209,10 @@
   m.generation = delegation.state.generation();
   JobSpec spec = job.spec;
   const double age = std::max(0.0, runtime_.wall() - job.submit_wall);
-  spec.deadline_s = objectives_.wanted_after(job.spec, job.spec.deadline_s)
-                        ? std::optional(std::max(1.0, objectives_.due_after(job.spec, job.spec.deadline_s, age) - age))
-                        : std::nullopt;
+  spec.deadline_s =
+      objectives_.completion_target(job.spec, job.spec.deadline_s)
+          ? std::optional(std::max(1.0, objectives_.achievable_target(job.spec, job.spec.deadline_s, age) - age))
+          : std::nullopt;
   m.body = wire::encode(wire::to_json(spec));
   for (const auto &x : job.delegations)
     if (x.generation == m.generation) m.ranges = x.tasks;
@@ -312,8 +313,7 @@
   for (auto [a, b] : m.ranges)
     for (auto i = a; i < b && i < job.spec.tasks; ++i) {
       const auto state = job.tasks[i].state;
-      if (inside(i) &&
-          (state == TaskState::DelegationSource || (lapsed && state == TaskState::Pending && !job.cancelled))) {
+      if (inside(i) && (state == TaskState::Delegated || (lapsed && state == TaskState::Pending && !job.cancelled))) {
         l->progressed = true;
         jobs_.finish(job_index, i);
       }
--- /dev/null
+++ b/src/core/jobs/ended_jobs.cpp
@@ -0,0 +1,21 @@
+#include "loftrouter/core/jobs/ended_jobs.hpp"
+
+#include <utility>
+
+namespace loftrouter::core {
+
+const EndRecord *EndedJobs::find(const std::string &id) const {
+  const auto it = ends_.find(id);
+  return it == ends_.end() ? nullptr : &it->second;
+}
+
+void EndedJobs::remember(const std::string &id, EndRecord end) {
+  events_.publish(JobEndLearned{id});
+  if (!ends_.emplace(id, std::move(end)).second) return;
+  order_.push_back(id);
+  if (order_.size() <= kMax) return;
+  ends_.erase(order_.front());
+  order_.pop_front();
+}
+
+} // namespace loftrouter::core
--- a/src/core/jobs/failure_attribution.cpp
+++ b/src/core/jobs/failure_attribution.cpp
@@ -6,124 +6,158 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kPauseAfterTakeover = 20.0; // s, of a job that failed everywhere under the last leader
-constexpr double kBarredFor = 120.0;         // s, that a job keeps off a machine on which it has failed
-constexpr std::size_t kMaxBarred = 8;
-constexpr double kMaxProbePause = 80.0; // s, between tries of a job that fails everywhere
+constexpr std::uint32_t kSuspectedAfterMachines = 2; // on which a job has failed, without ever succeeding
+constexpr double kPauseAfterFailover = 20.0;         // s, of a job that failed everywhere under the last leader
+constexpr double kAvoidedFor = 120.0;                // s, that a job keeps off a machine on which it has failed
+constexpr std::size_t kMaxFailures = 8;              // machines remembered for a job
+constexpr double kMaxProbePause = 80.0;              // s, between tries of a job that fails everywhere
+constexpr int kMaxProbes = 10;                       // counted; the pause has reached its maximum long before
 } // namespace
 
-std::uint32_t FailureAttribution::failed_on(JobIndex job_index) const {
-  return job_index.position() < jobs_at_.size() ? jobs_at_[job_index.position()].failed_on : 0;
+// ---- look-ups ----
+
+const FailureAttribution::JobHistory &FailureAttribution::history(JobIndex job_index) const {
+  static const JobHistory none;
+  return job_index.position() < job_histories_.size() ? job_histories_[job_index.position()] : none;
+}
+
+bool FailureAttribution::suspected(JobIndex job_index) const {
+  return jobs_[job_index].done == 0 && failed_machine_count(job_index) >= kSuspectedAfterMachines;
+}
+
+std::uint32_t FailureAttribution::failed_machine_count(JobIndex job_index) const {
+  return history(job_index).failed_machine_count;
 }
 
 double FailureAttribution::retry_at(JobIndex job_index) const {
-  return job_index.position() < jobs_at_.size() ? jobs_at_[job_index.position()].retry_at : 0;
+  return history(job_index).retry_at;
 }
 
-std::vector<MachineIndex> FailureAttribution::barred(JobIndex job_index) const {
-  std::vector<MachineIndex> out;
-  if (job_index.position() >= jobs_at_.size()) return out;
-  for (const auto &f : jobs_at_[job_index.position()].failures)
-    if (runtime_.now() - f.at < kBarredFor) out.push_back(f.machine);
-  return out;
+std::vector<MachineIndex> FailureAttribution::avoided_machines(JobIndex job_index) const {
+  std::vector<MachineIndex> avoided;
+  for (const auto &failure : history(job_index).failures)
+    if (runtime_.now() - failure.at < kAvoidedFor) avoided.push_back(failure.machine);
+  return avoided;
 }
 
-void FailureAttribution::restore(JobIndex job_index, std::uint32_t failed_on) {
-  Record &record = grown(jobs_at_, job_index);
-  record.failed_on = failed_on;
-  if (suspect(job_index)) record.retry_at = runtime_.now() + kPauseAfterTakeover;
+bool FailureAttribution::MachineHistory::is_faulty() const {
+  const auto sure = std::count_if(failed_jobs.begin(), failed_jobs.end(),
+                                  [](const FailedJob &job) { return job.succeeded_elsewhere; });
+  return sure >= 2 || failed_jobs.size() >= 3 || (sure >= 1 && errors >= 3);
+}
+
+// ---- exits ----
+
+void FailureAttribution::restore(JobIndex job_index, std::uint32_t failed_machine_count) {
+  JobHistory &job = grown(job_histories_, job_index);
+  job.failed_machine_count = failed_machine_count;
+  if (suspected(job_index)) job.retry_at = runtime_.now() + kPauseAfterFailover;
 }
 
 void FailureAttribution::on(const TaskExited &event) {
-  if (event.cause == ExitCause::Done && jobs_[event.job].spec.shape != Shape::Service) succeeded(event);
-  if (event.cause == ExitCause::Error) failed(event);
+  if (event.cause == ExitCause::Done && jobs_[event.job].spec.shape != Shape::Service) task_succeeded(event);
+  if (event.cause == ExitCause::Error) task_failed(event);
 }
 
-void FailureAttribution::succeeded(const TaskExited &event) {
-  Machine &machine = grown(machines_, event.machine);
+void FailureAttribution::task_succeeded(const TaskExited &event) {
+  MachineHistory &machine = grown(machine_histories_, event.machine);
   // What had begun before the failures says nothing about what begins now.
   machine.last_good_start = std::max(machine.last_good_start, event.placed_at);
   if (event.placed_at >= machine.failing_since) {
-    machine.blames.clear();
+    machine.failed_jobs.clear();
     machine.errors = 0;
   }
-  Record &record = grown(jobs_at_, event.job);
-  record.failed_on = 0;
-  std::erase_if(record.failures, [this](const Failure &f) { return runtime_.now() - f.at >= kBarredFor; });
-  for (const auto &f : record.failures)
-    blame(f.machine, event.job, f.at); // so it was the machines
-}
-
-void FailureAttribution::failed(const TaskExited &event) {
-  Record &record = grown(jobs_at_, event.job);
-  const bool was_suspect = suspect(event.job);
-  auto here = std::find_if(record.failures.begin(), record.failures.end(),
-                           [&](const Failure &f) { return f.machine == event.machine; });
-  if (here != record.failures.end()) {
-    here->at = runtime_.now();
-  } else {
-    ++record.failed_on;
-    if (record.failures.size() >= kMaxBarred) record.failures.erase(record.failures.begin());
-    record.failures.push_back({event.machine, runtime_.now()});
-  }
-  if (!suspect(event.job)) {
+  JobHistory &job = grown(job_histories_, event.job);
+  job.failed_machine_count = 0;
+  std::erase_if(job.failures, [this](const Failure &failure) { return runtime_.now() - failure.at >= kAvoidedFor; });
+  for (const auto &failure : job.failures)
+    count_against_machine(failure.machine, event.job, failure.at); // so it was the machines
+}
+
+void FailureAttribution::task_failed(const TaskExited &event) {
+  JobHistory &job = grown(job_histories_, event.job);
+  const bool was_suspected = suspected(event.job);
+  record_failure(job, event.machine);
+  if (!suspected(event.job)) {
     events_.publish(TaskRetried{event.job, event.machine_name});
-    ++grown(machines_, event.machine).errors;
-    blame(event.machine, event.job, runtime_.now());
+    ++grown(machine_histories_, event.machine).errors;
+    count_against_machine(event.machine, event.job, runtime_.now());
     return;
   }
-  if (!was_suspect) {
-    record.probes = 0;
-    absolve(event.job);
-    events_.publish(JobSuspected{event.job, record.failed_on});
-    jobs_.changed(event.job, false);
-  }
-  if (runtime_.now() >= record.retry_at) {
-    const double pause = operators_.tunables().probe_pause_s;
-    record.retry_at = runtime_.now() + std::min(std::max(kMaxProbePause, pause), pause * std::pow(2.0, record.probes));
-    if (record.probes < 10) ++record.probes;
+  if (!was_suspected) suspect(event.job, job);
+  if (runtime_.now() >= job.retry_at) schedule_retry(job);
+}
+
+void FailureAttribution::record_failure(JobHistory &history, MachineIndex machine_index) {
+  const auto same_machine =
+      std::find_if(history.failures.begin(), history.failures.end(),
+                   [machine_index](const Failure &failure) { return failure.machine == machine_index; });
+  if (same_machine != history.failures.end()) {
+    same_machine->at = runtime_.now();
+    return;
   }
+  ++history.failed_machine_count;
+  if (history.failures.size() >= kMaxFailures) history.failures.erase(history.failures.begin());
+  history.failures.push_back({machine_index, runtime_.now()});
+}
+
+void FailureAttribution::suspect(JobIndex job_index, JobHistory &history) {
+  history.probes = 0;
+  clear_machines_of(job_index);
+  events_.publish(JobSuspected{job_index, history.failed_machine_count});
+  jobs_.changed(job_index, false);
+}
+
+// A suspected job is tried again after a pause that doubles.
+void FailureAttribution::schedule_retry(JobHistory &history) {
+  const double first_pause_s = operators_.tunables().probe_pause_s;
+  const double max_pause_s = std::max(kMaxProbePause, first_pause_s);
+  history.retry_at = runtime_.now() + std::min(max_pause_s, first_pause_s * std::pow(2.0, history.probes));
+  history.probes = std::min(history.probes + 1, kMaxProbes);
 }
 
-void FailureAttribution::blame(MachineIndex machine_index, JobIndex job_index, double at_s) {
-  Machine &machine = grown(machines_, machine_index);
-  if (machine.last_good_start > at_s) return;
-  if (machine.blames.empty()) machine.failing_since = at_s;
+// ---- machines ----
+
+void FailureAttribution::count_against_machine(MachineIndex machine_index, JobIndex job_index, double failed_at) {
+  MachineHistory &machine = grown(machine_histories_, machine_index);
+  if (machine.last_good_start > failed_at) return;
+  if (machine.failed_jobs.empty()) machine.failing_since = failed_at;
   const std::string &id = jobs_[job_index].spec.id;
-  const bool verified = jobs_[job_index].done > 0;
-  auto it = std::find_if(machine.blames.begin(), machine.blames.end(), [&](const Blame &b) { return b.job == id; });
-  if (it == machine.blames.end())
-    machine.blames.push_back({id, verified});
+  const bool succeeded_elsewhere = jobs_[job_index].done > 0;
+  const auto known = std::find_if(machine.failed_jobs.begin(), machine.failed_jobs.end(),
+                                  [&id](const FailedJob &failed) { return failed.id == id; });
+  if (known == machine.failed_jobs.end())
+    machine.failed_jobs.push_back({id, succeeded_elsewhere});
   else
-    it->verified |= verified;
-  const auto sure =
-      std::count_if(machine.blames.begin(), machine.blames.end(), [](const Blame &b) { return b.verified; });
-  if (machine.quarantined || (sure < 2 && machine.blames.size() < 3 && !(sure && machine.errors >= 3))) return;
+    known->succeeded_elsewhere |= succeeded_elsewhere;
+  if (machine.quarantined || !machine.is_faulty()) return;
   machine.quarantined = true;
-  events_.publish(MachineQuarantined{machine_index, machine.blames.size()});
+  events_.publish(MachineQuarantined{machine_index, machine.failed_jobs.size()});
 }
 
-void FailureAttribution::absolve(JobIndex job_index) {
-  for (const auto &f : grown(jobs_at_, job_index).failures) {
-    Machine &machine = grown(machines_, f.machine);
-    std::erase_if(machine.blames, [&](const Blame &b) { return b.job == jobs_[job_index].spec.id; });
-    if (machine.blames.empty()) machine.errors = 0;
+// The job's failures were more likely its own.
+void FailureAttribution::clear_machines_of(JobIndex job_index) {
+  const std::string &id = jobs_[job_index].spec.id;
+  for (const auto &failure : grown(job_histories_, job_index).failures) {
+    MachineHistory &machine = grown(machine_histories_, failure.machine);
+    std::erase_if(machine.failed_jobs, [&id](const FailedJob &failed) { return failed.id == id; });
+    if (machine.failed_jobs.empty()) machine.errors = 0;
   }
 }
 
 void FailureAttribution::on(const JobCancelled &event) {
-  if (jobs_[event.job].done == 0) absolve(event.job); // its failures were more likely its own
+  if (jobs_[event.job].done == 0) clear_machines_of(event.job);
 }
 
 void FailureAttribution::on(const MachineRemoved &event) {
-  grown(machines_, event.machine) = {};
-  for (auto &k : jobs_at_)
-    std::erase_if(k.failures, [&](const Failure &f) { return f.machine == event.machine; });
+  grown(machine_histories_, event.machine) = {};
+  for (auto &job : job_histories_)
+    std::erase_if(job.failures, [&event](const Failure &failure) { return failure.machine == event.machine; });
 }
 
 void FailureAttribution::on(const TermEnded &) {
-  jobs_at_.clear();
-  machines_.clear();
+  job_histories_.clear();
+  machine_histories_.clear();
 }
 
 } // namespace loftrouter::core
--- a/src/core/jobs/job_table.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -6,27 +6,78 @@
 
 namespace loftrouter::core {
 
+namespace {
+
+// visit(index) for each task of `ranges` that a job of `tasks` tasks has: records may name more.
+template <class Visit> void each_task(const Ranges &ranges, std::uint32_t tasks, Visit &&visit) {
+  for (const auto &[begin, end] : ranges)
+    for (std::uint32_t task_index = begin; task_index < end && task_index < tasks; ++task_index)
+      visit(task_index);
+}
+
+// The count of tasks in this state, or null: pending ones are not counted.
+std::uint32_t *count_of(Job &job, TaskState state) {
+  switch (state) {
+  case TaskState::Placed:
+    return &job.placed;
+  case TaskState::Unaccounted:
+    return &job.unaccounted;
+  case TaskState::Done:
+    return &job.done;
+  case TaskState::Delegated:
+    return &job.delegated;
+  case TaskState::Pending:
+    break;
+  }
+  return nullptr;
+}
+
+} // namespace
+
+bool Job::finishable() const {
+  if (ending) return false;
+  if (delegated_here) return origin_confirmed_end && placed == 0 && unaccounted == 0;
+  if (cancelled) return placed == 0 && unaccounted == 0 && delegated == 0;
+  return spec.shape != Shape::Service && done == spec.tasks;
+}
+
 JobTable::JobTable(Runtime &runtime, Events &events, const Settings &settings) : runtime_(runtime), events_(events) {
-  for (const auto &t : settings.teams)
-    team_names_.get(t.name);
+  for (const auto &team : settings.teams)
+    team_names_.get(team.name);
 }
 
 JobIndex JobTable::index(const std::string &id) const {
-  auto it = index_.find(id);
+  const auto it = index_.find(id);
   return it == index_.end() ? JobIndex() : it->second;
 }
 
-JobIndex JobTable::add(OpenRecord record, std::uint64_t mod_revision) {
-  assert(!index_.contains(record.spec.id));
-  JobIndex job_index;
-  if (!free_.empty()) {
-    job_index = free_.back();
-    free_.pop_back();
-  } else {
-    job_index = JobIndex(jobs_.size());
+bool JobTable::consistent(JobIndex job_index) const {
+  const Job &job = *find(job_index);
+  Job counted;
+  for (const auto &task : job.tasks) {
+    if (std::uint32_t *count = count_of(counted, task.state)) ++*count;
+    if ((task.state == TaskState::Placed) != task.machine.valid()) return false;
+  }
+  return counted.done == job.done && counted.placed == job.placed && counted.unaccounted == job.unaccounted &&
+         counted.delegated == job.delegated;
+}
+
+// ---- jobs ----
+
+JobIndex JobTable::free_index() {
+  if (free_.empty()) {
     jobs_.emplace_back();
+    return JobIndex(jobs_.size() - 1);
   }
-  assert(!jobs_[job_index.position()]);
+  const JobIndex job_index = free_.back();
+  free_.pop_back();
+  return job_index;
+}
+
+JobIndex JobTable::add(OpenRecord record, std::uint64_t mod_revision) {
+  assert(!index_.contains(record.spec.id));
+  const JobIndex job_index = free_index();
+  assert(!find(job_index));
   jobs_[job_index.position()] = std::make_unique<Job>();
   Job &job = at(job_index);
   job.spec = std::move(record.spec);
@@ -35,18 +86,7 @@
   job.open_mod_revision = mod_revision;
   job.serial = ++serial_;
   job.tasks.resize(job.spec.tasks);
-  if (record.delegated) {
-    // Accounts and queues tell it apart from this cell's own work; the name is no team's (JobApiHandler refuses it).
-    job.spec.team = "@" + record.delegated->origin;
-    job.delegated_here = std::move(record.delegated);
-    job.paused = true;
-    std::vector<char> mine(job.spec.tasks, 0);
-    for (auto [a, b] : job.delegated_here->tasks)
-      for (auto i = a; i < b && i < job.spec.tasks; ++i)
-        mine[i] = 1;
-    for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
-      if (!mine[i]) set(job_index, i, TaskState::Done);
-  }
+  if (record.delegated) accept_delegation(job_index, std::move(*record.delegated));
   job.team = team_names_.find(job.spec.team);
   job.image = image_names_.get(job.spec.image);
   index_[job.spec.id] = job_index;
@@ -54,89 +94,43 @@
   return job_index;
 }
 
+// Another cell's job. Accounts and queues tell it apart from this cell's own work; the name is no team's
+// (JobApiHandler refuses it). It waits until the origin cell has confirmed the delegation.
+void JobTable::accept_delegation(JobIndex job_index, DelegationSource source) {
+  Job &job = at(job_index);
+  job.spec.team = "@" + source.origin;
+  job.delegated_here = std::move(source);
+  job.paused = true;
+  std::vector<char> delegated(job.spec.tasks, 0);
+  each_task(job.delegated_here->tasks, job.spec.tasks, [&](std::uint32_t task_index) { delegated[task_index] = 1; });
+  for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
+    if (!delegated[i]) set_state(job_index, i, TaskState::Done);
+}
+
 void JobTable::restore(JobIndex job_index, const ProgressRecord &progress) {
   Job &job = at(job_index);
   assert(job.placed == 0);
-  for (auto [a, b] : progress.started)
-    for (auto i = a; i < b && i < job.spec.tasks; ++i)
-      if (job.tasks[i].state == TaskState::Pending) set(job_index, i, TaskState::Unaccounted);
-  for (auto [a, b] : progress.finished)
-    for (auto i = a; i < b && i < job.spec.tasks; ++i)
-      set(job_index, i, TaskState::Done);
+  each_task(progress.started, job.spec.tasks, [&](std::uint32_t task_index) {
+    if (job.tasks[task_index].state == TaskState::Pending) set_state(job_index, task_index, TaskState::Unaccounted);
+  });
+  each_task(progress.finished, job.spec.tasks,
+            [&](std::uint32_t task_index) { set_state(job_index, task_index, TaskState::Done); });
   for (const auto &delegation : progress.delegations) {
     job.delegations.push_back(delegation);
-    for (auto [a, b] : delegation.lapsed ? Ranges{} : delegation.tasks)
-      for (auto i = a; i < b && i < job.spec.tasks; ++i)
-        if (job.tasks[i].state != TaskState::Done) set(job_index, i, TaskState::DelegationSource);
+    if (delegation.lapsed) continue;
+    each_task(delegation.tasks, job.spec.tasks, [&](std::uint32_t task_index) {
+      if (job.tasks[task_index].state != TaskState::Done) set_state(job_index, task_index, TaskState::Delegated);
+    });
   }
   assert(consistent(job_index));
 }
 
-// ---- lent to another cell ----
-
-void JobTable::delegate(JobIndex job_index, DelegationRecord delegation) {
-  for (auto [a, b] : delegation.tasks)
-    for (auto i = a; i < b; ++i) {
-      assert(at(job_index).tasks[i].state == TaskState::Pending);
-      set(job_index, i, TaskState::DelegationSource);
-    }
-  at(job_index).delegations.push_back(std::move(delegation));
-  changed(job_index, true);
-}
-
-void JobTable::charge_delegation(JobIndex job_index, std::uint64_t generation, const accounts::Usage &charged) {
-  for (auto &l : at(job_index).delegations)
-    if (l.generation == generation) l.charged = charged;
-}
-
-void JobTable::free_delegated(JobIndex job_index, const Ranges &tasks) {
-  for (auto [a, b] : tasks)
-    for (auto i = a; i < b; ++i)
-      if (at(job_index).tasks[i].state == TaskState::DelegationSource) set(job_index, i, TaskState::Pending);
-}
-
-void JobTable::expire_delegation(JobIndex job_index, std::uint64_t generation) {
-  for (auto &l : at(job_index).delegations)
-    if (l.generation == generation && !std::exchange(l.lapsed, true)) free_delegated(job_index, l.tasks);
-  changed(job_index, true);
-}
-
-void JobTable::remove_delegation(JobIndex job_index, std::uint64_t generation) {
-  auto &delegations = at(job_index).delegations;
-  const auto it =
-      std::find_if(delegations.begin(), delegations.end(), [&](const auto &l) { return l.generation == generation; });
-  if (it == delegations.end()) return;
-  if (!it->lapsed) free_delegated(job_index, it->tasks);
-  delegations.erase(it);
-  changed(job_index, true);
-}
-
-void JobTable::pause(JobIndex job_index, bool paused) {
-  if (std::exchange(at(job_index).paused, paused) && !paused) ++arrivals_;
-}
-
-void JobTable::readied(JobIndex job_index) {
-  ++arrivals_;
-  changed(job_index, true);
-}
-
-void JobTable::settle(JobIndex job_index) {
-  at(job_index).settled = true;
-  changed(job_index, true);
-}
-
 void JobTable::remove(JobIndex job_index) {
   events_.publish(JobFinalized{job_index, at(job_index).spec.id});
   index_.erase(at(job_index).spec.id);
   jobs_[job_index.position()].reset();
 }
 
-void JobTable::on(const TermEnded &) {
-  jobs_.clear();
-  free_.clear();
-  index_.clear();
-}
-
 void JobTable::cancel(JobIndex job_index) {
   Job &job = at(job_index);
   if (job.cancelled) return;
@@ -156,71 +150,83 @@
   at(job_index).ending = ending;
 }
 
+void JobTable::pause(JobIndex job_index, bool paused) {
+  const bool was_paused = std::exchange(at(job_index).paused, paused);
+  if (was_paused && !paused) ++arrivals_;
+}
+
+void JobTable::mark_ready(JobIndex job_index) {
+  ++arrivals_;
+  changed(job_index, true);
+}
+
+void JobTable::confirm_end_by_origin(JobIndex job_index) {
+  at(job_index).origin_confirmed_end = true;
+  changed(job_index, true);
+}
+
 void JobTable::changed(JobIndex job_index, bool urgent) {
   events_.publish(JobChanged{job_index, at(job_index).finishable(), urgent});
 }
 
-void JobTable::set(JobIndex job_index, std::uint32_t i, TaskState state, MachineIndex machine, int zone) {
+void JobTable::on(const TermEnded &) {
+  jobs_.clear();
+  free_.clear();
+  index_.clear();
+}
+
+// ---- tasks ----
+
+void JobTable::set_state(JobIndex job_index, std::uint32_t task_index, TaskState state, MachineIndex machine,
+                         int zone) {
   Job &job = at(job_index);
-  Task &t = job.tasks[i];
-  switch (t.state) {
-  case TaskState::Placed:
-    --job.placed;
-    --grown(job.zone_used, t.zone);
-    break;
-  case TaskState::Unaccounted:
-    --job.unaccounted;
-    break;
-  case TaskState::Done:
-    --job.done;
-    break;
-  case TaskState::DelegationSource:
-    --job.delegated;
-    break;
-  case TaskState::Pending:
-    break;
-  }
-  t = {state, machine, zone};
-  switch (state) {
-  case TaskState::Placed:
-    ++job.placed;
-    ++grown(job.zone_used, zone);
-    break;
-  case TaskState::Unaccounted:
-    ++job.unaccounted;
-    break;
-  case TaskState::Done:
-    ++job.done;
-    break;
-  case TaskState::DelegationSource:
-    ++job.delegated;
-    break;
-  case TaskState::Pending:
-    ++arrivals_;
-    break;
-  }
+  Task &task = job.tasks[task_index];
+  if (task.state == TaskState::Placed) --grown(job.zone_used, task.zone);
+  if (std::uint32_t *count = count_of(job, task.state)) --*count;
+  task = {state, machine, zone};
+  if (std::uint32_t *count = count_of(job, state)) ++*count;
+  if (state == TaskState::Placed) ++grown(job.zone_used, zone);
+  if (state == TaskState::Pending) ++arrivals_;
   assert(job.done + job.placed + job.unaccounted + job.delegated <= job.spec.tasks);
 }
 
-void JobTable::place(JobIndex job_index, std::uint32_t i, MachineIndex machine, int zone) {
+void JobTable::place(JobIndex job_index, std::uint32_t task_index, MachineIndex machine, int zone) {
   // Guards against a second start of a task that may still run: only a waiting one is placed, and one of an earlier
-  // leader's when its worker shows it.
-  assert(at(job_index).tasks[i].state == TaskState::Pending || at(job_index).tasks[i].state == TaskState::Unaccounted);
-  set(job_index, i, TaskState::Placed, machine, zone);
+  // leader's when its worker lists it.
+  assert(at(job_index).tasks[task_index].state == TaskState::Pending ||
+         at(job_index).tasks[task_index].state == TaskState::Unaccounted);
+  set_state(job_index, task_index, TaskState::Placed, machine, zone);
 }
 
-void JobTable::finish(JobIndex job_index, std::uint32_t i) {
-  set(job_index, i, TaskState::Done);
+void JobTable::finish(JobIndex job_index, std::uint32_t task_index) {
+  set_state(job_index, task_index, TaskState::Done);
   changed(job_index, at(job_index).finishable());
 }
 
-void JobTable::release(JobIndex job_index, std::uint32_t i, MachineIndex machine, bool unaccounted) {
-  const Task &t = at(job_index).tasks[i];
-  if (t.state == TaskState::Placed && t.machine == machine)
-    set(job_index, i, unaccounted ? TaskState::Unaccounted : TaskState::Pending);
+void JobTable::release(JobIndex job_index, std::uint32_t task_index, MachineIndex machine, bool unaccounted) {
+  const Task &task = at(job_index).tasks[task_index];
+  if (task.state == TaskState::Placed && task.machine == machine)
+    set_state(job_index, task_index, unaccounted ? TaskState::Unaccounted : TaskState::Pending);
   if (at(job_index).finishable()) changed(job_index, true);
 }
 
+std::vector<JobIndex> JobTable::expire_unaccounted() {
+  std::vector<JobIndex> concerned;
+  if (unaccounted_until_ <= 0 || runtime_.now() < unaccounted_until_) return concerned;
+  unaccounted_until_ = 0;
+  each([&](JobIndex job_index, const Job &job) {
+    if (job.unaccounted == 0) return;
+    events_.publish(TasksAbandoned{job_index, job.unaccounted});
+    for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
+      if (job.tasks[i].state == TaskState::Unaccounted) set_state(job_index, i, TaskState::Pending);
+    if (job.finishable()) changed(job_index, true);
+    concerned.push_back(job_index);
+  });
+  return concerned;
+}
+
+// ---- gangs ----
+
 std::uint64_t JobTable::next_gang_attempt(JobIndex job_index, std::uint64_t fresh) {
   Job &job = at(job_index);
   assert(job.placed == 0);
@@ -230,55 +236,55 @@
 }
 
 void JobTable::adopt_gang_attempt(JobIndex job_index, std::uint64_t attempt) {
-  at(job_index).gang_attempt = std::max(at(job_index).gang_attempt, attempt);
+  Job &job = at(job_index);
+  job.gang_attempt = std::max(job.gang_attempt, attempt);
 }
 
 void JobTable::close_gang(JobIndex job_index, bool closed) {
   at(job_index).gang_closed = closed;
 }
 
-std::vector<JobIndex> JobTable::age() {
-  std::vector<JobIndex> concerned;
-  if (unaccounted_until_ <= 0 || runtime_.now() < unaccounted_until_) return concerned;
-  unaccounted_until_ = 0;
-  for (std::size_t position = 0; position < jobs_.size(); ++position) {
-    const JobIndex job_index(position);
-    if (!find(job_index) || at(job_index).unaccounted == 0) continue;
-    events_.publish(TasksAbandoned{job_index, at(job_index).unaccounted});
-    for (std::uint32_t i = 0; i < at(job_index).spec.tasks; ++i)
-      if (at(job_index).tasks[i].state == TaskState::Unaccounted) set(job_index, i, TaskState::Pending);
-    if (at(job_index).finishable()) changed(job_index, true);
-    concerned.push_back(job_index);
-  }
-  return concerned;
+// ---- delegations to other cells ----
+
+void JobTable::delegate(JobIndex job_index, DelegationRecord delegation) {
+  Job &job = at(job_index);
+  each_task(delegation.tasks, job.spec.tasks, [&](std::uint32_t task_index) {
+    assert(job.tasks[task_index].state == TaskState::Pending);
+    set_state(job_index, task_index, TaskState::Delegated);
+  });
+  job.delegations.push_back(std::move(delegation));
+  changed(job_index, true);
 }
 
-bool JobTable::consistent(JobIndex job_index) const {
-  const Job &job = *find(job_index);
-  std::uint32_t done = 0, placed = 0, unaccounted = 0, delegated = 0;
-  for (const auto &t : job.tasks) {
-    delegated += t.state == TaskState::DelegationSource;
-    done += t.state == TaskState::Done;
-    placed += t.state == TaskState::Placed;
-    unaccounted += t.state == TaskState::Unaccounted;
-    if ((t.state == TaskState::Placed) != t.machine.valid()) return false;
-  }
-  return done == job.done && placed == job.placed && unaccounted == job.unaccounted && delegated == job.delegated;
+void JobTable::charge_delegation(JobIndex job_index, std::uint64_t generation, const accounts::Usage &charged) {
+  for (auto &delegation : at(job_index).delegations)
+    if (delegation.generation == generation) delegation.charged = charged;
 }
 
-const EndRecord *EndedJobs::find(const std::string &id) const {
-  auto it = ends_.find(id);
-  return it == ends_.end() ? nullptr : &it->second;
+void JobTable::free_delegated(JobIndex job_index, const Ranges &tasks) {
+  const Job &job = at(job_index);
+  each_task(tasks, job.spec.tasks, [&](std::uint32_t task_index) {
+    if (job.tasks[task_index].state == TaskState::Delegated) set_state(job_index, task_index, TaskState::Pending);
+  });
 }
 
-void EndedJobs::remember(const std::string &id, EndRecord end) {
-  events_.publish(JobEndLearned{id});
-  if (!ends_.emplace(id, std::move(end)).second) return;
-  order_.push_back(id);
-  if (order_.size() > kMax) {
-    ends_.erase(order_.front());
-    order_.pop_front();
+void JobTable::expire_delegation(JobIndex job_index, std::uint64_t generation) {
+  for (auto &delegation : at(job_index).delegations) {
+    if (delegation.generation != generation) continue;
+    const bool had_lapsed = std::exchange(delegation.lapsed, true);
+    if (!had_lapsed) free_delegated(job_index, delegation.tasks);
   }
+  changed(job_index, true);
+}
+
+void JobTable::remove_delegation(JobIndex job_index, std::uint64_t generation) {
+  auto &delegations = at(job_index).delegations;
+  const auto it = std::find_if(delegations.begin(), delegations.end(),
+                               [generation](const auto &delegation) { return delegation.generation == generation; });
+  if (it == delegations.end()) return;
+  if (!it->lapsed) free_delegated(job_index, it->tasks);
+  delegations.erase(it);
+  changed(job_index, true);
 }
 
 } // namespace loftrouter::core
--- a/src/core/jobs/pending_reasons.cpp
+++ b/src/core/jobs/pending_reasons.cpp
@@ -4,18 +4,18 @@
 
 namespace loftrouter::core {
 
-std::string stopped_with(std::string_view id) {
-  return fmt::format("stopped: job {}, which it waits for, was cancelled", id);
+std::string dependency_cancelled_reason(std::string_view dependency_id) {
+  return fmt::format("stopped: job {}, which it waits for, was cancelled", dependency_id);
 }
 
-const std::string &PendingReasons::of(JobIndex job_index) const {
+const std::string &PendingReasons::last_event(JobIndex job_index) const {
   static const std::string none;
-  return job_index.position() < last_.size() ? last_[job_index.position()] : none;
+  return job_index.position() < last_events_.size() ? last_events_[job_index.position()] : none;
 }
 
-// It stays until the next such thing.
+// It stays until the next such event.
 void PendingReasons::set(JobIndex job_index, std::string_view what) {
-  grown(last_, job_index) = fmt::format("{} ({})", what, wire::clock_time(runtime_.wall()));
+  grown(last_events_, job_index) = fmt::format("{} ({})", what, wire::clock_time(runtime_.wall()));
 }
 
 void PendingReasons::on(const TaskRetried &event) {
@@ -43,20 +43,25 @@
   end.team = job.spec.team;
   end.submit_wall = job.submit_wall;
   end.end_wall = runtime_.wall();
-  const double took = runtime_.wall() - dependencies_.ready_wall(job_index);
-  const auto wanted = objectives_.wanted_after(job.spec, dependencies_.own_deadline(job_index));
-  end.late = !job.cancelled && wanted && took > *wanted;
-  if (const auto &with = dependencies_.stopped_with(job_index); job.cancelled && !with.empty())
-    end.reason = stopped_with(with);
-  else if (job.cancelled)
-    end.reason = failure_attribution_.failed_on(job_index)
-                     ? fmt::format("stopped: cancelled by its user; it had failed on {} machines",
-                                   failure_attribution_.failed_on(job_index))
-                     : "stopped: cancelled by its user";
-  else if (end.late)
-    end.reason =
-        fmt::format("finished {:.0f} s late{}{}", took - *wanted, of(job_index).empty() ? "" : "; ", of(job_index));
+  if (job.cancelled) {
+    end.reason = cancellation_reason(job_index);
+    return end;
+  }
+  const double took_s = end.end_wall - dependencies_.ready_wall(job_index);
+  const auto target_s = objectives_.completion_target(job.spec, dependencies_.own_deadline(job_index));
+  end.late = target_s && took_s > *target_s;
+  if (!end.late) return end;
+  const std::string &last = last_event(job_index);
+  end.reason = fmt::format("finished {:.0f} s late{}{}", took_s - *target_s, last.empty() ? "" : "; ", last);
   return end;
 }
 
+std::string PendingReasons::cancellation_reason(JobIndex job_index) const {
+  const std::string &dependency_id = dependencies_.cancelled_with(job_index);
+  if (!dependency_id.empty()) return dependency_cancelled_reason(dependency_id);
+  const std::uint32_t failed_machines = failure_attribution_.failed_machine_count(job_index);
+  if (failed_machines == 0) return "stopped: cancelled by its user";
+  return fmt::format("stopped: cancelled by its user; it had failed on {} machines", failed_machines);
+}
+
 } // namespace loftrouter::core
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -61,7 +61,7 @@
 }
 
 bool Scheduler::deferrable(JobIndex job_index) const {
-  if (!dependencies_.needed_by(job_index).empty() || !jobs_[job_index].spec.waits_for.empty())
+  if (!dependencies_.dependents(job_index).empty() || !jobs_[job_index].spec.waits_for.empty())
     return false; // others wait with it
   return objectives_.deferrable(jobs_[job_index].spec, dependencies_.urgency(job_index),
                                 dependencies_.deadline(job_index), age(job_index));
@@ -149,7 +149,7 @@
 PlaceJob Scheduler::place_job(JobIndex job_index) const {
   const Job &n = jobs_[job_index];
   const auto &types = catalog_.types();
-  const bool suspect = failure_attribution_.suspect(job_index);
+  const bool suspect = failure_attribution_.suspected(job_index);
   PlaceJob job;
   job.self = job_index;
   job.need = n.spec.need;
@@ -166,7 +166,7 @@
   job.one_zone = n.spec.one_zone;
   job.zone_used = n.zone_used;
   if (n.spec.spread) job.zone_cap = static_cast<int>((n.spec.tasks + 1) / 2);
-  job.barred = failure_attribution_.barred(job_index);
+  job.barred = failure_attribution_.avoided_machines(job_index);
   job.ready = n.pending();
   bool held = n.cancelled || n.ending || n.paused ||
               ledger_.budget_exhausted(n.team) || // of its team's budget, not an end
@@ -191,9 +191,9 @@
   if (deferrable(job_index)) job.max_price_premium = 1 - 1 / kExpensiveRatio;
   // The last of its tasks starts once the others have had their turn on the fleet.
   const auto deadline = dependencies_.deadline(job_index);
-  job.in_time = objectives_.wanted_after(n.spec, deadline) &&
+  job.in_time = objectives_.completion_target(n.spec, deadline) &&
                 job.wait_s + n.spec.estimate_s * (1 + job.ready * job.need.cpus / std::max(1.0, up_cpus_)) <=
-                    objectives_.due_after(n.spec, deadline, age(job_index));
+                    objectives_.achievable_target(n.spec, deadline, age(job_index));
   job.image = n.image;
   job.image_gb = n.spec.image_gb;
   job.small = is_small(n.spec, n.spec.urgency); // whatever it is wanted for
@@ -249,7 +249,7 @@
         ledger_.budget_exhausted(job->team))
       continue;
     if (place_job.gang || place_job.one_zone || place_job.zone_cap >= 0 ||
-        failure_attribution_.failed_lately(place_job.self)) {
+        failure_attribution_.has_failed(place_job.self)) {
       const bool guaranteed = place_job.guaranteed;
       place_job = candidate(place_job.self);
       place_job.guaranteed = guaranteed;
@@ -353,7 +353,7 @@
   seen();
   std::vector<JobIndex> starved;
   for (std::size_t k = 0; k < order.size(); ++k)
-    if (line_[k].limit > 0 && placed[k] == 0 && !failure_attribution_.suspect(order[k])) starved.push_back(order[k]);
+    if (line_[k].limit > 0 && placed[k] == 0 && !failure_attribution_.suspected(order[k])) starved.push_back(order[k]);
   if (!starved.empty()) preempt(starved);
 }
 
--- a/src/core/state/end_record_writer.cpp
+++ b/src/core/state/end_record_writer.cpp
@@ -109,7 +109,7 @@
                 {"tasks", job.spec.tasks},
                 {"estimate_s", job.spec.estimate_s},
                 {"took_s", took_s},
-                {"wanted_after_s", objectives_.due_after(job.spec, job.spec.deadline_s, took_s)}});
+                {"wanted_after_s", objectives_.achievable_target(job.spec, job.spec.deadline_s, took_s)}});
 }
 
 // ---- outcomes ----
--- a/src/core/state/progress_writer.cpp
+++ b/src/core/state/progress_writer.cpp
@@ -63,7 +63,8 @@
   record.finished =
       make_ranges(job.spec.tasks, [&](std::uint32_t task) { return job.tasks[task].state == TaskState::Done; });
   limit_size(record, job_index);
-  record.failed_on = failure_attribution_.suspect(job_index) ? failure_attribution_.failed_on(job_index) : 0;
+  record.failed_on =
+      failure_attribution_.suspected(job_index) ? failure_attribution_.failed_machine_count(job_index) : 0;
   record.delegations = job.delegations;
   record.delegated_here = job.delegated_here ? job.delegated_here->generation : 0;
   return record;
--- a/src/core/workers/worker_registry.cpp
+++ b/src/core/workers/worker_registry.cpp
@@ -87,7 +87,7 @@
   Machine &machine = at(machine_index);
   machine.name = name;
   machine.type = catalog_.find_type(type);
-  machine.zone = catalog_.zone(zone);
+  machine.zone = catalog_.find_or_add_zone(zone);
   machine.spot = spot;
   machine.known_since = runtime_.now();
   machine.rented_at = runtime_.now();
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -68,7 +68,7 @@
   void elect() {
     MachineType type;
     type.name = "t";
-    catalog.take({type});
+    catalog.update({type});
     leadership.step_down("a new term");
     deliver();
     for (int i = 0; i < 200 && leadership.role() != Role::Loading; ++i) {
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -253,9 +253,9 @@
           ASSERT_EQ(graph.urgency(j), plain.urgency(id, own)) << "seed " << seed << " step " << step << " " << id;
         }
         readied += graph.ready(j) && !jobs[j].cancelled && !plain.jobs[id].names.empty();
-        stopped += !graph.stopped_with(j).empty();
+        stopped += !graph.cancelled_with(j).empty();
       }
-      ASSERT_EQ(graph.in_order().size(), jobs.open());
+      ASSERT_EQ(graph.topological_order().size(), jobs.open());
     }
   }
   EXPECT_GT(readied, 1000);
