--- a/include/loftrouter/core/workers/machine.hpp
+++ b/include/loftrouter/core/workers/machine.hpp
@@ -28,6 +28,13 @@
   Completed, // a heartbeat has listed it as exited with success; kept until the result is recorded
 };
 
+// What the last heartbeat says of a task that was allocated when it came.
+enum class Presence : std::uint8_t {
+  Absent, // not listed
+  Listed,
+  Failed, // listed as exited without success
+};
+
 // A task bound to a machine.
 struct Allocation {
   JobIndex job; // none: a task of an unknown job, to be stopped
@@ -38,6 +45,7 @@
   TaskPhase phase = TaskPhase::Fetching; // by the last heartbeat that listed it
   // Started by an earlier leader, and unaccounted for until a heartbeat to this one listed it.
   bool was_unaccounted = false;
+  Presence presence = Presence::Absent;
   std::optional<double> stop_grace_s; // set: it is to be stopped, with so many seconds to save a checkpoint
   double placed_at = 0;
   double start_sent_at = -1;
--- a/include/loftrouter/core/workers/worker_registry.hpp
+++ b/include/loftrouter/core/workers/worker_registry.hpp
@@ -125,10 +125,10 @@
                        std::vector<TaskCommand> &commands);
   TaskListing match_listed_tasks(MachineIndex machine_index, const Heartbeat &heartbeat, DownlinkEvidence &evidence);
   void observe(MachineIndex machine_index, Allocation &allocation, const TaskStatus &task);
-  void handle_listed_exits(MachineIndex machine_index, TaskListing &listing, std::vector<TaskCommand> &commands);
+  void handle_listed_exits(MachineIndex machine_index, const TaskListing &listing, std::vector<TaskCommand> &commands);
   void handle_exit(MachineIndex machine_index, Allocation &allocation, const TaskStatus &task);
   void update_downlink(Machine &machine, const DownlinkEvidence &evidence);
-  void release_absent(MachineIndex machine_index, const TaskListing &listing);
+  void release_absent(MachineIndex machine_index);
   void reconcile_unknown_task(MachineIndex machine_index, const TaskStatus &task, std::vector<TaskCommand> &commands);
   bool may_adopt(JobIndex job_index, const TaskStatus &task);
   void adopt(MachineIndex machine_index, JobIndex job_index, const TaskStatus &task,
--- a/src/core/workers/heartbeat_reconciliation.cpp
+++ b/src/core/workers/heartbeat_reconciliation.cpp
@@ -28,8 +28,6 @@
 } // namespace
 
 struct WorkerRegistry::TaskListing {
-  enum class Presence : std::uint8_t { Absent, Listed, Failed };
-  std::vector<Presence> presence;                                // by position among the machine's allocations
   std::vector<std::pair<std::size_t, const TaskStatus *>> exits; // of allocations, in the order of the heartbeat
   std::vector<const TaskStatus *> unknown;                       // no allocation's
 };
@@ -82,10 +80,10 @@
 
 void WorkerRegistry::reconcile_tasks(MachineIndex machine_index, const Heartbeat &heartbeat, DownlinkEvidence evidence,
                                      std::vector<TaskCommand> &commands) {
-  TaskListing listing = match_listed_tasks(machine_index, heartbeat, evidence);
+  const TaskListing listing = match_listed_tasks(machine_index, heartbeat, evidence);
   handle_listed_exits(machine_index, listing, commands);
   update_downlink(at(machine_index), evidence);
-  release_absent(machine_index, listing);
+  release_absent(machine_index);
   for (const auto *task : listing.unknown)
     reconcile_unknown_task(machine_index, *task, commands);
 }
@@ -94,7 +92,8 @@
                                                                DownlinkEvidence &evidence) {
   auto &allocations = at(machine_index).allocations;
   TaskListing listing;
-  listing.presence.assign(allocations.size(), TaskListing::Presence::Absent);
+  for (auto &allocation : allocations)
+    allocation.presence = Presence::Absent;
   for (const auto &task : heartbeat.tasks) {
     const auto found = std::find_if(allocations.begin(), allocations.end(),
                                     [&task](const Allocation &allocation) { return same_attempt(allocation, task); });
@@ -103,15 +102,15 @@
       continue;
     }
     const auto position = static_cast<std::size_t>(found - allocations.begin());
-    listing.presence[position] = TaskListing::Presence::Listed;
+    found->presence = Presence::Listed;
     // The response that held its start has arrived.
     evidence.acknowledged |= found->state == AllocationState::Sent;
     observe(machine_index, *found, task);
     if (task.phase == TaskPhase::Exited) listing.exits.emplace_back(position, &task);
   }
-  for (std::size_t i = 0; i < allocations.size(); ++i)
-    evidence.unacknowledged |= listing.presence[i] == TaskListing::Presence::Absent &&
-                               allocations[i].state == AllocationState::Sent && !allocations[i].stop_requested();
+  for (const auto &allocation : allocations)
+    evidence.unacknowledged |= allocation.presence == Presence::Absent && allocation.state == AllocationState::Sent &&
+                               !allocation.stop_requested();
   return listing;
 }
 
@@ -126,7 +125,7 @@
     events_.publish(TaskRunning{allocation.job, allocation.index, machine_index, now - allocation.placed_at});
 }
 
-void WorkerRegistry::handle_listed_exits(MachineIndex machine_index, TaskListing &listing,
+void WorkerRegistry::handle_listed_exits(MachineIndex machine_index, const TaskListing &listing,
                                          std::vector<TaskCommand> &commands) {
   for (const auto &[position, task] : listing.exits) {
     Allocation &allocation = at(machine_index).allocations[position];
@@ -139,7 +138,7 @@
     handle_exit(machine_index, allocation, *task);
     if (allocation.completed()) continue;
     commands.push_back(make_command(TaskCommand::Verb::Forget, allocation));
-    listing.presence[position] = TaskListing::Presence::Failed;
+    allocation.presence = Presence::Failed;
   }
 }
 
@@ -178,14 +177,17 @@
 
 // Proof of absence: the heartbeat is newer than every response that could have carried the start. What is neither
 // listed nor was ever listed has not started yet; its start is sent (again) with the response, if responses arrive.
-void WorkerRegistry::release_absent(MachineIndex machine_index, const TaskListing &listing) {
-  const Machine &machine = at(machine_index);
-  for (std::size_t position = listing.presence.size(); position-- > 0;) {
+//
+// Stopping a gang releases its unsent tasks, here too, and moves the allocations after them: what the heartbeat says of
+// each stands in the allocation itself, so that a task that runs is never taken for an absent one.
+void WorkerRegistry::release_absent(MachineIndex machine_index) {
+  Machine &machine = at(machine_index);
+  for (std::size_t position = machine.allocations.size(); position-- > 0;) {
+    if (position >= machine.allocations.size()) continue;
     const Allocation &allocation = machine.allocations[position];
-    const auto presence = listing.presence[position];
     const bool start_outstanding = !allocation.observed() && !allocation.stop_requested() && !machine.downlink.lost();
-    if (presence == TaskListing::Presence::Listed) continue;
-    if (presence == TaskListing::Presence::Absent && start_outstanding) continue;
+    if (allocation.presence == Presence::Listed) continue;
+    if (allocation.presence == Presence::Absent && start_outstanding) continue;
     const JobIndex job_index = allocation.job;
     release(machine_index, position);
     if (job_index.valid()) reconcile_gang(job_index);
--- /dev/null
+++ b/tests/worker_registry_test.cpp
@@ -0,0 +1,179 @@
+// The worker registry by itself: heartbeats are reconciled with the allocations of one machine.
+#include <gtest/gtest.h>
+
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "loftrouter/core/workers/worker_registry.hpp"
+#include "loftrouter/wire/messages.hpp"
+#include "state_fixture.hpp"
+
+using namespace loftrouter;
+using namespace loftrouter::core;
+
+namespace {
+
+TaskStatus running(const std::string &job, std::uint32_t index) {
+  TaskStatus task;
+  task.job = job;
+  task.index = index;
+  task.attempt = 1;
+  task.phase = TaskPhase::Running;
+  return task;
+}
+
+class WorkerRegistryTest : public test::StateFixture {
+protected:
+  WorkerRegistryTest() {
+    MachineType type;
+    type.name = "large";
+    type.size = {32, 0, 128};
+    catalog.update({type});
+    leadership.begin_term();
+  }
+
+  JobIndex open_job(const std::string &id, Shape shape, std::uint32_t tasks) {
+    OpenRecord record;
+    record.spec.id = id;
+    record.spec.job_class = "class";
+    record.spec.team = "red";
+    record.spec.image = "image";
+    record.spec.shape = shape;
+    record.spec.tasks = tasks;
+    record.spec.need = {1, 0, 1};
+    state_writer_.load_open_record("open/" + id, wire::to_json(record), 1);
+    return jobs.index(id);
+  }
+  MachineIndex add_machine(const std::string &name) { return workers_.find_or_add(name, "large", "a", false); }
+  void place(JobIndex job_index, std::uint32_t task_index, MachineIndex machine_index) {
+    state_writer_.mark_started(job_index, task_index);
+    jobs.place(job_index, task_index, machine_index, workers_[machine_index].zone);
+    workers_.allocate(machine_index, job_index, task_index, 1);
+  }
+  WorkerRegistry::HeartbeatResult heartbeat(MachineIndex machine_index, std::uint64_t sequence,
+                                            std::vector<TaskStatus> tasks) {
+    Heartbeat heartbeat;
+    heartbeat.machine = workers_[machine_index].name;
+    heartbeat.incarnation = 1;
+    heartbeat.sequence = sequence;
+    heartbeat.tasks = std::move(tasks);
+    commands_.clear();
+    return workers_.accept_heartbeat(machine_index, heartbeat, -1, commands_);
+  }
+  TaskState state(JobIndex job_index, std::uint32_t task_index) const {
+    return jobs[job_index].tasks[task_index].state;
+  }
+
+  StateWriter state_writer_{context};
+  WorkerRegistry workers_{runtime, events, settings, catalog, operators, leadership, jobs, state_writer_};
+  std::vector<TaskCommand> commands_; // of the last heartbeat
+};
+
+} // namespace
+
+TEST_F(WorkerRegistryTest, AListedTaskOfAnEarlierLeaderIsAdopted) {
+  const JobIndex job = open_job("j-000001", Shape::Array, 2);
+  const MachineIndex machine = add_machine("m-1");
+  EXPECT_EQ(heartbeat(machine, 1, {running("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(state(job, 0), TaskState::Placed);
+  EXPECT_TRUE(commands_.empty());
+  EXPECT_EQ(workers_.running_tasks(job), 1U);
+  EXPECT_TRUE(workers_.consistent(machine));
+}
+
+TEST_F(WorkerRegistryTest, AnObservedTaskThatIsNoLongerListedIsReleased) {
+  const JobIndex job = open_job("j-000001", Shape::Array, 2);
+  const MachineIndex machine = add_machine("m-1");
+  EXPECT_EQ(heartbeat(machine, 1, {running("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(heartbeat(machine, 2, {}), WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(state(job, 0), TaskState::Pending);
+  EXPECT_TRUE(workers_[machine].allocations.empty());
+  EXPECT_TRUE(workers_.consistent(machine));
+}
+
+TEST_F(WorkerRegistryTest, AStaleHeartbeatReleasesNothing) {
+  const JobIndex job = open_job("j-000001", Shape::Array, 2);
+  const MachineIndex machine = add_machine("m-1");
+  EXPECT_EQ(heartbeat(machine, 2, {running("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(heartbeat(machine, 2, {}), WorkerRegistry::HeartbeatResult::Stale);
+  EXPECT_EQ(heartbeat(machine, 1, {}), WorkerRegistry::HeartbeatResult::Stale);
+  EXPECT_EQ(state(job, 0), TaskState::Placed);
+}
+
+TEST_F(WorkerRegistryTest, ATaskThatNobodyWantsIsStopped) {
+  const MachineIndex machine = add_machine("m-1");
+  EXPECT_EQ(heartbeat(machine, 1, {running("j-000009", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  ASSERT_EQ(commands_.size(), 1U);
+  EXPECT_EQ(commands_[0].verb, TaskCommand::Verb::Stop);
+  ASSERT_EQ(workers_[machine].allocations.size(), 1U) << "it takes up room until it is gone";
+  EXPECT_FALSE(workers_[machine].allocations[0].job.valid());
+}
+
+TEST_F(WorkerRegistryTest, AMachineListedAsFailedIsNotHeardAgain) {
+  const JobIndex job = open_job("j-000001", Shape::Array, 2);
+  const MachineIndex machine = add_machine("m-1");
+  EXPECT_EQ(heartbeat(machine, 1, {running("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  workers_.mark_listed_failed(machine);
+  EXPECT_EQ(state(job, 0), TaskState::Pending);
+  EXPECT_TRUE(workers_[machine].lost());
+  EXPECT_TRUE(workers_[machine].returning());
+  EXPECT_EQ(heartbeat(machine, 2, {running("j-000001", 0)}), WorkerRegistry::HeartbeatResult::MachineFailed);
+  EXPECT_EQ(state(job, 0), TaskState::Pending);
+}
+
+TEST_F(WorkerRegistryTest, StoppingAnUnsentTaskReleasesItAtOnce) {
+  const JobIndex job = open_job("j-000001", Shape::Array, 2);
+  const MachineIndex machine = add_machine("m-1");
+  place(job, 0, machine);
+  workers_.stop(machine, 0, 0);
+  EXPECT_EQ(state(job, 0), TaskState::Pending);
+  EXPECT_TRUE(workers_[machine].allocations.empty());
+}
+
+TEST_F(WorkerRegistryTest, StoppingAnObservedTaskWaitsForItsEnd) {
+  const JobIndex job = open_job("j-000001", Shape::Array, 2);
+  const MachineIndex machine = add_machine("m-1");
+  EXPECT_EQ(heartbeat(machine, 1, {running("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  workers_.stop(machine, 0, 10);
+  workers_.stop(machine, 0, 3);
+  workers_.stop(machine, 0, 5);
+  EXPECT_EQ(state(job, 0), TaskState::Placed);
+  EXPECT_EQ(workers_[machine].allocations[0].stop_grace_s, 3) << "the shortest counts";
+  std::vector<TaskCommand> response;
+  workers_.build_response(machine, true, response);
+  ASSERT_EQ(response.size(), 1U);
+  EXPECT_EQ(response[0].verb, TaskCommand::Verb::Stop);
+  EXPECT_EQ(response[0].grace_s, 3);
+}
+
+TEST_F(WorkerRegistryTest, AStartThatIsNotRecordedIsNotSent) {
+  const JobIndex job = open_job("j-000001", Shape::Array, 2);
+  const MachineIndex machine = add_machine("m-1");
+  EXPECT_EQ(heartbeat(machine, 1, {}), WorkerRegistry::HeartbeatResult::Accepted);
+  place(job, 0, machine);
+  std::vector<TaskCommand> response;
+  workers_.build_response(machine, true, response);
+  EXPECT_TRUE(response.empty());
+  EXPECT_EQ(workers_[machine].allocations[0].state, AllocationState::Unsent);
+}
+
+// When a gang loses a task, its unsent tasks are released in the middle of the reconciliation; those that the worker
+// lists must not be taken for them, or they would be started elsewhere while they run.
+TEST_F(WorkerRegistryTest, TasksListedBesideAGangThatIsStoppedAreKept) {
+  const JobIndex gang = open_job("j-000001", Shape::Gang, 3);
+  const JobIndex other = open_job("j-000002", Shape::Array, 1);
+  const MachineIndex machine = add_machine("m-1");
+  const MachineIndex second = add_machine("m-2");
+  place(gang, 0, machine);
+  EXPECT_EQ(heartbeat(machine, 1, {running("j-000002", 0), running("j-000001", 1)}),
+            WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(heartbeat(second, 1, {running("j-000001", 2)}), WorkerRegistry::HeartbeatResult::Accepted);
+  ASSERT_EQ(jobs[gang].placed, 3U);
+  EXPECT_EQ(heartbeat(machine, 2, {running("j-000002", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(state(other, 0), TaskState::Placed) << "it runs";
+  EXPECT_EQ(state(gang, 0), TaskState::Pending);
+  EXPECT_EQ(state(gang, 1), TaskState::Pending);
+  EXPECT_TRUE(workers_[second].allocations[0].stop_requested());
+  EXPECT_TRUE(workers_.consistent(machine));
+}
