--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -125,13 +125,13 @@
   const Job &n = jobs_[job_index];
   int up = 0, starting = 0;
   bool refused = true;
-  PlaceJob job = scheduler_.place_job(job_index);
-  job.barred.clear();
+  PlacementJob job = scheduler_.queue().job(job_index);
+  job.avoided_machines.clear();
   const auto &types = catalog_.types();
   for (std::size_t t = 0; t < types.size(); ++t)
     for (const auto &zone : types[t].zones)
       for (bool spot : {false, true}) {
-        PlaceMachine machine;
+        PlacementMachine machine;
         machine.type = static_cast<int>(t);
         machine.zone = catalog_.find_zone(zone);
         machine.spot = spot;
@@ -168,9 +168,9 @@
   outlook_at_ = runtime_.now();
   outlook_ = dependencies_.critical_path([this](JobIndex job_index) {
     const Job &job = jobs_[job_index];
-    const double queue = job.pending() * job.spec.need.cpus / std::max(1.0, scheduler_.up_cpus());
+    const double queue = job.pending() * job.spec.need.cpus / std::max(1.0, scheduler_.queue().available_cpus());
     return job.pending() ? job.spec.estimate_s * (1 + queue)
-                         : std::max(0.0, job.spec.estimate_s - std::max(0.0, scheduler_.age(job_index)));
+                         : std::max(0.0, job.spec.estimate_s - std::max(0.0, scheduler_.queue().age_s(job_index)));
   });
   return outlook_;
 }
@@ -182,7 +182,7 @@
   const auto &o = outlook();
   const auto at = job_index.position();
   const double left = at >= o.done_in_s.size() ? 0 : job.pending() ? o.done_in_s[at] : o.starts_in_s[at];
-  return std::max(0.0, scheduler_.age(job_index)) + left > operators_.tunables().late_notice_share * *wanted;
+  return std::max(0.0, scheduler_.queue().age_s(job_index)) + left > operators_.tunables().late_notice_share * *wanted;
 }
 
 // Of a job that waits for others and has a deadline: which stage will make it late, and by how much.
@@ -190,7 +190,7 @@
   const auto wanted = dependencies_.own_deadline(job_index);
   const auto &o = outlook();
   if (!wanted || job_index.position() >= o.done_in_s.size()) return {};
-  const double late = std::max(0.0, scheduler_.age(job_index)) + o.done_in_s[job_index.position()] - *wanted;
+  const double late = std::max(0.0, scheduler_.queue().age_s(job_index)) + o.done_in_s[job_index.position()] - *wanted;
   if (late <= 0) return {};
   JobIndex stage = job_index;
   while (o.last_dependency[stage.position()].valid())
--- /dev/null
+++ b/src/core/autoscaling/scale_out.cpp
@@ -0,0 +1,86 @@
+#include "loftrouter/core/autoscaling/scale_out.hpp"
+
+#include <algorithm>
+
+#include <fmt/format.h>
+
+namespace loftrouter::core {
+
+namespace {
+constexpr int kMaxMachinesPerCall = 50;   // by the cloud's protocol
+constexpr double kCallsLeft = 1.0;        // of the budget, for the list and for returns
+constexpr double kNoCapacityPause = 12.0; // s
+constexpr double kDeadline = 3.0;         // s, of a call
+constexpr int kTries = 3;
+} // namespace
+
+bool ScaleOut::refused(const MachineKind &kind) const {
+  const auto it = no_capacity_until_.find(kind);
+  return it != no_capacity_until_.end() && context_.runtime.now() < it->second;
+}
+
+std::vector<MachineKind> ScaleOut::refused_kinds() const {
+  std::vector<MachineKind> kinds;
+  for (const auto &[kind, until] : no_capacity_until_)
+    if (context_.runtime.now() < until) kinds.push_back(kind);
+  return kinds;
+}
+
+bool ScaleOut::in_flight(const MachineKind &kind) const {
+  const auto it = in_flight_.find(kind);
+  return it != in_flight_.end() && it->second > 0;
+}
+
+// All that is wanted of one kind at once: a backlog of thousands of tasks is not to be met by a few machines a second.
+void ScaleOut::request(const CapacityRequest &wanted) {
+  const Job &first_job = context_.jobs[wanted.first_job];
+  int left = wanted.machines;
+  while (left > 0 && calls_.level(context_.runtime.now()) >= 1 + kCallsLeft) {
+    const int count = std::min(left, kMaxMachinesPerCall);
+    left -= count;
+    in_flight_[wanted.kind] += count;
+    ++requests_;
+    const CloudScaleOut call{fmt::format("r-{}-{}", context_.leadership.term(), requests_),
+                             context_.catalog.type_name(wanted.kind.type), context_.catalog.zone_name(wanted.kind.zone),
+                             wanted.kind.spot, count};
+    context_.runtime.log(LogLevel::Info, "scale_out_requested",
+                         {{"request", call.request},
+                          {"machines", count},
+                          {"type", call.type},
+                          {"zone", call.zone},
+                          {"spot", call.spot},
+                          {"jobs", wanted.jobs},
+                          {"first_job", first_job.spec.id},
+                          {"class", first_job.spec.job_class},
+                          {"its_waiting_tasks", first_job.pending()}});
+    send(call, wanted.kind, kTries);
+  }
+}
+
+void ScaleOut::send(const CloudScaleOut &call, const MachineKind &kind, int tries) {
+  if (!calls_.take(context_.runtime.now())) {
+    in_flight_[kind] -= call.count;
+    return;
+  }
+  const auto epoch = context_.leadership.epoch();
+  context_.runtime.cloud(call, kDeadline, [this, call, kind, tries, epoch](const wire::CloudReply &reply) {
+    if (epoch != context_.leadership.epoch()) return;
+    const bool unanswered = reply.status == 0;
+    if (unanswered && tries > 1) return send(call, kind, tries - 1);
+    finish(call, kind, reply);
+  });
+}
+
+void ScaleOut::finish(const CloudScaleOut &call, const MachineKind &kind, const wire::CloudReply &reply) {
+  in_flight_[kind] -= call.count;
+  bool no_capacity = reply.status == 503 && reply.no_capacity;
+  if (reply.status == 200) {
+    for (const auto &name : reply.names)
+      if (!context_.workers.removed_at(name))
+        context_.workers.mark_verified(context_.workers.find_or_add(name, call.type, call.zone, call.spot));
+    no_capacity = static_cast<int>(reply.names.size()) < call.count;
+  }
+  if (no_capacity) no_capacity_until_[kind] = context_.runtime.now() + kNoCapacityPause;
+}
+
+} // namespace loftrouter::core
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -33,10 +33,10 @@
       replicas_(runtime_, settings_, leadership_, state_limits_, cancellations_),
       connectivity_(runtime_, settings_, catalog_, leadership_, replicas_, workers_, failure_detector_),
       heartbeats_(runtime_, settings_, leadership_, replicas_, connectivity_, failure_detector_, workers_),
-      scheduler_(runtime_, events_, settings_, catalog_, operators_, leadership_, jobs_, dependencies_,
-                 failure_attribution_, state_writer_, workers_, objectives_, ledger_, quotas_),
-      autoscaler_(runtime_, settings_, catalog_, operators_, leadership_, jobs_, dependencies_, failure_attribution_,
-                  workers_, failure_detector_, scheduler_, objectives_),
+      scheduler_({runtime_, events_, settings_, catalog_, operators_, leadership_, jobs_, dependencies_,
+                  failure_attribution_, state_writer_, workers_, objectives_, ledger_, quotas_}),
+      autoscaler_({runtime_, settings_, catalog_, operators_, leadership_, jobs_, dependencies_, failure_attribution_,
+                   workers_, failure_detector_, scheduler_, objectives_}),
       federation_(runtime_, events_, settings_, catalog_, operators_, leadership_, cancellations_, state_limits_, jobs_,
                   failure_attribution_, ledger_, state_writer_, workers_, replicas_, quotas_, autoscaler_, objectives_),
       quota_changes_(runtime_, settings_, configuration_, quotas_, state_limits_),
@@ -69,7 +69,7 @@
   users_.confirm();
   deliver();
   if (leadership_.leading()) {
-    scheduler_.settle();
+    scheduler_.place_if_something_changed();
     deliver();
     state_writer_.flush();
     deliver();
@@ -170,7 +170,7 @@
 void Core::answer(std::optional<HeartbeatHandler::Pending> report) {
   if (!report) return;
   deliver();
-  scheduler_.offer(report->machine);
+  scheduler_.place_on(report->machine);
   heartbeats_.answer(std::move(*report));
 }
 
--- a/src/core/scheduling/placement.cpp
+++ b/src/core/scheduling/placement.cpp
@@ -3,33 +3,42 @@
 #include <algorithm>
 #include <cmath>
 #include <limits>
+#include <numeric>
+#include <utility>
 
 #include "loftrouter/core/runtime/util.hpp"
 
 namespace loftrouter::core {
 
-bool allowed(const PlaceJob &job, const PlaceMachine &machine) {
-  if (machine.type < 0 || static_cast<std::size_t>(machine.type) >= job.types.size() ||
-      !job.types[static_cast<std::size_t>(machine.type)])
-    return false;
+namespace {
+
+constexpr double kMaxTasks = 1e6; // of one plan; keeps a quotient within an integer
+constexpr double kRounding = 1e-9;
+
+bool holds_image(const PlacementMachine &machine, int image) {
+  return std::find(machine.images.begin(), machine.images.end(), image) != machine.images.end();
+}
+
+} // namespace
+
+bool allowed(const PlacementJob &job, const PlacementMachine &machine) {
+  if (machine.type < 0 || static_cast<std::size_t>(machine.type) >= job.types.size()) return false;
+  if (!job.types[static_cast<std::size_t>(machine.type)]) return false;
   if (job.zone >= 0 && job.zone != machine.zone) return false;
   if (machine.spot && !job.spot) return false;
   if (!machine.spot && machine.price_premium > job.max_price_premium) return false;
-  if (machine.held_for.valid() && machine.held_for != job.self) return false;
-  return std::find(job.barred.begin(), job.barred.end(), machine.id) == job.barred.end();
+  if (machine.nominated_for.valid() && machine.nominated_for != job.index) return false;
+  const auto &avoided = job.avoided_machines;
+  return std::find(avoided.begin(), avoided.end(), machine.id) == avoided.end();
 }
 
-bool has_room(const PlaceJob &job, const PlaceMachine &machine) {
-  return job.need.fits(machine.free) && !(machine.kept && job.small && !job.need.fits(machine.spare));
+bool has_room(const PlacementJob &job, const PlacementMachine &machine) {
+  if (!job.need.fits(machine.free)) return false;
+  return !machine.reserved_for_large || !job.small || job.need.fits(machine.small_work_room);
 }
 
-static void occupy(const PlaceJob &job, PlaceMachine &machine, double times) {
-  machine.free.add(job.need, -times);
-  if (machine.kept && job.small) machine.spare.add(job.need, -times);
-}
-
-double fit_score(const PlaceJob &job, const PlaceMachine &machine) {
-  auto part = [](double free, double size, double need) {
+double fit_score(const PlacementJob &job, const PlacementMachine &machine) {
+  const auto part = [](double free, double size, double need) {
     return size > 0 ? std::max(0.0, free / size) * (need / size) : 0.0;
   };
   return part(machine.free.cpus, machine.size.cpus, job.need.cpus) +
@@ -37,266 +46,351 @@
          part(machine.free.memory, machine.size.memory, job.need.memory);
 }
 
-double place_score(const PlaceJob &job, const PlaceMachine &machine, const PlaceOptions &options) {
+double placement_score(const PlacementJob &job, const PlacementMachine &machine, const PlacementOptions &options) {
   double score = fit_score(job, machine);
-  if (job.image >= 0 && std::find(machine.images.begin(), machine.images.end(), job.image) != machine.images.end())
-    score += options.image_weight;
+  if (job.image >= 0 && holds_image(machine, job.image)) score += options.image_weight;
   return score - options.price_weight * machine.price_premium;
 }
 
 namespace {
 
+// Where the tasks of one job would go.
 struct Plan {
-  std::vector<int> machines;
-  double score = 0, first = 0; // sum over the tasks; the first and so the highest of them
-  bool whole = false;
+  std::vector<int> machines; // by position, one for each task
+  double score = 0;          // sum over the tasks
+  double first_score = 0;    // the first task's, and so the highest
+  bool whole = false;        // all pending tasks
+};
+
+// A plan, and what it was made of. Machines only fill up while a round goes on, so a plan stays the best one as long as
+// its own machines are untouched, and what it was worth bounds what a new one can be worth.
+struct Draft {
+  std::size_t job = 0;
+  Plan plan;
+  double value = 0;            // of the plan
+  double bound = 0;            // of any later plan
+  std::size_t made_at = 0;     // the commit after which the plan was made
+  std::size_t verified_at = 0; // the commit after which it was still the best one
+  bool outdated = false;       // by more than what happened to its machines
+
+  double key(std::size_t commit) const { return verified_at == commit ? value : bound; }
 };
 
-// The machines of a round, and which of them may still have room for anything. Where the fleet is full, which it
-// is whenever much waits, a job is then tried on a few machines and not on thousands.
-struct Field {
-  std::vector<PlaceMachine> &machines;
-  Resources least;        // no job of this round needs less of any resource
-  std::vector<int> open;  // indices, ascending; never lacks a machine that has room for `least`
-  std::vector<int> zones; // of all machines, each once
-
-  Field(std::vector<PlaceMachine> &all, const std::vector<const PlaceJob *> &jobs) : machines(all) {
-    constexpr double inf = std::numeric_limits<double>::infinity();
-    least = {inf, inf, inf};
-    for (const auto *j : jobs)
-      if (j->limit > 0)
-        least = {std::min(least.cpus, j->need.cpus), std::min(least.gpus, j->need.gpus),
-                 std::min(least.memory, j->need.memory)};
-    for (int i = 0; i < static_cast<int>(machines.size()); ++i) {
-      const auto &m = machines[static_cast<std::size_t>(i)];
-      if (least.fits(m.free)) open.push_back(i);
-      if (std::find(zones.begin(), zones.end(), m.zone) == zones.end()) zones.push_back(m.zone);
+// The state of one round over some machines.
+class Round {
+public:
+  Round(std::vector<PlacementMachine> machines, const std::vector<const PlacementJob *> &jobs,
+        std::vector<Resources> team_room, const PlacementOptions &options, std::vector<Reservation> *reserved);
+  std::vector<Assignment> run();
+
+private:
+  using Positions = std::vector<std::size_t>;
+
+  PlacementMachine &machine(int position) { return machines_[static_cast<std::size_t>(position)]; }
+  std::size_t &changed_at(int position) { return changed_at_[static_cast<std::size_t>(position)]; }
+  // The room left to the job's team; null: no limit.
+  Resources *team_room(const PlacementJob &job);
+  bool waits_long(const PlacementJob &job) const { return !job.started && job.wait_s > options_.reserve_after_s; }
+  int rank(std::size_t job) const;
+  void place_rank(Positions::const_iterator begin, Positions::const_iterator end);
+
+  std::uint32_t max_tasks(const PlacementJob &job);
+  Plan greedy_plan(const PlacementJob &job, std::uint32_t tasks, int only_zone);
+  Plan one_zone_plan(const PlacementJob &job, std::uint32_t tasks);
+  Plan plan(const PlacementJob &job);
+
+  void draw_up(Draft &draft);
+  bool still_best(const Draft &draft);
+  std::size_t best_of(const std::vector<Draft> &drafts) const;
+  void commit(const Draft &draft);
+  void assign(const PlacementJob &job, std::size_t job_position, int machine_position);
+  void update_others(std::vector<Draft> &drafts, const PlacementJob &placed);
+  void reserve_without_plan(const PlacementJob &job);
+  void reserve(const PlacementJob &job);
+  void occupy(const PlacementJob &job, PlacementMachine &machine, double times) const;
+
+  std::vector<PlacementMachine> machines_;
+  const std::vector<const PlacementJob *> &jobs_;
+  std::vector<Resources> team_room_;
+  const PlacementOptions &options_;
+  std::vector<Reservation> *reserved_;
+  // Where the fleet is full, which it is whenever much waits, a job is tried on a few machines and not on thousands.
+  Resources least_need_;                // no job of this round needs less of any resource
+  std::vector<int> open_machines_;      // ascending; never lacks a machine that has room for `least_need_`
+  std::vector<int> zones_;              // of all machines, each once
+  std::vector<std::size_t> changed_at_; // by machine: the commit that last touched it
+  std::size_t commit_ = 1;
+  std::vector<Assignment> assignments_;
+};
+
+Round::Round(std::vector<PlacementMachine> machines, const std::vector<const PlacementJob *> &jobs,
+             std::vector<Resources> team_room, const PlacementOptions &options, std::vector<Reservation> *reserved)
+    : machines_(std::move(machines)), jobs_(jobs), team_room_(std::move(team_room)), options_(options),
+      reserved_(reserved), changed_at_(machines_.size(), 0) {
+  constexpr double infinite = std::numeric_limits<double>::infinity();
+  least_need_ = {infinite, infinite, infinite};
+  for (const auto *job : jobs_) {
+    if (job->limit == 0) continue;
+    least_need_ = {std::min(least_need_.cpus, job->need.cpus), std::min(least_need_.gpus, job->need.gpus),
+                   std::min(least_need_.memory, job->need.memory)};
+  }
+  for (int i = 0; i < static_cast<int>(machines_.size()); ++i) {
+    if (least_need_.fits(machine(i).free)) open_machines_.push_back(i);
+    if (std::find(zones_.begin(), zones_.end(), machine(i).zone) == zones_.end()) zones_.push_back(machine(i).zone);
+  }
+}
+
+Resources *Round::team_room(const PlacementJob &job) {
+  const auto team = static_cast<std::size_t>(job.team);
+  return team < team_room_.size() ? &team_room_[team] : nullptr;
+}
+
+int Round::rank(std::size_t job) const {
+  const PlacementJob &ranked = *jobs_[job];
+  if (ranked.delegated_here) return -1;
+  return (waits_long(ranked) ? 100 : 0) + static_cast<int>(ranked.urgency) * 2 + (ranked.guaranteed ? 1 : 0);
+}
+
+// The most pressing rank is planned first; within it the best plan goes first.
+std::vector<Assignment> Round::run() {
+  Positions order(jobs_.size());
+  std::iota(order.begin(), order.end(), std::size_t{0});
+  std::stable_sort(order.begin(), order.end(),
+                   [this](std::size_t left, std::size_t right) { return rank(left) > rank(right); });
+  for (auto begin = order.cbegin(); begin != order.cend();) {
+    const auto end =
+        std::find_if(begin, order.cend(), [this, begin](std::size_t job) { return rank(job) != rank(*begin); });
+    place_rank(begin, end);
+    begin = end;
+  }
+  return std::move(assignments_);
+}
+
+void Round::place_rank(Positions::const_iterator begin, Positions::const_iterator end) {
+  std::vector<Draft> drafts;
+  for (auto job = begin; job != end; ++job) {
+    Draft draft;
+    draft.job = *job;
+    draw_up(draft);
+    if (draft.plan.machines.empty())
+      reserve_without_plan(*jobs_[draft.job]);
+    else
+      drafts.push_back(std::move(draft));
+  }
+  while (!drafts.empty()) {
+    const auto best = drafts.begin() + static_cast<std::ptrdiff_t>(best_of(drafts));
+    const PlacementJob &job = *jobs_[best->job];
+    if (best->verified_at != commit_) {
+      if (still_best(*best))
+        best->verified_at = commit_;
+      else
+        draw_up(*best);
+      if (best->plan.machines.empty()) {
+        reserve_without_plan(job);
+        drafts.erase(best);
+      }
+      continue;
+    }
+    commit(*best);
+    const bool whole = best->plan.whole;
+    drafts.erase(best);
+    if (!whole && waits_long(job)) {
+      reserve(job);
+      std::fill(changed_at_.begin(), changed_at_.end(), commit_);
     }
+    update_others(drafts, job);
   }
-  // Machines only fill up while a round goes on.
-  void close_full() {
-    std::erase_if(open, [this](int i) { return !least.fits(machines[static_cast<std::size_t>(i)].free); });
+}
+
+// ---- plans ----
+
+std::uint32_t Round::max_tasks(const PlacementJob &job) {
+  std::uint32_t tasks = std::min(job.pending, job.limit);
+  const Resources *room = team_room(job);
+  if (!room) return tasks;
+  const auto cap = [&tasks](double left, double need) {
+    if (left < 0 || need <= 0) return;
+    tasks = std::min(tasks, static_cast<std::uint32_t>(std::min(kMaxTasks, std::floor(left / need + kRounding))));
+  };
+  cap(room->cpus, job.need.cpus);
+  cap(room->gpus, job.need.gpus);
+  return tasks;
+}
+
+Plan Round::plan(const PlacementJob &job) {
+  const std::uint32_t tasks = max_tasks(job);
+  if (tasks == 0 || (job.gang && tasks < job.pending)) return {};
+  Plan plan = job.one_zone ? one_zone_plan(job, tasks) : greedy_plan(job, tasks, -1);
+  if (job.gang && plan.machines.size() < job.pending) return {};
+  return plan;
+}
+
+// In the zone of the tasks that it has already, or in the one that takes most.
+Plan Round::one_zone_plan(const PlacementJob &job, std::uint32_t tasks) {
+  int used_zone = -1;
+  for (std::size_t zone = 0; zone < job.zone_used.size(); ++zone)
+    if (job.zone_used[zone] > 0) used_zone = static_cast<int>(zone);
+  if (used_zone >= 0) return greedy_plan(job, tasks, used_zone);
+  Plan best;
+  for (int zone : zones_) {
+    Plan plan = greedy_plan(job, tasks, zone);
+    const bool same_size = plan.machines.size() == best.machines.size();
+    if (plan.machines.size() > best.machines.size() || (same_size && plan.score > best.score)) best = std::move(plan);
   }
-};
+  return best;
+}
 
-// Placing a task changes the score of its machine alone, so a heap of scores gives each task the best
-// machine without trying them all again; of equal scores the lower index wins.
-Plan greedy(const PlaceJob &job, Field &field, std::uint32_t want, int only_zone, const PlaceOptions &options) {
-  auto &machines = field.machines;
+// Placing a task changes the score of its machine alone, so a heap of scores gives each task the best machine without
+// trying them all again; of equal scores the lower position wins. `only_zone`: -1 for any.
+Plan Round::greedy_plan(const PlacementJob &job, std::uint32_t tasks, int only_zone) {
   Plan plan;
+  const bool spread = job.max_per_zone >= 0;
   std::vector<int> zone_used;
-  if (job.zone_cap >= 0) zone_used = job.zone_used;
-  std::vector<std::pair<double, int>> heap; // score, -index
-  for (int i : field.open) {
-    const auto &m = machines[static_cast<std::size_t>(i)];
-    if (has_room(job, m) && (only_zone < 0 || m.zone == only_zone) && allowed(job, m))
-      heap.emplace_back(place_score(job, m, options), -i);
+  if (spread) zone_used = job.zone_used;
+  std::vector<std::pair<double, int>> heap; // score, -position
+  for (int position : open_machines_) {
+    const PlacementMachine &candidate = machine(position);
+    if (has_room(job, candidate) && (only_zone < 0 || candidate.zone == only_zone) && allowed(job, candidate))
+      heap.emplace_back(placement_score(job, candidate, options_), -position);
   }
   std::make_heap(heap.begin(), heap.end());
-  while (plan.machines.size() < want && !heap.empty()) {
+  while (plan.machines.size() < tasks && !heap.empty()) {
     std::pop_heap(heap.begin(), heap.end());
-    auto [score, negative] = heap.back();
+    const auto [score, negative_position] = heap.back();
     heap.pop_back();
-    auto &m = machines[static_cast<std::size_t>(-negative)];
-    if (job.zone_cap >= 0 && grown(zone_used, m.zone) >= job.zone_cap) continue; // and stays so
-    occupy(job, m, 1);
-    if (job.zone_cap >= 0) ++grown(zone_used, m.zone);
-    if (plan.machines.empty()) plan.first = score;
-    plan.machines.push_back(-negative);
+    PlacementMachine &best = machine(-negative_position);
+    if (spread && grown(zone_used, best.zone) >= job.max_per_zone) continue; // and stays so
+    occupy(job, best, 1);
+    if (spread) ++grown(zone_used, best.zone);
+    if (plan.machines.empty()) plan.first_score = score;
+    plan.machines.push_back(-negative_position);
     plan.score += score;
-    if (!has_room(job, m)) continue;
-    heap.emplace_back(place_score(job, m, options), negative);
+    if (!has_room(job, best)) continue;
+    heap.emplace_back(placement_score(job, best, options_), negative_position);
     std::push_heap(heap.begin(), heap.end());
   }
-  for (int i : plan.machines)
-    occupy(job, machines[static_cast<std::size_t>(i)], -1);
-  plan.whole = plan.machines.size() == job.ready && job.ready > 0;
+  for (int position : plan.machines)
+    occupy(job, machine(position), -1);
+  plan.whole = plan.machines.size() == job.pending && job.pending > 0;
   return plan;
 }
 
-Plan plan_job(const PlaceJob &job, Field &field, const Resources &room, const PlaceOptions &options) {
-  std::uint32_t want = std::min(job.ready, job.limit);
-  auto cap = [&](double left, double need) {
-    if (left < 0 || need <= 0) return;
-    want = std::min(want, static_cast<std::uint32_t>(std::min(1e6, std::floor(left / need + 1e-9))));
-  };
-  cap(room.cpus, job.need.cpus);
-  cap(room.gpus, job.need.gpus);
-  if (want == 0 || (job.gang && want < job.ready)) return {};
-  Plan best;
-  if (job.one_zone) {
-    int fixed = -1;
-    for (std::size_t z = 0; z < job.zone_used.size(); ++z)
-      if (job.zone_used[z] > 0) fixed = static_cast<int>(z);
-    for (int zone_index : fixed >= 0 ? std::vector<int>{fixed} : field.zones) {
-      Plan plan = greedy(job, field, want, zone_index, options);
-      if (plan.machines.size() > best.machines.size() ||
-          (plan.machines.size() == best.machines.size() && plan.score > best.score))
-        best = std::move(plan);
-    }
-  } else {
-    best = greedy(job, field, want, -1, options);
-  }
-  if (job.gang && best.machines.size() < job.ready) return {};
+void Round::occupy(const PlacementJob &job, PlacementMachine &machine, double times) const {
+  machine.free.add(job.need, -times);
+  if (machine.reserved_for_large && job.small) machine.small_work_room.add(job.need, -times);
+}
+
+// ---- drafts ----
+
+void Round::draw_up(Draft &draft) {
+  const PlacementJob &job = *jobs_[draft.job];
+  draft.plan = plan(job);
+  draft.made_at = commit_;
+  draft.verified_at = commit_;
+  draft.outdated = false;
+  if (draft.plan.machines.empty()) return;
+  const double age = options_.age_weight * job.wait_s + (job.in_time ? options_.in_time_bonus : 0);
+  draft.value = draft.plan.score / static_cast<double>(draft.plan.machines.size()) +
+                (draft.plan.whole ? options_.full_plan_bonus : 0) + age;
+  // A plan that loses tasks loses the bonus, but its mean may rise up to the first task's score.
+  draft.bound = std::max(draft.value, draft.plan.first_score + age);
+}
+
+bool Round::still_best(const Draft &draft) {
+  if (draft.outdated) return false;
+  const Resources *room = team_room(*jobs_[draft.job]);
+  if (room && (room->cpus >= 0 || room->gpus >= 0)) return false;
+  return std::all_of(draft.plan.machines.begin(), draft.plan.machines.end(),
+                     [&](int position) { return changed_at(position) <= draft.made_at; });
+}
+
+std::size_t Round::best_of(const std::vector<Draft> &drafts) const {
+  std::size_t best = 0;
+  for (std::size_t i = 1; i < drafts.size(); ++i)
+    if (drafts[i].key(commit_) > drafts[best].key(commit_)) best = i;
   return best;
 }
 
-// A job that has waited too long keeps machines for itself: those that could hold its tasks and are
-// nearest to it take nothing else until it has started.
-void reserve(const PlaceJob &job, std::vector<PlaceMachine> &machines, std::vector<Reservation> *reserved) {
-  std::vector<std::pair<double, int>> near;
-  for (int i = 0; i < static_cast<int>(machines.size()); ++i) {
-    auto &m = machines[static_cast<std::size_t>(i)];
-    if (!allowed(job, m) || !job.need.fits(m.size)) continue;
-    double share = m.size.cpus > 0 ? m.free.cpus / m.size.cpus : 0;
-    near.emplace_back(-share, i);
+void Round::commit(const Draft &draft) {
+  ++commit_;
+  for (int position : draft.plan.machines)
+    assign(*jobs_[draft.job], draft.job, position);
+  // Machines only fill up while a round goes on.
+  std::erase_if(open_machines_, [this](int position) { return !least_need_.fits(machine(position).free); });
+}
+
+void Round::assign(const PlacementJob &job, std::size_t job_position, int machine_position) {
+  PlacementMachine &assigned = machine(machine_position);
+  occupy(job, assigned, 1);
+  changed_at(machine_position) = commit_;
+  if (job.image >= 0 && !holds_image(assigned, job.image)) assigned.images.push_back(job.image);
+  assignments_.push_back({static_cast<int>(job_position), machine_position});
+  Resources *room = team_room(job);
+  if (!room) return;
+  if (room->cpus >= 0) room->cpus = std::max(0.0, room->cpus - job.need.cpus);
+  if (room->gpus >= 0) room->gpus = std::max(0.0, room->gpus - job.need.gpus);
+}
+
+void Round::update_others(std::vector<Draft> &drafts, const PlacementJob &placed) {
+  if (machines_.size() == 1) // what no longer fits need not be planned again
+    std::erase_if(drafts, [this](const Draft &draft) { return !has_room(*jobs_[draft.job], machines_[0]); });
+  if (placed.image < 0) return;
+  // The one thing that makes a machine better for another job: it now holds that job's image.
+  for (auto &draft : drafts) {
+    if (jobs_[draft.job]->image != placed.image) continue;
+    draft.outdated = true;
+    draft.bound += std::max(0.0, options_.image_weight);
   }
-  std::sort(near.begin(), near.end());
-  std::uint32_t need = job.ready;
-  for (auto [share, i] : near) {
-    if (need == 0) break;
-    auto &m = machines[static_cast<std::size_t>(i)];
-    while (need && job.need.fits(m.size)) {
-      m.size.add(job.need, -1);
-      --need;
+}
+
+// ---- reservations ----
+
+void Round::reserve_without_plan(const PlacementJob &job) {
+  if (!waits_long(job) || job.limit == 0) return;
+  reserve(job);
+  ++commit_;
+  std::fill(changed_at_.begin(), changed_at_.end(), commit_);
+}
+
+// A job that has waited too long keeps machines for itself: those that could hold its tasks and are nearest to being
+// free take nothing else until it has started.
+void Round::reserve(const PlacementJob &job) {
+  std::vector<std::pair<double, int>> nearest; // -share of free CPUs, position
+  for (int i = 0; i < static_cast<int>(machines_.size()); ++i) {
+    const PlacementMachine &candidate = machine(i);
+    if (!allowed(job, candidate) || !job.need.fits(candidate.size)) continue;
+    const double free_share = candidate.size.cpus > 0 ? candidate.free.cpus / candidate.size.cpus : 0;
+    nearest.emplace_back(-free_share, i);
+  }
+  std::sort(nearest.begin(), nearest.end());
+  std::uint32_t tasks = job.pending;
+  for (const auto &[negative_share, position] : nearest) {
+    if (tasks == 0) break;
+    PlacementMachine &kept = machine(position);
+    while (tasks > 0 && job.need.fits(kept.size)) {
+      kept.size.add(job.need, -1);
+      --tasks;
     }
-    m.free = {};
-    if (reserved) reserved->push_back({job.self, m.id});
+    kept.free = {};
+    if (reserved_) reserved_->push_back({job.index, kept.id});
   }
 }
 
 } // namespace
 
-std::vector<Assignment> place_round(std::vector<PlaceMachine> machines, const std::vector<const PlaceJob *> &jobs,
-                                    std::vector<Resources> team_room, const PlaceOptions &options,
-                                    std::vector<Reservation> *reserved) {
-  std::vector<Assignment> out;
-  auto waits_long = [&](const PlaceJob &job) { return !job.started && job.wait_s > options.reserve_after_s; };
-  auto rank = [&](std::size_t i) {
-    const auto &j = *jobs[i];
-    if (j.delegated_here) return -1;
-    return (waits_long(j) ? 100 : 0) + static_cast<int>(j.urgency) * 2 + (j.guaranteed ? 1 : 0);
-  };
-  const auto none = Resources{-1, -1, -1};
-  Field field(machines, jobs);
-  // What a plan was made of. Machines only fill up while a round goes on, so a plan stays the best one as
-  // long as its own machines are untouched, and what it was worth bounds what a new one can be worth.
-  struct Draft {
-    std::size_t job = 0;
-    Plan plan;
-    double value = 0; // of the plan
-    double bound = 0; // of any later plan
-    std::size_t made = 0, checked = 0;
-    bool outdated = false; // by more than what happened to its machines
-    double key(std::size_t commits) const { return checked == commits ? value : bound; }
-  };
-  std::vector<std::size_t> changed(machines.size(), 0); // the commit that last touched it
-  std::size_t commits = 1;
-  auto draw_up = [&](Draft &draft) {
-    const auto &job = *jobs[draft.job];
-    auto team = static_cast<std::size_t>(job.team);
-    draft.plan = plan_job(job, field, team < team_room.size() ? team_room[team] : none, options);
-    draft.made = draft.checked = commits;
-    draft.outdated = false;
-    if (draft.plan.machines.empty()) return;
-    double age = options.age_weight * job.wait_s + (job.in_time ? options.in_time_bonus : 0);
-    draft.value = draft.plan.score / static_cast<double>(draft.plan.machines.size()) +
-                  (draft.plan.whole ? options.full_plan_bonus : 0) + age;
-    // A plan that loses tasks loses the bonus, but its mean may rise up to the first task's score.
-    draft.bound = std::max(draft.value, draft.plan.first + age);
-  };
-  auto current = [&](const Draft &draft) {
-    if (draft.outdated) return false;
-    const auto &job = *jobs[draft.job];
-    auto team = static_cast<std::size_t>(job.team);
-    if (team < team_room.size() && (team_room[team].cpus >= 0 || team_room[team].gpus >= 0)) return false;
-    return std::all_of(draft.plan.machines.begin(), draft.plan.machines.end(), [&](int machine_index) {
-      return changed[static_cast<std::size_t>(machine_index)] <= draft.made;
-    });
-  };
-  std::vector<std::size_t> order(jobs.size());
-  for (std::size_t i = 0; i < order.size(); ++i)
-    order[i] = i;
-  std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) { return rank(a) > rank(b); });
-  for (std::size_t begin = 0, end; begin < order.size(); begin = end) {
-    // The most pressing rank is planned first; within it the best plan goes first.
-    for (end = begin; end < order.size() && rank(order[end]) == rank(order[begin]);)
-      ++end;
-    std::vector<Draft> drafts;
-    auto give_up = [&](const PlaceJob &job) {
-      if (!waits_long(job) || job.limit == 0) return;
-      reserve(job, machines, reserved);
-      std::fill(changed.begin(), changed.end(), ++commits);
-    };
-    for (std::size_t k = begin; k < end; ++k) {
-      Draft draft;
-      draft.job = order[k];
-      draw_up(draft);
-      if (draft.plan.machines.empty())
-        give_up(*jobs[draft.job]);
-      else
-        drafts.push_back(std::move(draft));
-    }
-    while (!drafts.empty()) {
-      std::size_t best = 0;
-      for (std::size_t k = 1; k < drafts.size(); ++k)
-        if (drafts[k].key(commits) > drafts[best].key(commits)) best = k;
-      Draft &d = drafts[best];
-      const auto &job = *jobs[d.job];
-      if (d.checked != commits) {
-        if (current(d))
-          d.checked = commits;
-        else
-          draw_up(d);
-        if (d.plan.machines.empty()) {
-          give_up(job);
-          drafts.erase(drafts.begin() + static_cast<long>(best));
-        }
-        continue;
-      }
-      ++commits;
-      for (int machine_index : d.plan.machines) {
-        auto &machine = machines[static_cast<std::size_t>(machine_index)];
-        occupy(job, machine, 1);
-        changed[static_cast<std::size_t>(machine_index)] = commits;
-        if (job.image >= 0 &&
-            std::find(machine.images.begin(), machine.images.end(), job.image) == machine.images.end())
-          machine.images.push_back(job.image);
-        out.push_back({static_cast<int>(d.job), machine_index});
-        auto team = static_cast<std::size_t>(job.team);
-        if (team < team_room.size()) {
-          auto &room = team_room[team];
-          if (room.cpus >= 0) room.cpus = std::max(0.0, room.cpus - job.need.cpus);
-          if (room.gpus >= 0) room.gpus = std::max(0.0, room.gpus - job.need.gpus);
-        }
-      }
-      field.close_full();
-      const bool whole = d.plan.whole;
-      drafts.erase(drafts.begin() + static_cast<long>(best));
-      if (!whole && waits_long(job)) {
-        reserve(job, machines, reserved);
-        std::fill(changed.begin(), changed.end(), commits);
-      }
-      if (machines.size() == 1) // what no longer fits need not be planned again
-        std::erase_if(drafts, [&](const Draft &draft) { return !has_room(*jobs[draft.job], machines[0]); });
-      // The one thing that makes a machine better for another job: it now holds that job's image.
-      if (job.image >= 0)
-        for (auto &other : drafts)
-          if (jobs[other.job]->image == job.image) {
-            other.outdated = true;
-            other.bound += std::max(0.0, options.image_weight);
-          }
-    }
-  }
-  return out;
+std::vector<Assignment> place_round(std::vector<PlacementMachine> machines,
+                                    const std::vector<const PlacementJob *> &jobs, std::vector<Resources> team_room,
+                                    const PlacementOptions &options, std::vector<Reservation> *reserved) {
+  return Round(std::move(machines), jobs, std::move(team_room), options, reserved).run();
 }
 
-std::vector<Assignment> place_round(std::vector<PlaceMachine> machines, const std::vector<PlaceJob> &jobs,
-                                    std::vector<Resources> team_room, const PlaceOptions &options,
+std::vector<Assignment> place_round(std::vector<PlacementMachine> machines, const std::vector<PlacementJob> &jobs,
+                                    std::vector<Resources> team_room, const PlacementOptions &options,
                                     std::vector<Reservation> *reserved) {
-  std::vector<const PlaceJob *> all;
-  for (const auto &j : jobs)
-    all.push_back(&j);
+  std::vector<const PlacementJob *> all;
+  all.reserve(jobs.size());
+  for (const auto &job : jobs)
+    all.push_back(&job);
   return place_round(std::move(machines), all, std::move(team_room), options, reserved);
 }
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 struct Case {
-  std::vector<PlaceMachine> machines;
-  std::vector<PlaceJob> jobs;
+  std::vector<PlacementMachine> machines;
+  std::vector<PlacementJob> jobs;
   std::vector<Resources> room;
 };
 
@@ -22,30 +22,30 @@
   auto pick = [&](int n) { return static_cast<int>(rng() % static_cast<unsigned>(n)); };
   Case c;
   for (int i = 0, n = 1 + pick(max_machines); i < n; ++i) {
-    PlaceMachine m;
+    PlacementMachine m;
     m.id = MachineIndex(static_cast<std::size_t>(i));
     m.type = pick(2);
     m.size = m.type ? Resources{32, 4, 128} : Resources{4, 0, 16};
     m.free = {m.size.cpus - pick(4), m.size.gpus, m.size.memory - pick(8)};
     m.zone = pick(2);
     m.spot = pick(2);
-    m.kept = !m.spot && m.type == 1 && pick(2);
-    m.spare = {2.0 + pick(6), 1, 40};
+    m.reserved_for_large = !m.spot && m.type == 1 && pick(2);
+    m.small_work_room = {2.0 + pick(6), 1, 40};
     m.price_premium = 0.2 * pick(5);
     if (pick(2)) m.images.push_back(pick(3));
     c.machines.push_back(m);
   }
   for (int i = 0, n = 1 + pick(max_jobs); i < n; ++i) {
-    PlaceJob j;
+    PlacementJob j;
     j.need = {1.0 + pick(6), static_cast<double>(pick(4) == 0), 1.0 + pick(12)};
     j.types = {static_cast<char>(pick(4) > 0), static_cast<char>(pick(4) > 0)};
     j.zone = pick(4) ? -1 : pick(2);
     j.spot = pick(2);
     j.gang = pick(3) == 0;
     j.one_zone = pick(4) == 0;
-    j.ready = static_cast<std::uint32_t>(1 + pick(std::max(6, max_machines)));
-    j.limit = j.ready;
-    if (pick(4) == 0) j.zone_cap = static_cast<int>((j.ready + 1) / 2);
+    j.pending = static_cast<std::uint32_t>(1 + pick(std::max(6, max_machines)));
+    j.limit = j.pending;
+    if (pick(4) == 0) j.max_per_zone = static_cast<int>((j.pending + 1) / 2);
     j.urgency = static_cast<Urgency>(pick(4));
     j.wait_s = pick(200);
     j.image = pick(3);
@@ -53,7 +53,8 @@
     j.started = pick(2);
     j.small = pick(2);
     j.team = pick(2);
-    if (pick(5) == 0) j.barred.emplace_back(static_cast<std::size_t>(pick(static_cast<int>(c.machines.size()))));
+    if (pick(5) == 0)
+      j.avoided_machines.emplace_back(static_cast<std::size_t>(pick(static_cast<int>(c.machines.size()))));
     c.jobs.push_back(j);
   }
   c.room = {{-1, -1, -1}, {static_cast<double>(pick(20)), -1, -1}};
@@ -62,8 +63,8 @@
 
 // The design's own words, done the slow way: every task of every waiting job is tried on every machine,
 // for jobs without zone rules, waits or ranks.
-std::vector<std::pair<int, int>> plain_round(std::vector<PlaceMachine> ms, std::vector<PlaceJob> jobs,
-                                             const PlaceOptions &o) {
+std::vector<std::pair<int, int>> plain_round(std::vector<PlacementMachine> ms, std::vector<PlacementJob> jobs,
+                                             const PlacementOptions &o) {
   std::vector<std::pair<int, int>> out;
   std::vector<char> open(jobs.size(), 1);
   for (;;) {
@@ -75,14 +76,14 @@
       auto trial = ms;
       std::vector<int> plan;
       double sum = 0;
-      for (std::uint32_t t = 0; t < jobs[j].ready; ++t) {
+      for (std::uint32_t t = 0; t < jobs[j].pending; ++t) {
         int at = -1;
         double top = -1e18;
         for (int m = 0; m < static_cast<int>(trial.size()); ++m) {
           auto &x = trial[static_cast<std::size_t>(m)];
           if (!allowed(jobs[j], x) || !jobs[j].need.fits(x.free)) continue;
-          if (x.kept && jobs[j].small && !jobs[j].need.fits(x.spare)) continue;
-          double f = place_score(jobs[j], x, o);
+          if (x.reserved_for_large && jobs[j].small && !jobs[j].need.fits(x.small_work_room)) continue;
+          double f = placement_score(jobs[j], x, o);
           if (f > top) {
             top = f;
             at = m;
@@ -90,12 +91,12 @@
         }
         if (at < 0) break;
         trial[static_cast<std::size_t>(at)].free.add(jobs[j].need, -1);
-        if (jobs[j].small) trial[static_cast<std::size_t>(at)].spare.add(jobs[j].need, -1);
+        if (jobs[j].small) trial[static_cast<std::size_t>(at)].small_work_room.add(jobs[j].need, -1);
         plan.push_back(at);
         sum += top;
       }
-      if (plan.empty() || (jobs[j].gang && plan.size() < jobs[j].ready)) continue;
-      double value = sum / static_cast<double>(plan.size()) + (plan.size() == jobs[j].ready ? o.full_plan_bonus : 0) +
+      if (plan.empty() || (jobs[j].gang && plan.size() < jobs[j].pending)) continue;
+      double value = sum / static_cast<double>(plan.size()) + (plan.size() == jobs[j].pending ? o.full_plan_bonus : 0) +
                      o.age_weight * jobs[j].wait_s + (jobs[j].in_time ? o.in_time_bonus : 0);
       if (best < 0 || value > best_value) {
         best = static_cast<int>(j);
@@ -108,7 +109,8 @@
     for (int m : best_machines) {
       auto &x = ms[static_cast<std::size_t>(m)];
       x.free.add(jobs[static_cast<std::size_t>(best)].need, -1);
-      if (jobs[static_cast<std::size_t>(best)].small) x.spare.add(jobs[static_cast<std::size_t>(best)].need, -1);
+      if (jobs[static_cast<std::size_t>(best)].small)
+        x.small_work_room.add(jobs[static_cast<std::size_t>(best)].need, -1);
       int image = jobs[static_cast<std::size_t>(best)].image;
       if (std::find(x.images.begin(), x.images.end(), image) == x.images.end()) x.images.push_back(image);
       out.emplace_back(best, m);
@@ -119,10 +121,10 @@
 } // namespace
 
 TEST(Placement, FitScoreIsFreeShareTimesDemand) {
-  PlaceMachine m;
+  PlacementMachine m;
   m.size = {10, 0, 100};
   m.free = {5, 0, 50};
-  PlaceJob j;
+  PlacementJob j;
   j.need = {2, 0, 10};
   EXPECT_NEAR(fit_score(j, m), 0.5 * 0.2 + 0.5 * 0.1, 1e-12);
 }
@@ -132,7 +134,7 @@
     auto c = random_case(rng, max_machines, max_jobs);
     for (auto &j : c.jobs) {
       j.one_zone = false;
-      j.zone_cap = -1;
+      j.max_per_zone = -1;
       j.urgency = Urgency::Normal;
       j.wait_s = std::min(j.wait_s, 100.0);
     }
@@ -174,25 +176,25 @@
     }
     EXPECT_LE(team1, c.room[1].cpus + 1e-6);
     for (std::size_t k = 0; k < c.jobs.size(); ++k) {
-      EXPECT_TRUE(!c.jobs[k].gang || count[k] == 0 || count[k] == static_cast<int>(c.jobs[k].ready));
+      EXPECT_TRUE(!c.jobs[k].gang || count[k] == 0 || count[k] == static_cast<int>(c.jobs[k].pending));
       EXPECT_TRUE(!c.jobs[k].one_zone || zones[k][0] == 0 || zones[k][1] == 0);
-      EXPECT_TRUE(c.jobs[k].zone_cap < 0 || std::max(zones[k][0], zones[k][1]) <= c.jobs[k].zone_cap);
+      EXPECT_TRUE(c.jobs[k].max_per_zone < 0 || std::max(zones[k][0], zones[k][1]) <= c.jobs[k].max_per_zone);
     }
   }
 }
 
 // Roomy-first scatters small tasks; a job that has waited two minutes must get its machine all the same.
 TEST(Placement, LongWaitReservesAMachine) {
-  PlaceMachine m;
+  PlacementMachine m;
   m.size = {32, 0, 128};
   m.free = {20, 0, 100};
-  PlaceJob big, small;
+  PlacementJob big, small;
   big.need = {30, 0, 64};
   big.types = small.types = {1};
-  big.ready = big.limit = 1;
+  big.pending = big.limit = 1;
   big.gang = true;
   small.need = {1, 0, 1};
-  small.ready = small.limit = 5;
+  small.pending = small.limit = 5;
   EXPECT_EQ(place_round({m}, {big, small}, {}, {}).size(), 5u);
   big.wait_s = 121;
   EXPECT_TRUE(place_round({m}, {big, small}, {}, {}).empty());
@@ -201,24 +203,24 @@
 // A machine being emptied for an urgent job was refilled with small work round after round, and its
 // place taken again each time (1560 times on one day).
 TEST(Placement, MachineBeingEmptiedTakesNothingElse) {
-  PlaceMachine m;
+  PlacementMachine m;
   m.size = {32, 0, 128};
   m.free = {20, 0, 100};
-  m.held_for = JobIndex(7);
-  PlaceJob big, small;
+  m.nominated_for = JobIndex(7);
+  PlacementJob big, small;
   big.need = {30, 0, 64};
   small.need = {1, 0, 1};
   big.types = small.types = {1};
-  big.self = JobIndex(7);
-  small.self = JobIndex(3);
-  big.ready = big.limit = 1;
-  small.ready = small.limit = 5;
+  big.index = JobIndex(7);
+  small.index = JobIndex(3);
+  big.pending = big.limit = 1;
+  small.pending = small.limit = 5;
   EXPECT_TRUE(place_round({m}, {big, small}, {}, {}).empty());
   m.free = m.size;
   auto plan = place_round({m}, {big, small}, {}, {});
   ASSERT_EQ(plan.size(), 1u);
   EXPECT_EQ(plan[0].job, 0);
-  m.held_for = {};
+  m.nominated_for = {};
   EXPECT_EQ(place_round({m}, {big, small}, {}, {}).size(), 3u);
 }
 
