--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -141,7 +141,7 @@
   auto orders = wire::decode_commands(body);
   if (!orders) return;
   b.report.fencing_token = orders->fencing_token;
-  for (const auto &o : orders->orders) {
+  for (const auto &o : orders->commands) {
     auto it = std::find_if(b.runs.begin(), b.runs.end(), [&](const Run &r) {
       return r.index == o.index && r.attempt == o.attempt && r.job == o.job;
     });
--- a/bench/scale/hollow_users.cpp
+++ b/bench/scale/hollow_users.cpp
@@ -5,7 +5,8 @@
 #include <fmt/format.h>
 
 #include "loftrouter/net/http.hpp"
-#include "loftrouter/wire/messages.hpp"
+#include "loftrouter/wire/cbor.hpp"
+#include "loftrouter/wire/job.hpp"
 
 namespace loftrouter::scale {
 
--- a/bench/scale/hollow_workers.cpp
+++ b/bench/scale/hollow_workers.cpp
@@ -282,7 +282,7 @@
       }
       w.report.fencing_token = orders->fencing_token;
       w.lease_from = w.sent_at;
-      execute(w, orders->orders);
+      execute(w, orders->commands);
     }
     return wake(index, now);
   }
@@ -390,7 +390,7 @@
     else if (orders->fencing_token < w.report.fencing_token || incarnation != w.report.incarnation)
       status = 409;
     else
-      execute(w, orders->orders);
+      execute(w, orders->commands);
   } else if (m.target != "/show") {
     status = 404;
   }
--- a/bench/scale/hollow_workers.hpp
+++ b/bench/scale/hollow_workers.hpp
@@ -22,7 +22,8 @@
 #include "channel.hpp"
 #include "loftrouter/net/client.hpp"
 #include "loftrouter/net/server.hpp"
-#include "loftrouter/wire/messages.hpp"
+#include "loftrouter/wire/cbor.hpp"
+#include "loftrouter/wire/worker.hpp"
 #include "workload.hpp"
 
 namespace loftrouter::scale {
--- a/include/loftrouter/core/api/administration_api_handler.hpp
+++ b/include/loftrouter/core/api/administration_api_handler.hpp
@@ -10,6 +10,8 @@
 #include "loftrouter/core/api/status_reporter.hpp"
 #include "loftrouter/core/federation/cell_federation.hpp"
 #include "loftrouter/core/heartbeats/heartbeat_handler.hpp"
+#include "loftrouter/wire/admin_jobs.hpp"
+#include "loftrouter/wire/admin_status.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/api/service_level_counters.hpp
+++ b/include/loftrouter/core/api/service_level_counters.hpp
@@ -11,7 +11,7 @@
 #include "loftrouter/core/jobs/dependencies.hpp"
 #include "loftrouter/core/jobs/ended_jobs.hpp"
 #include "loftrouter/core/runtime/events.hpp"
-#include "loftrouter/wire/admin.hpp"
+#include "loftrouter/wire/admin_status.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/configuration/operator_settings.hpp
+++ b/include/loftrouter/core/configuration/operator_settings.hpp
@@ -10,7 +10,9 @@
 #include <vector>
 
 #include "loftrouter/core/configuration/configuration.hpp"
-#include "loftrouter/wire/admin.hpp"
+#include "loftrouter/wire/admin_budgets.hpp"
+#include "loftrouter/wire/admin_cell_rules.hpp"
+#include "loftrouter/wire/admin_settings.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/runtime/commands.hpp
+++ b/include/loftrouter/core/runtime/commands.hpp
@@ -6,10 +6,16 @@
 #include <variant>
 
 #include "loftrouter/model/types.hpp"
-#include "loftrouter/wire/admin.hpp"
+#include "loftrouter/wire/admin_request.hpp"
 #include "loftrouter/wire/cell.hpp"
-#include "loftrouter/wire/messages.hpp"
+#include "loftrouter/wire/cloud_api.hpp"
+#include "loftrouter/wire/job.hpp"
+#include "loftrouter/wire/job_records.hpp"
+#include "loftrouter/wire/node_records.hpp"
 #include "loftrouter/wire/peer.hpp"
+#include "loftrouter/wire/progress_record.hpp"
+#include "loftrouter/wire/state_service.hpp"
+#include "loftrouter/wire/worker.hpp"
 
 namespace loftrouter::core {
 
--- a/include/loftrouter/core/workers/machine.hpp
+++ b/include/loftrouter/core/workers/machine.hpp
@@ -16,7 +16,7 @@
 #include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/workers/downlink_state.hpp"
 #include "loftrouter/model/types.hpp"
-#include "loftrouter/wire/admin.hpp"
+#include "loftrouter/wire/admin_settings.hpp"
 
 namespace loftrouter::core {
 
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -163,7 +163,7 @@
       cloud_.send(op);
     for (const auto &w : effects.workers)
       if (auto to = net::parse_address(w.address))
-        outbound_requests_.post(*to, "/orders", wire::encode_call(w.fencing_token, w.incarnation, w.orders));
+        outbound_requests_.post(*to, "/orders", wire::encode_direct_commands(w.fencing_token, w.incarnation, w.orders));
     bool prompt = false;
     for (const auto &p : effects.peers) {
       auto frame = wire::encode_peer(p.message);
@@ -223,8 +223,8 @@
     if (target == jobs) {
       if (!only("POST")) return;
       auto spec = wire::decode_job(m.body);
-      if (auto *problem = std::get_if<std::string>(&spec))
-        return server_.respond(id, 400, wire::encode_error(*problem));
+      if (auto *problem = std::get_if<wire::FieldError>(&spec))
+        return server_.respond(id, 400, wire::encode_error(problem->message));
       return push(core::CmdSubmit{id, std::move(std::get<JobSpec>(spec))});
     }
     if (target.size() > jobs.size() + 1 && target.substr(0, jobs.size() + 1) == "/api/jobs/") {
@@ -238,15 +238,13 @@
       return push(core::CmdLookup{id, std::string(rest)});
     }
     if (target.substr(0, 7) == "/admin/") {
-      auto ask = wire::read_admin(m.method, m.target, m.body);
+      auto ask = wire::read_admin_request(m.method, m.target, m.body);
       if (auto *problem = std::get_if<wire::AdminError>(&ask))
         return server_.respond(id, problem->status, wire::encode_admin_error(problem->text), {}, "application/json");
       auto &a = std::get<wire::AdminRequest>(ask);
-      a.round_p50 = batch_ms_.quantile(0.5);
-      a.round_p99 = batch_ms_.quantile(0.99);
-      a.queue_p50 = wait_ms_.quantile(0.5);
-      a.queue_p99 = wait_ms_.quantile(0.99);
-      a.cpu_s = static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
+      a.process.batch_ms = {batch_ms_.quantile(0.5), batch_ms_.quantile(0.99)};
+      a.process.queue_wait_ms = {wait_ms_.quantile(0.5), wait_ms_.quantile(0.99)};
+      a.process.cpu_s = static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
       return push(core::CmdAdmin{id, std::move(a)});
     }
     server_.respond(id, 404, wire::encode_error("no such path"));
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -44,8 +44,8 @@
   case Kind::Status:
     return status(cmd.req, ask);
   case Kind::Jobs:
-  case Kind::Foreseen:
-    return jobs(cmd.req, ask, ask.kind == Kind::Foreseen);
+  case Kind::Forecast:
+    return jobs(cmd.req, ask, ask.kind == Kind::Forecast);
   case Kind::Report:
     return report(cmd.req, ask);
   case Kind::Statement:
@@ -68,7 +68,7 @@
   if (leads) status.leader_since = wire::clock_time(leadership_.leading_since_wall());
   status.state_age_s = ago(runtime_.state_ok_at());
   status.cloud_age_s = ago(runtime_.cloud_ok_at());
-  status.report_age_s = ago(connectivity_.last_report_at());
+  status.heartbeat_age_s = ago(connectivity_.last_report_at());
   status.connectivity = {connectivity_.own(), connectivity_.machines_by_zone()};
   for (std::size_t i = 0; i < replicas_.count(); ++i) {
     const auto &x = replicas_[i];
@@ -84,8 +84,8 @@
                                                       : "earlier"});
   }
   const auto load = heartbeats_.load();
-  status.load = {load.reports, load.max_reports, load.passed,     load.workers,       load.max_workers,
-                 load.spreads, ask.cpu_s,        runtime_.up_s(), settings_.cpu_share};
+  status.load = {load.reports, load.max_reports,  load.passed,     load.workers,       load.max_workers,
+                 load.spreads, ask.process.cpu_s, runtime_.up_s(), settings_.cpu_share};
   std::map<MachineKind, wire::AdminStatus::Kind> kinds;
   int silent = 0, ordered = 0;
   workers_.each([&](MachineIndex, const Machine &machine) {
@@ -93,7 +93,7 @@
     auto &k = kinds[{machine.type, machine.zone, machine.spot}];
     const bool quiet =
         machine.heartbeat.received() && machine.heartbeat_overdue(runtime_.now(), settings_.heartbeat_interval_s);
-    ++(quiet ? k.silent : machine.heartbeat.received() ? k.up : k.starting);
+    ++(quiet ? k.unreachable : machine.heartbeat.received() ? k.up : k.starting);
     silent += quiet;
     ordered += machine.admin_state.has_value();
     if (!machine.heartbeat.received() || quiet) return;
@@ -130,10 +130,8 @@
     });
   }
   status.troubles = troubles(status, silent, ordered);
-  status.round_p50 = ask.round_p50;
-  status.round_p99 = ask.round_p99;
-  status.queue_p50 = ask.queue_p50;
-  status.queue_p99 = ask.queue_p99;
+  status.batch_ms = ask.process.batch_ms;
+  status.queue_wait_ms = ask.process.queue_wait_ms;
   runtime_.reply_json(req, 200, wire::encode_status(status));
 }
 
@@ -167,7 +165,7 @@
                               wire::clock_time(leadership_.leading_since_wall()),
                               wire::clock_time(runtime_.wall() + jobs_.unaccounted_until() - runtime_.now())));
   for (const auto &x : status.replicas)
-    if (x.heard_s < 0 || x.heard_s > 3) out.push_back(fmt::format("sibling {} does not answer", x.node));
+    if (x.last_contact_s < 0 || x.last_contact_s > 3) out.push_back(fmt::format("sibling {} does not answer", x.node));
   if (leads && status.cloud_age_s > 15) out.push_back("the cloud does not answer: nothing is rented or given back");
   std::string refused;
   for (const auto &k : status.fleet)
--- a/src/core/api/configuration_api_handler.cpp
+++ b/src/core/api/configuration_api_handler.cpp
@@ -40,7 +40,7 @@
     return history(req, ask.team);
   case Kind::Settings:
   case Kind::Budgets:
-  case Kind::CellFederation:
+  case Kind::CellRules:
     return answer(req, ask);
   default:
     return change(req, ask);
@@ -53,10 +53,10 @@
   case Kind::Budgets:
   case Kind::ChangeBudgets:
     return runtime_.reply_json(req, 200, wire::encode_budgets(operators_.budgets()));
-  case Kind::CellFederation:
-  case Kind::ChangeCells:
+  case Kind::CellRules:
+  case Kind::ChangeCellRules:
     return runtime_.reply_json(req, 200, wire::encode_cell_rules(operators_.cell_rules()));
-  case Kind::Machine:
+  case Kind::ChangeMachine:
     if (orders.size() > kMaxOrdersWhole) return one_order(req, ask.machine);
     return orders_page(req, orders.begin());
   default:
@@ -166,13 +166,13 @@
         change.left[team] = budget.is_null() ? std::nullopt : std::optional(budget);
       }
     break;
-  case Kind::ChangeCells:
+  case Kind::ChangeCellRules:
     change.document = Operators::kCellsKey;
     break;
-  case Kind::Machine:
+  case Kind::ChangeMachine:
     change.document = Operators::kOrdersKey;
     change.prefix = wire::kConfigMachine;
-    change.left[ask.machine] = ask.order ? std::optional(wire::to_json(*ask.order)) : std::nullopt;
+    change.left[ask.machine] = ask.machine_state ? std::optional(wire::to_json(*ask.machine_state)) : std::nullopt;
     break;
   default:
     change.document = Operators::kTunablesKey;
@@ -197,12 +197,12 @@
 std::optional<wire::Json> ConfigurationApiHandler::edited(const Change &change, const wire::Json &before) const {
   const auto &ask = change.ask;
   wire::Json after;
-  if (ask.kind == Kind::ChangeCells) {
+  if (ask.kind == Kind::ChangeCellRules) {
     wire::CellRules rules;
     (void)wire::apply_cell_rules(before, rules);
     (void)wire::apply_cell_rules(ask.change, rules); // checked at the door
     after = wire::to_json(rules);
-  } else if (ask.kind == Kind::Change) {
+  } else if (ask.kind == Kind::ChangeSettings) {
     wire::Tunables tunables;
     (void)wire::apply_tunables(before, tunables);
     (void)wire::apply_tunables(ask.change, tunables); // checked at the door
@@ -217,10 +217,10 @@
   } else {
     auto orders = wire::machine_admin_states_from_json(before);
     if (!settings_.configuration) {
-      if (!ask.order)
+      if (!ask.machine_state)
         orders.erase(ask.machine);
       else if (orders.size() < wire::kMaxMachineOrders || orders.contains(ask.machine))
-        orders[ask.machine] = *ask.order;
+        orders[ask.machine] = *ask.machine_state;
       else
         return fail(change.req, 409, "too many machines are under an order; release some first"), std::nullopt;
     }
--- a/src/core/configuration/operator_settings.cpp
+++ b/src/core/configuration/operator_settings.cpp
@@ -26,7 +26,7 @@
   wire::Tunables tunables;
   if (!document) return;
   if (auto problem = wire::apply_tunables(document->value, tunables))
-    runtime_.log(LogLevel::Error, "operator_settings_rejected", {{"why", *problem}});
+    runtime_.log(LogLevel::Error, "operator_settings_rejected", {{"why", problem->message}});
   else
     tunables_ = tunables;
 }
@@ -36,7 +36,7 @@
   wire::CellRules rules;
   if (!document) return;
   if (auto problem = wire::apply_cell_rules(document->value, rules))
-    runtime_.log(LogLevel::Error, "cell_rules_rejected", {{"why", *problem}});
+    runtime_.log(LogLevel::Error, "cell_rules_rejected", {{"why", problem->message}});
   else
     cell_rules_ = std::move(rules);
 }
@@ -65,7 +65,7 @@
   for (auto it = teams.begin(); it != teams.end() && !problem; ++it)
     problem = wire::apply_budgets({{"teams", {{it->first, it->second}}}}, budgets);
   if (problem)
-    runtime_.log(LogLevel::Error, "budgets_rejected", {{"why", *problem}});
+    runtime_.log(LogLevel::Error, "budgets_rejected", {{"why", problem->message}});
   else
     budgets_ = std::move(budgets);
 }
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -9,7 +9,9 @@
       follows_(loop, address, {2, 4, 8 << 20}), done_(std::move(done)) {}
 
 void StoreClient::send(const core::StoreOp &op) {
-  auto answer = [this, id = op.op](int status, std::string &&body) { done_(id, wire::decode_store(status, body)); };
+  auto answer = [this, id = op.op](int status, std::string &&body) {
+    done_(id, wire::decode_store_reply(status, body));
+  };
   auto go = [&](net::HttpClient &c, std::string_view method, const std::string &target, const std::string &body = "") {
     c.request(method, target, body, op.deadline_s, answer);
   };
@@ -24,9 +26,11 @@
     void operator()(const core::StoreCommit &x) {
       call(c.requests_, "POST", "/commit", wire::encode_commit(x.preconditions, x.writes));
     }
-    void operator()(const core::StoreLeaseGrant &x) { call(c.leases_, "POST", "/leases", wire::encode_ttl(x.ttl_s)); }
+    void operator()(const core::StoreLeaseGrant &x) {
+      call(c.leases_, "POST", "/leases", wire::encode_lease_grant(x.ttl_s));
+    }
     void operator()(const core::StoreLeaseRenew &x) {
-      call(c.leases_, "POST", fmt::format("/leases/{}/touch", x.lease), wire::encode(wire::Json::object()));
+      call(c.leases_, "POST", fmt::format("/leases/{}/touch", x.lease), wire::encode_lease_renew());
     }
     void operator()(const core::StoreLeaseRevoke &x) { call(c.leases_, "DELETE", fmt::format("/leases/{}", x.lease)); }
     void operator()(const core::StoreWatch &x) {
--- a/src/wire/admin_configuration.cpp
+++ b/src/wire/admin_configuration.cpp
@@ -2,92 +2,99 @@
 
 #include <cmath>
 
-#include "loftrouter/wire/admin.hpp"
+#include "admin_json.hpp"
+#include "loftrouter/wire/admin_status.hpp"
 
 namespace loftrouter::wire {
 
 namespace {
 
-std::string dump(const Json &json) {
-  return json.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
-}
-
+// Unlike in stored records, where there is no limit the answer says null.
 Json amounts_json(const Amounts &amounts) {
-  auto limit = [](double x) { return std::isfinite(x) ? Json(x) : Json(); };
-  return {{"cpus", limit(amounts.cpus)}, {"gpus", limit(amounts.gpus)}};
+  const auto limit_json = [](double limit) { return std::isfinite(limit) ? Json(limit) : Json(); };
+  return {{"cpus", limit_json(amounts.cpus)}, {"gpus", limit_json(amounts.gpus)}};
 }
 
-Json by_cell_json(const AmountsByCell &all) {
+Json amounts_by_cell_json(const AmountsByCell &by_cell) {
   Json json = Json::object();
-  for (const auto &[cell, a] : all)
-    json[cell] = amounts_json(a);
+  for (const auto &[cell, amounts] : by_cell)
+    json[cell] = amounts_json(amounts);
   return json;
 }
 
-void put_limits(Json &json, const Team &team) {
-  json["cpus"] = team.cpus;
-  json["gpus"] = team.gpus;
-  json["cpus_max"] = team.cpus_max > 0 ? Json(team.cpus_max) : Json();
-  json["gpus_max"] = team.gpus_max > 0 ? Json(team.gpus_max) : Json();
+// Guarantee and limit; a limit of 0 means that there is none.
+Json limits_json(const Team &team) {
+  return {{"cpus", team.cpus},
+          {"gpus", team.gpus},
+          {"cpus_max", team.cpus_max > 0 ? Json(team.cpus_max) : Json()},
+          {"gpus_max", team.gpus_max > 0 ? Json(team.gpus_max) : Json()}};
+}
+
+Json to_json(const AdminQuota &quota) {
+  Json json = limits_json(quota.over_all_cells);
+  json["version"] = quota.version;
+  json["here"] = limits_json(quota.here);
+  if (quota.owner.empty()) return json;
+  json["owner"] = quota.owner;
+  json["caps"] = amounts_by_cell_json(quota.caps);
+  json["held"] = amounts_by_cell_json(quota.held);
+  return json;
 }
 
-Json times_json(const std::map<std::string, double> &since) {
+Json clock_times_json(const std::map<std::string, double> &since) {
   Json json = Json::object();
   for (const auto &[name, wall] : since)
     json[name] = clock_time(wall);
   return json;
 }
 
+Json to_json(const AdminConfigRecord &record, const std::vector<std::string> &nodes) {
+  Json missing = Json::array();
+  for (const auto &node : nodes)
+    if (!record.in_force.contains(node)) missing.push_back(node);
+  Json json = {{"record", record.key},
+               {"revision", record.revision},
+               {"in_force_since", clock_times_json(record.in_force)},
+               {"not_in_force_at", std::move(missing)}};
+  if (!record.acknowledged_cells.empty())
+    json["acknowledged_by_cells_since"] = clock_times_json(record.acknowledged_cells);
+  return json;
+}
+
 } // namespace
 
 std::string encode_quotas(const std::vector<AdminQuota> &quotas) {
   Json teams = Json::object();
-  for (const auto &q : quotas) {
-    Json json = {{"version", q.version}}, here = Json::object();
-    put_limits(json, q.over_all_cells);
-    put_limits(here, q.here);
-    json["here"] = std::move(here);
-    if (!q.owner.empty()) {
-      json["owner"] = q.owner;
-      json["caps"] = by_cell_json(q.caps);
-      json["held"] = by_cell_json(q.held);
-    }
-    teams[q.here.name] = std::move(json);
-  }
-  return dump({{"teams", std::move(teams)}});
+  for (const auto &quota : quotas)
+    teams[quota.here.name] = to_json(quota);
+  return dump_admin_json({{"teams", std::move(teams)}});
 }
 
 std::size_t listed_bytes(const AdminConfigRecord &record, std::size_t nodes) {
-  constexpr std::size_t kFields = 200, kLine = 100; // of a node or cell: its name, of 64 characters, and a time
-  return kFields + record.key.size() + kLine * (nodes + record.acknowledged_cells.size());
+  constexpr std::size_t fields = 200;
+  constexpr std::size_t line = 100; // of a node or cell: its name, of 64 characters, and a time
+  return fields + record.key.size() + line * (nodes + record.acknowledged_cells.size());
 }
 
-std::string encode_configuration(const AdminConfiguration &c) {
+std::string encode_configuration(const AdminConfiguration &configuration) {
   Json records = Json::array();
-  for (const auto &r : c.records) {
-    Json json = {{"record", r.key}, {"revision", r.revision}, {"in_force_since", times_json(r.in_force)}};
-    Json missing = Json::array();
-    for (const auto &node : c.nodes)
-      if (!r.in_force.contains(node)) missing.push_back(node);
-    json["not_in_force_at"] = std::move(missing);
-    if (!r.acknowledged_cells.empty()) json["acknowledged_by_cells_since"] = times_json(r.acknowledged_cells);
-    records.push_back(std::move(json));
-  }
-  return dump({{"node", c.node},
-               {"revision", c.revision},
-               {"watches", c.watches},
-               {"current_s_ago", c.current_s < 0 ? Json() : Json(std::round(c.current_s * 10) / 10)},
-               {"records", std::move(records)},
-               {"next", c.next.empty() ? Json() : Json(c.next)}});
+  for (const auto &record : configuration.records)
+    records.push_back(to_json(record, configuration.nodes));
+  return dump_admin_json({{"node", configuration.node},
+                          {"revision", configuration.revision},
+                          {"watches", configuration.watches},
+                          {"current_s_ago", age_json(configuration.current_s)},
+                          {"records", std::move(records)},
+                          {"next", text_or_null(configuration.next)}});
 }
 
 std::string encode_quota_history(const std::string &team, const std::vector<QuotaRecord::Change> &history) {
   Json changes = Json::array();
-  for (const auto &c : history)
-    changes.push_back({{"at", clock_time(c.wall)},
-                       {"guaranteed", amounts_json(c.limits.guaranteed)},
-                       {"most", amounts_json(c.limits.most)}});
-  return dump({{"record", "quota/" + team}, {"changes", std::move(changes)}});
+  for (const auto &change : history)
+    changes.push_back({{"at", clock_time(change.wall)},
+                       {"guaranteed", amounts_json(change.limits.guaranteed)},
+                       {"most", amounts_json(change.limits.most)}});
+  return dump_admin_json({{"record", "quota/" + team}, {"changes", std::move(changes)}});
 }
 
 } // namespace loftrouter::wire
--- a/src/wire/configuration.cpp
+++ b/src/wire/configuration.cpp
@@ -1,183 +1,221 @@
 #include "loftrouter/wire/configuration.hpp"
 
-#include <algorithm>
 #include <cmath>
 
 #include <fmt/format.h>
 
+#include "json_fields.hpp"
+#include "protocol_names.hpp"
+
 namespace loftrouter::wire {
 
 namespace {
 
-constexpr double kMaxAmount = 1e9;
 constexpr std::size_t kMaxCells = 17; // a cell and 16 others
 
-std::optional<double> amount(const Json &json, const char *name) {
-  const auto it = json.find(name);
-  if (it == json.end() || !it->is_number()) return std::nullopt;
-  const double value = it->get<double>();
-  return value >= 0 && value <= kMaxAmount ? std::optional(value) : std::nullopt;
-}
-
-std::optional<std::uint64_t> count(const Json &json, const char *name) {
-  const auto it = json.find(name);
-  return it != json.end() && it->is_number_unsigned() ? std::optional(it->get<std::uint64_t>()) : std::nullopt;
-}
-
-void put(Json &json, const char *name, double value) {
+void put_unless_unlimited(Json &json, const char *name, double value) {
   if (std::isfinite(value)) json[name] = value;
 }
 
-// Left out where there is no limit.
 Json amounts_json(const Amounts &amounts) {
   Json json = Json::object();
-  put(json, "cpus", amounts.cpus);
-  put(json, "gpus", amounts.gpus);
+  put_unless_unlimited(json, setting::kCpus, amounts.cpus);
+  put_unless_unlimited(json, setting::kGpus, amounts.gpus);
   return json;
 }
 
-std::optional<Amounts> amounts_from(const Json &json) {
+// False: there is an amount that is invalid, null included. One that is left out is unlimited.
+bool read_amount_or_unlimited(const Json &json, const char *name, double &out) {
+  out = Amounts::kUnlimited;
+  if (!json.contains(name)) return true;
+  const auto value = read_amount(json[name]);
+  if (value) out = *value;
+  return value.has_value();
+}
+
+std::optional<Amounts> amounts_from_json(const Json &json) {
   if (!json.is_object()) return std::nullopt;
-  Amounts amounts{Amounts::kUnlimited, Amounts::kUnlimited};
-  for (auto [name, field] : {std::pair{"cpus", &amounts.cpus}, std::pair{"gpus", &amounts.gpus}}) {
-    if (!json.contains(name)) continue;
-    const auto value = amount(json, name);
-    if (!value) return std::nullopt;
-    *field = *value;
-  }
+  Amounts amounts;
+  if (!read_amount_or_unlimited(json, setting::kCpus, amounts.cpus)) return std::nullopt;
+  if (!read_amount_or_unlimited(json, setting::kGpus, amounts.gpus)) return std::nullopt;
   return amounts;
 }
 
-Json by_cell_json(const AmountsByCell &all) {
+Json amounts_by_cell_json(const AmountsByCell &by_cell) {
   Json json = Json::object();
-  for (const auto &[cell, a] : all)
-    json[cell] = amounts_json(a);
+  for (const auto &[cell, amounts] : by_cell)
+    json[cell] = amounts_json(amounts);
   return json;
 }
 
-std::optional<AmountsByCell> by_cell_from(const Json &json) {
+std::optional<AmountsByCell> amounts_by_cell_from_json(const Json &json) {
   if (!json.is_object() || json.size() > kMaxCells) return std::nullopt;
-  AmountsByCell all;
+  AmountsByCell by_cell;
   for (const auto &[cell, value] : json.items()) {
-    const auto a = amounts_from(value);
-    if (!a) return std::nullopt;
-    all[cell] = *a;
+    const auto amounts = amounts_from_json(value);
+    if (!amounts) return std::nullopt;
+    by_cell[cell] = *amounts;
+  }
+  return by_cell;
+}
+
+Json to_json(const QuotaLimits &limits) {
+  return {{setting::kGuaranteed, amounts_json(limits.guaranteed)}, {setting::kMaximum, amounts_json(limits.most)}};
+}
+
+std::optional<QuotaLimits> limits_from_json(const Json &json) {
+  const auto guaranteed = amounts_from_json(member(json, setting::kGuaranteed));
+  const auto maximum = amounts_from_json(member(json, setting::kMaximum));
+  if (!guaranteed || !maximum) return std::nullopt;
+  // A guarantee without bound could never be met.
+  if (!std::isfinite(guaranteed->cpus) || !std::isfinite(guaranteed->gpus)) return std::nullopt;
+  return QuotaLimits{*guaranteed, *maximum};
+}
+
+std::optional<double> wall_time_from_json(const Json &json) {
+  return json.is_number() ? std::optional(json.get<double>()) : std::nullopt;
+}
+
+Json to_json(const QuotaRecord::Change &change) {
+  return {{setting::kNumber, change.number}, {setting::kAt, change.wall}, {setting::kLimits, to_json(change.limits)}};
+}
+
+std::optional<QuotaRecord::Change> change_from_json(const Json &json) {
+  const auto number = read_count(member(json, setting::kNumber));
+  const auto wall = wall_time_from_json(member(json, setting::kAt));
+  const auto limits = limits_from_json(member(json, setting::kLimits));
+  if (!number || !wall || !limits) return std::nullopt;
+  return QuotaRecord::Change{*number, *wall, *limits};
+}
+
+// Nothing: there is a history, and it can't be read. A record without one has an empty history.
+std::optional<std::vector<QuotaRecord::Change>> history_from_json(const Json &record) {
+  std::vector<QuotaRecord::Change> history;
+  if (!record.contains(setting::kHistory)) return history;
+  const Json &list = record[setting::kHistory];
+  if (!list.is_array() || list.size() > kMaxQuotaHistory) return std::nullopt;
+  for (const auto &element : list) {
+    auto change = change_from_json(element);
+    if (!change) return std::nullopt;
+    history.push_back(std::move(*change));
   }
-  return all;
+  return history;
 }
 
-Json limits_json(const QuotaLimits &l) {
-  return {{"guaranteed", amounts_json(l.guaranteed)}, {"most", amounts_json(l.most)}};
+// Fields of a quota change that hold an amount.
+struct AmountField {
+  const char *name;
+  std::optional<double> QuotaChange::*field;
+  bool limit; // null stands for the limit of the settings file
+};
+constexpr AmountField kAmountFields[] = {
+    {setting::kCpus, &QuotaChange::guaranteed_cpus, false},
+    {setting::kGpus, &QuotaChange::guaranteed_gpus, false},
+    {setting::kMaxCpus, &QuotaChange::max_cpus, true},
+    {setting::kMaxGpus, &QuotaChange::max_gpus, true},
+};
+
+std::optional<FieldError> read_amount_field(const AmountField &amount, const Json &value, QuotaChange &change) {
+  auto wanted = amount.limit && value.is_null() ? std::optional(Amounts::kUnlimited) : read_amount(value);
+  if (!wanted)
+    return FieldError{fmt::format("{}: a number from 0 to {:g} is wanted{}", amount.name, kMaxAmount,
+                                  amount.limit ? ", or null for the limit of the settings file" : "")};
+  change.*amount.field = wanted;
+  return std::nullopt;
 }
 
-std::optional<QuotaLimits> limits_from(const Json &json) {
-  if (!json.is_object() || !json.contains("guaranteed") || !json.contains("most")) return std::nullopt;
-  const auto guaranteed = amounts_from(json["guaranteed"]), most = amounts_from(json["most"]);
-  if (!guaranteed || !most || !std::isfinite(guaranteed->cpus) || !std::isfinite(guaranteed->gpus)) return std::nullopt;
-  return QuotaLimits{*guaranteed, *most};
+std::optional<FieldError> read_shares(const Json &value, QuotaChange &change) {
+  change.shares = amounts_by_cell_from_json(value.is_null() ? Json::object() : value);
+  if (!change.shares) return FieldError{"shares: a map from cells to cpus and gpus is wanted, or null"};
+  return std::nullopt;
+}
+
+std::optional<FieldError> read_version(const Json &value, QuotaChange &change) {
+  change.version = read_count(value);
+  if (!change.version) return FieldError{"version: a whole number is wanted"};
+  return std::nullopt;
+}
+
+std::optional<FieldError> read_change_field(const std::string &name, const Json &value, QuotaChange &change) {
+  for (const auto &amount : kAmountFields)
+    if (name == amount.name) return read_amount_field(amount, value, change);
+  if (name == setting::kShares) return read_shares(value, change);
+  if (name == setting::kVersion) return read_version(value, change);
+  return FieldError{"no such field; cpus, cpus_max, gpus, gpus_max, shares and version are known"};
 }
 
 } // namespace
 
 Json to_json(const QuotaRecord &record) {
   Json history = Json::array();
-  for (const auto &c : record.history)
-    history.push_back({{"number", c.number}, {"at", c.wall}, {"limits", limits_json(c.limits)}});
-  return {{"version", record.version},
-          {"limits", limits_json(record.limits)},
-          {"shares", by_cell_json(record.shares)},
-          {"caps", by_cell_json(record.caps)},
-          {"held", by_cell_json(record.held)},
-          {"history", std::move(history)}};
+  for (const auto &change : record.history)
+    history.push_back(to_json(change));
+  return {{setting::kVersion, record.version},
+          {setting::kLimits, to_json(record.limits)},
+          {setting::kShares, amounts_by_cell_json(record.shares)},
+          {setting::kCaps, amounts_by_cell_json(record.caps)},
+          {setting::kHeld, amounts_by_cell_json(record.held)},
+          {setting::kHistory, std::move(history)}};
 }
 
 std::optional<QuotaRecord> quota_from_json(const Json &json) {
   if (!json.is_object()) return std::nullopt;
-  QuotaRecord record;
-  const auto version = count(json, "version");
-  const auto limits = limits_from(json.value("limits", Json()));
-  const auto shares = by_cell_from(json.value("shares", Json())), caps = by_cell_from(json.value("caps", Json())),
-             held = by_cell_from(json.value("held", Json()));
-  const Json history = json.value("history", Json::array());
-  if (!version || !limits || !shares || !caps || !held || !history.is_array() || history.size() > kMaxQuotaHistory)
-    return std::nullopt;
-  for (const auto &c : history) {
-    const auto number = c.is_object() ? count(c, "number") : std::nullopt;
-    const auto changed = c.is_object() ? limits_from(c.value("limits", Json())) : std::nullopt;
-    if (!number || !changed || !c.contains("at") || !c["at"].is_number()) return std::nullopt;
-    record.history.push_back({*number, c["at"].get<double>(), *changed});
-  }
-  record.version = *version;
-  record.limits = *limits;
-  record.shares = *shares;
-  record.caps = *caps;
-  record.held = *held;
-  return record;
-}
-
-std::variant<QuotaChange, std::string> read_quota_change(std::string_view team, const Json &json) {
+  const auto version = read_count(member(json, setting::kVersion));
+  const auto limits = limits_from_json(member(json, setting::kLimits));
+  auto shares = amounts_by_cell_from_json(member(json, setting::kShares));
+  auto caps = amounts_by_cell_from_json(member(json, setting::kCaps));
+  auto held = amounts_by_cell_from_json(member(json, setting::kHeld));
+  auto history = history_from_json(json);
+  if (!version || !limits || !shares || !caps || !held || !history) return std::nullopt;
+  return QuotaRecord{*version, *limits, std::move(*shares), std::move(*caps), std::move(*held), std::move(*history)};
+}
+
+std::variant<QuotaChange, FieldError> read_quota_change(std::string_view team, const Json &json) {
+  if (!json.is_object()) return FieldError{"body: a map is wanted"};
   QuotaChange change;
   change.team = team;
-  if (!json.is_object()) return std::string("body: a map is wanted");
-  for (const auto &[name, value] : json.items()) {
-    const bool limit = name == "cpus_max" || name == "gpus_max";
-    if (limit || name == "cpus" || name == "gpus") {
-      const auto wanted = limit && value.is_null() ? std::optional(Amounts::kUnlimited) : amount(json, name.c_str());
-      if (!wanted)
-        return fmt::format("{}: a number from 0 to {:g} is wanted{}", name, kMaxAmount,
-                           limit ? ", or null for the limit of the settings file" : "");
-      (name == "cpus"       ? change.guaranteed_cpus
-       : name == "gpus"     ? change.guaranteed_gpus
-       : name == "cpus_max" ? change.max_cpus
-                            : change.max_gpus) = wanted;
-    } else if (name == "shares") {
-      change.shares = by_cell_from(value.is_null() ? Json::object() : value);
-      if (!change.shares) return std::string("shares: a map from cells to cpus and gpus is wanted, or null");
-    } else if (name == "version") {
-      change.version = count(json, "version");
-      if (!change.version) return std::string("version: a whole number is wanted");
-    } else {
-      return std::string("no such field; cpus, cpus_max, gpus, gpus_max, shares and version are known");
-    }
-  }
+  for (const auto &[name, value] : json.items())
+    if (auto error = read_change_field(name, value, change)) return *error;
   return change;
 }
 
 Json to_json(const QuotaChange &change) {
   Json json = Json::object();
-  auto limit = [&json](const char *name, const std::optional<double> &value) {
-    if (value) json[name] = std::isfinite(*value) ? Json(*value) : Json();
-  };
-  limit("cpus", change.guaranteed_cpus);
-  limit("gpus", change.guaranteed_gpus);
-  limit("cpus_max", change.max_cpus);
-  limit("gpus_max", change.max_gpus);
-  if (change.shares) json["shares"] = by_cell_json(*change.shares);
-  if (change.version) json["version"] = *change.version;
+  for (const auto &amount : kAmountFields)
+    if (const auto &value = change.*amount.field) json[amount.name] = std::isfinite(*value) ? Json(*value) : Json();
+  if (change.shares) json[setting::kShares] = amounts_by_cell_json(*change.shares);
+  if (change.version) json[setting::kVersion] = *change.version;
   return json;
 }
 
-Json to_json(const ForwardedChange &f) {
-  return {
-      {"team", f.change.team}, {"change", to_json(f.change)}, {"node", f.node}, {"status", f.status}, {"text", f.text}};
+Json to_json(const ForwardedChange &forwarded) {
+  return {{setting::kTeam, forwarded.change.team},
+          {setting::kChange, to_json(forwarded.change)},
+          {setting::kNode, forwarded.node},
+          {setting::kStatus, forwarded.status},
+          {setting::kText, forwarded.text}};
 }
 
 std::optional<ForwardedChange> forwarded_from_json(const Json &json) {
-  if (!json.is_object() || !json.contains("change")) return std::nullopt;
-  auto change = read_quota_change(json.value("team", ""), json["change"]);
+  auto change = read_quota_change(read_text_or_empty(member(json, setting::kTeam)), member(json, setting::kChange));
   if (!std::holds_alternative<QuotaChange>(change)) return std::nullopt;
-  return ForwardedChange{std::move(std::get<QuotaChange>(change)), json.value("node", ""), json.value("status", 0),
-                         json.value("text", "")};
+  ForwardedChange forwarded;
+  forwarded.change = std::move(std::get<QuotaChange>(change));
+  forwarded.node = read_text_or_empty(member(json, setting::kNode));
+  if (const Json &status = member(json, setting::kStatus); status.is_number()) forwarded.status = status.get<int>();
+  forwarded.text = read_text_or_empty(member(json, setting::kText));
+  return forwarded;
 }
 
-Json to_json(const AppliedRecord &a) {
-  return {{"revision", a.revision}, {"at", a.wall}};
+Json to_json(const AppliedRecord &applied) {
+  return {{setting::kRevision, applied.revision}, {setting::kAt, applied.wall}};
 }
 
 std::optional<AppliedRecord> applied_from_json(const Json &json) {
-  const auto revision = json.is_object() ? count(json, "revision") : std::nullopt;
-  if (!revision || !json.contains("at") || !json["at"].is_number()) return std::nullopt;
-  return AppliedRecord{*revision, json["at"].get<double>()};
+  const auto revision = read_count(member(json, setting::kRevision));
+  const auto wall = wall_time_from_json(member(json, setting::kAt));
+  if (!revision || !wall) return std::nullopt;
+  return AppliedRecord{*revision, *wall};
 }
 
 } // namespace loftrouter::wire
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -2,7 +2,8 @@
 
 #include <algorithm>
 
-#include "loftrouter/wire/messages.hpp"
+#include "loftrouter/wire/cbor.hpp"
+#include "loftrouter/wire/job.hpp"
 #include "loftrouter/wire/packed.hpp"
 
 namespace loftrouter::wire {
--- a/tests/fingerprint/effects_hash.cpp
+++ b/tests/fingerprint/effects_hash.cpp
@@ -4,8 +4,8 @@
 #include <cstdio>
 #include <utility>
 
+#include "loftrouter/wire/cbor.hpp"
 #include "loftrouter/wire/cell.hpp"
-#include "loftrouter/wire/messages.hpp"
 #include "loftrouter/wire/peer.hpp"
 
 namespace loftrouter::fingerprint {
@@ -57,7 +57,7 @@
   return FieldWriter()
       .text(call.address)
       .text(call.machine)
-      .text(wire::encode_call(call.fencing_token, call.incarnation, call.orders))
+      .text(wire::encode_direct_commands(call.fencing_token, call.incarnation, call.orders))
       .take();
 }
 
@@ -75,7 +75,7 @@
     begin(StateRequest::Commit).text(wire::encode_commit(commit.preconditions, commit.writes));
   }
   void operator()(const core::StoreLeaseGrant &lease) const {
-    begin(StateRequest::LeaseNew).text(wire::encode_ttl(lease.ttl_s));
+    begin(StateRequest::LeaseNew).text(wire::encode_lease_grant(lease.ttl_s));
   }
   void operator()(const core::StoreLeaseRenew &touch) const { begin(StateRequest::LeaseTouch).number(touch.lease); }
   void operator()(const core::StoreLeaseRevoke &drop) const { begin(StateRequest::LeaseDrop).number(drop.lease); }
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -7,8 +7,14 @@
 
 #include "../../bench/load.hpp"
 #include "loftrouter/net/http.hpp"
-#include "loftrouter/wire/admin.hpp"
+#include "loftrouter/wire/admin_request.hpp"
 #include "loftrouter/wire/cell.hpp"
+#include "loftrouter/wire/cloud_api.hpp"
+#include "loftrouter/wire/job.hpp"
+#include "loftrouter/wire/job_records.hpp"
+#include "loftrouter/wire/progress_record.hpp"
+#include "loftrouter/wire/state_service.hpp"
+#include "loftrouter/wire/worker.hpp"
 
 namespace loftrouter::fuzz {
 
@@ -48,8 +54,7 @@
     must(again && encode_heartbeat(*again) == encode_heartbeat(*r), "a report goes there and back");
   }
   if (auto j = decode_job(in); auto *spec = std::get_if<JobSpec>(&j)) {
-    std::string problem;
-    must(job_from_json(to_json(*spec), problem).has_value(), "a job goes into its record and back");
+    must(std::holds_alternative<JobSpec>(job_from_json(to_json(*spec))), "a job goes into its record and back");
   }
   if (auto j = decode(in)) {
     progress_from_json("progress/s0", *j);
@@ -58,11 +63,11 @@
     types_from_json(*j);
   }
   decode_commands(in);
-  decode_store(200, in);
-  for (auto call : {CloudCall::Types, CloudCall::List, CloudCall::Rent, CloudCall::Return})
-    decode_cloud(call, 200, in);
-  read_admin("PUT", "/admin/v1/settings", in);
-  read_admin("GET", std::string("/admin/v1/jobs?") + std::string(in), "");
+  decode_store_reply(200, in);
+  for (auto call : {CloudCall::MachineTypes, CloudCall::ListMachines, CloudCall::ScaleOut, CloudCall::ScaleIn})
+    decode_cloud_reply(call, 200, in);
+  read_admin_request("PUT", "/admin/v1/settings", in);
+  read_admin_request("GET", std::string("/admin/v1/jobs?") + std::string(in), "");
 }
 
 void peer(std::string_view in) {
@@ -149,7 +154,7 @@
       if (orders && orders->fencing_token > 0 && (a >> 3 & 7) > 1) {
         box.answered = now;
         box.report.fencing_token = orders->fencing_token;
-        for (const auto &o : orders->orders) {
+        for (const auto &o : orders->commands) {
           auto mine = std::find_if(box.runs.begin(), box.runs.end(), [&](const Run &r) {
             return r.index == o.index && r.attempt == o.attempt && r.job == o.job;
           });
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -11,7 +11,7 @@
 #include "../bench/scale/stand_in_state.hpp"
 #include "free_port.hpp"
 #include "loftrouter/net/client.hpp"
-#include "loftrouter/wire/messages.hpp"
+#include "loftrouter/wire/cbor.hpp"
 
 using namespace loftrouter;
 using namespace loftrouter::scale;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -2,8 +2,10 @@
 
 #include <random>
 
-#include "loftrouter/wire/messages.hpp"
+#include "loftrouter/wire/job.hpp"
 #include "loftrouter/wire/peer.hpp"
+#include "loftrouter/wire/progress_record.hpp"
+#include "loftrouter/wire/worker.hpp"
 
 using namespace loftrouter;
 using namespace loftrouter::wire;
@@ -30,10 +32,9 @@
   EXPECT_EQ(s.tasks, 16u);
   EXPECT_EQ(s.urgency, Urgency::High);
   EXPECT_FALSE(s.zone);
-  std::string problem;
-  auto again = job_from_json(to_json(s), problem);
-  ASSERT_TRUE(again) << problem;
-  EXPECT_EQ(to_json(*again), to_json(s));
+  auto again = job_from_json(to_json(s));
+  ASSERT_TRUE(std::holds_alternative<JobSpec>(again)) << std::get<FieldError>(again).message;
+  EXPECT_EQ(to_json(std::get<JobSpec>(again)), to_json(s));
 }
 
 TEST(Wire, JobsThatWaitForOthers) {
@@ -64,8 +65,8 @@
       auto j = good_job();
       j[field] = bad;
       auto r = decode_job(encode(j));
-      ASSERT_TRUE(std::holds_alternative<std::string>(r)) << field << " " << bad;
-      EXPECT_NE(std::get<std::string>(r).find(field), std::string::npos);
+      ASSERT_TRUE(std::holds_alternative<FieldError>(r)) << field << " " << bad;
+      EXPECT_NE(std::get<FieldError>(r).message.find(field), std::string::npos);
     }
     auto j = good_job();
     j.erase(field);
--- a/tests/world_users.cpp
+++ b/tests/world_users.cpp
@@ -189,7 +189,7 @@
 std::shared_ptr<World::Answer> World::admin(int node, const std::string &method, const std::string &target,
                                             const std::string &body) {
   auto out = std::make_shared<Answer>();
-  auto read = wire::read_admin(method, target, body);
+  auto read = wire::read_admin_request(method, target, body);
   if (auto *e = std::get_if<wire::AdminError>(&read)) {
     *out = {e->status, e->text};
     return out;
