--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -9,13 +9,13 @@
 #include <spdlog/spdlog.h>
 
 #include "loftrouter/app/latency.hpp"
-#include "loftrouter/cloud/cloud.hpp"
+#include "loftrouter/cloud/cloud_client.hpp"
 #include "loftrouter/core/core.hpp"
 #include "loftrouter/net/loop.hpp"
 #include "loftrouter/net/outbound_request_pool.hpp"
 #include "loftrouter/net/peers.hpp"
 #include "loftrouter/net/server.hpp"
-#include "loftrouter/store/store.hpp"
+#include "loftrouter/store/store_client.hpp"
 
 namespace loftrouter::app {
 
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/cloud/cloud.hpp"
+#include "loftrouter/cloud/cloud_client.hpp"
 
 #include <fmt/format.h>
 
--- a/src/store/store.cpp
+++ b/src/store/store_client.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/store/store.hpp"
+#include "loftrouter/store/store_client.hpp"
 
 #include <fmt/format.h>
 
--- a/src/wire/cell.cpp
+++ b/src/wire/cell.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "loftrouter/wire/cbor.hpp"
-#include "loftrouter/wire/packed.hpp"
+#include "packed.hpp"
 
 namespace loftrouter::wire {
 
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -4,7 +4,7 @@
 
 #include "loftrouter/wire/cbor.hpp"
 #include "loftrouter/wire/job.hpp"
-#include "loftrouter/wire/packed.hpp"
+#include "packed.hpp"
 
 namespace loftrouter::wire {
 
