--- a/bench/scale/links.cpp
+++ b/bench/scale/links.cpp
@@ -24,7 +24,7 @@
     std::string_view rest = buffer_;
     std::uint64_t frames = 0;
     wire::CellMessage message;
-    while (wire::read_cell(rest, message) == wire::PeerRead::Frame)
+    while (wire::read_cell(rest, message) == wire::FrameRead::Frame)
       ++frames;
     buffer_.erase(0, buffer_.size() - rest.size());
     return frames;
--- a/include/loftrouter/core/state/write_transaction.hpp
+++ b/include/loftrouter/core/state/write_transaction.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "loftrouter/core/state/shard_index.hpp"
-#include "loftrouter/wire/messages.hpp"
+#include "loftrouter/wire/state_service.hpp"
 #include "loftrouter/wire/storage_keys.hpp"
 
 namespace loftrouter::core {
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -100,7 +100,7 @@
   bool on_cell(net::LinkId link, int node, std::string_view &rest) {
     wire::CellMessage message;
     const auto got = wire::read_cell(rest, message);
-    if (got != wire::PeerRead::Frame) return got == wire::PeerRead::NeedMore;
+    if (got != wire::FrameRead::Frame) return got == wire::FrameRead::NeedMore;
     const auto ip = peers_.remote_ip(link);
     const bool known = std::any_of(cells_.begin(), cells_.end(), [&](const auto &c) {
       return c.name == message.from && std::any_of(c.nodes.begin(), c.nodes.end(), [ip](const std::string &address) {
@@ -132,12 +132,12 @@
       if (node >= 0 && rest.size() >= 4) return false; // from another cell, and no frame of one
       wire::PeerMessage message;
       const auto got = wire::read_peer(rest, message);
-      if (got == wire::PeerRead::Frame) {
+      if (got == wire::FrameRead::Frame) {
         push(core::CmdPeer{replica, link, std::move(message)});
         continue;
       }
       buffer.erase(0, buffer.size() - rest.size());
-      return got == wire::PeerRead::NeedMore;
+      return got == wire::FrameRead::NeedMore;
     }
   }
 
@@ -171,7 +171,7 @@
         peers_.send_to_replica(p.replica, frame);
       else
         peers_.send_on(p.link, frame);
-      prompt |= p.message.kind != wire::PeerMessage::Kind::Report;
+      prompt |= p.message.kind != wire::PeerMessage::Kind::Heartbeat;
     }
     for (const auto &c : effects.cells) {
       const auto frame = wire::encode_cell(c.message);
--- a/src/core/api/job_api_handler.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -85,10 +85,10 @@
   const double until = asked + (verb == Verb::Look ? kLookWithin : kChangeWithin);
   const int to = helper(tried, waits);
   if (to < 0 || Runtime::is_proxied(req) || passed_.full() || runtime_.now() + kMinForReplica > until ||
-      body.size() + 256 > wire::kPeerMaxRelayed)
+      body.size() + 256 > wire::kPeerMaxForwardedBody)
     return false;
   wire::PeerMessage message;
-  message.kind = wire::PeerMessage::Kind::Ask;
+  message.kind = wire::PeerMessage::Kind::UserRequest;
   message.nonce =
       passed_.add(req, until,
                   {verb, id, body.size() <= kKeptBody ? body : std::string(), asked,
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -277,13 +277,13 @@
   std::size_t room = wire::kPeerMaxBody - 64;
   for (const auto *list : {&first, &rest})
     for (JobIndex job_index : *list) {
-      if (message.news.size() >= wire::kPeerMaxNews || room < 256) break;
-      wire::PeerMessage::JobNews news{jobs_[job_index].spec.id, jobs_[job_index].done, running[job_index.position()],
-                                      foreseen_late(job_index), why(job_index, supply)};
+      if (message.jobs.size() >= wire::kPeerMaxDigestJobs || room < 256) break;
+      wire::PeerMessage::JobDigest news{jobs_[job_index].spec.id, jobs_[job_index].done, running[job_index.position()],
+                                        foreseen_late(job_index), why(job_index, supply)};
       grown(told_, job_index) = {news.done, news.running};
-      room -= std::min(room, wire::peer_news_size(news));
+      room -= std::min(room, wire::job_digest_size(news));
       if (list == &rest) cursor_ = job_index.position() + 1;
-      message.news.push_back(std::move(news));
+      message.jobs.push_back(std::move(news));
     }
   replicas_.tell_all(message);
 }
@@ -295,7 +295,7 @@
     news_order_.clear();
   }
   news_term_ = message.term;
-  for (const auto &n : message.news) {
+  for (const auto &n : message.jobs) {
     if (ended_.find(n.id)) continue;
     if (!news_.insert_or_assign(n.id, News{n.done, n.running, n.late, n.reason, runtime_.now()}).second) continue;
     news_order_.push_back(n.id);
--- a/src/core/connectivity/replicas.cpp
+++ b/src/core/connectivity/replicas.cpp
@@ -69,10 +69,10 @@
   message.sender = self_;
   message.leads = standing.leads;
   message.spreads = standing.spreads;
-  message.passes = standing.passes;
+  message.forwards_heartbeats = standing.passes;
   auto tenths = [](double rate) { return static_cast<std::uint16_t>(std::min(6e4, rate * 10)); };
-  message.reads = tenths(state_limits_.use().reads);
-  message.writes = tenths(state_limits_.use().writes);
+  message.store_reads = tenths(state_limits_.use().reads);
+  message.store_writes = tenths(state_limits_.use().writes);
   message.uptime_ms = static_cast<std::uint32_t>(std::min(4e9, runtime_.up_s() * 1000));
   runtime_.send({-1, cmd.link, std::move(message)});
 }
@@ -87,10 +87,10 @@
   s.connectivity = m.connectivity;
   s.leads = m.leads;
   s.spreads = m.spreads;
-  s.passes = m.passes;
+  s.passes = m.forwards_heartbeats;
   s.term = m.term;
   s.uptime_s = m.uptime_ms / 1000.0;
-  s.use = {m.reads / 10.0, m.writes / 10.0};
+  s.use = {m.store_reads / 10.0, m.store_writes / 10.0};
   cancellations_.confirmed_by_replica(static_cast<std::size_t>(cmd.replica), s.stated_at, s.uptime_s, m.cancelled);
   return true;
 }
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -181,17 +181,17 @@
   switch (m.kind) {
   case Kind::Digest:
     return status_reporter_.take_digest(m);
-  case Kind::Orders:
+  case Kind::Commands:
     return heartbeats_.take_orders(m);
-  case Kind::Report:
+  case Kind::Heartbeat:
     return answer(heartbeats_.take_passed(cmd));
-  case Kind::CellAsk:
+  case Kind::CellRequest:
     return federation_.take_passed(cmd);
-  case Kind::CellTold:
+  case Kind::CellResponse:
     return federation_.take_back(m);
-  case Kind::Ask:
+  case Kind::UserRequest:
     return users_.take_asked(cmd);
-  case Kind::Told:
+  case Kind::UserResponse:
     return users_.take_told(m);
   case Kind::Ping:
     return replicas_.answer_ping(cmd, heartbeats_.standing());
--- a/src/core/federation/cell_federation.cpp
+++ b/src/core/federation/cell_federation.cpp
@@ -65,7 +65,7 @@
 void CellFederation::reply(const Route &to, wire::CellMessage m) {
   if (!to.by_replica) return runtime_.send(CellSend{-1, to.link, std::move(m)});
   wire::PeerMessage message;
-  message.kind = wire::PeerMessage::Kind::CellTold;
+  message.kind = wire::PeerMessage::Kind::CellResponse;
   message.nonce = to.nonce;
   message.term = leadership_.highest_term();
   message.sender = replicas_.self();
@@ -74,7 +74,8 @@
 }
 
 static bool is_answer(Kind k) {
-  return k == Kind::Summaries || k == Kind::Room || k == Kind::Taken || k == Kind::Renewed || k == Kind::Settled;
+  return k == Kind::SummaryReply || k == Kind::CapacityReply || k == Kind::OfferReply || k == Kind::RenewalReply ||
+         k == Kind::ProgressAck;
 }
 
 void CellFederation::take(CmdCell &&cmd) {
@@ -97,7 +98,7 @@
     if (replicas_[i].leads && runtime_.now() - replicas_[i].stated_at < 1.2) to = static_cast<int>(i);
   if (to < 0 || passed_.full()) return; // it asks again, elsewhere
   wire::PeerMessage message;
-  message.kind = wire::PeerMessage::Kind::CellAsk;
+  message.kind = wire::PeerMessage::Kind::CellRequest;
   message.nonce = passed_.add(0, runtime_.now() + 3, cmd.link);
   message.term = leadership_.highest_term();
   message.sender = replicas_.self();
@@ -109,7 +110,7 @@
   if (!on() || !leadership_.leading() || replicas_.by_sender(cmd.message.sender) < 0) return;
   std::string_view rest = cmd.message.body;
   wire::CellMessage message;
-  if (wire::read_cell(rest, message) != wire::PeerRead::Frame || !rest.empty()) return;
+  if (wire::read_cell(rest, message) != wire::FrameRead::Frame || !rest.empty()) return;
   if (by_name(message.from) < 0 || message.to != settings_.cells.name || is_answer(message.kind)) return;
   handle({cmd.link, cmd.message.nonce, true}, -1, std::move(message));
 }
@@ -118,7 +119,7 @@
   const auto item = passed_.complete(p.nonce);
   std::string_view rest = p.body;
   wire::CellMessage message;
-  if (item && wire::read_cell(rest, message) == wire::PeerRead::Frame)
+  if (item && wire::read_cell(rest, message) == wire::FrameRead::Frame)
     runtime_.send(CellSend{-1, item->context, std::move(message)});
 }
 
@@ -127,7 +128,7 @@
   auto &c = cells_[static_cast<std::size_t>(cell)];
   if (node >= 0) {
     int leader = -1;
-    if (m.kind == Kind::Summaries)
+    if (m.kind == Kind::SummaryReply)
       for (std::size_t n = 0; n < node_addresses_.size(); ++n)
         if (node_addresses_[n] == m.address) leader = static_cast<int>(n);
     c.nodes.answered(node, leader, runtime_.now());
@@ -135,7 +136,7 @@
   if (!leadership_.leading()) return;
   switch (m.kind) {
   case Kind::Summary:
-  case Kind::Summaries:
+  case Kind::SummaryReply:
     c.heard_at = runtime_.now();
     c.term = std::max(c.term, m.term);
     c.lease_s = m.lease_s;
@@ -143,43 +144,44 @@
     c.view.wait_s = std::move(m.wait_s);
     if (m.kind == Kind::Summary) {
       c.knows_quotas = m.number & wire::kKnowsQuotas;
-      auto r = message(Kind::Summaries, cell);
+      auto r = message(Kind::SummaryReply, cell);
       r.number = m.number;
       summarize(r);
       reply(from, std::move(r));
     }
     return;
-  case Kind::Want: {
-    cells::Work work{m.need, m.types, m.spot, m.whole, m.tasks};
-    auto r = message(Kind::Room, cell);
+  case Kind::CapacityRequest: {
+    cells::Work work{m.need, m.types, m.spot, m.all_at_once, m.tasks};
+    auto r = message(Kind::CapacityReply, cell);
     r.number = m.number;
     if (leadership_.active() && replicas_.answering() && operators_.cell_rules().accept &&
         inbound_list_.size() < kMaxInboundDelegations)
-      r.tasks = capacity_grants_.promise(m.number, m.need.cpus, m.tasks, m.whole, spare_cpus(work), runtime_.now());
+      r.tasks =
+          capacity_grants_.promise(m.number, m.need.cpus, m.tasks, m.all_at_once, spare_cpus(work), runtime_.now());
     return reply(from, std::move(r));
   }
-  case Kind::Room:
+  case Kind::CapacityReply:
     if (const auto it = wanted_.find(m.number); it != wanted_.end()) {
       const Wanted wanted = it->second;
       wanted_.erase(it);
       delegate(wanted, m.number, m.tasks);
     }
     return;
-  case Kind::Offer:
+  case Kind::DelegationOffer:
     return offered(from, cell, std::move(m));
-  case Kind::Taken: {
+  case Kind::OfferReply: {
     JobIndex job_index;
     OutboundDelegation *l = delegation(m.generation, job_index);
     if (!l || l->cell != cell) return;
-    l->taken |= m.yes;
-    if (m.yes || l->state.confirmed()) return;
+    l->taken |= m.accepted;
+    if (m.accepted || l->state.confirmed()) return;
     runtime_.log(LogLevel::Info, "delegation_refused",
                  {{"job", jobs_[job_index].spec.id}, {"cell", c.name}, {"why", m.body.substr(0, 100)}});
     l->state.close();
     return;
   }
-  case Kind::Renew: {
-    auto r = message(Kind::Renewed, cell);
+  case Kind::Renewal: {
+    auto r = message(Kind::RenewalReply, cell);
     r.number = m.number;
     r.grant_s = grant_s(c.lease_s);
     for (auto g : m.generations) {
@@ -197,7 +199,7 @@
     }
     return reply(from, std::move(r));
   }
-  case Kind::Renewed: {
+  case Kind::RenewalReply: {
     const auto it = c.renewals.find(m.number);
     if (it == c.renewals.end()) return;
     const auto [asked_at, about] = std::move(it->second);
@@ -216,9 +218,9 @@
     }
     return;
   }
-  case Kind::Told:
+  case Kind::Progress:
     return told(from, cell, m);
-  case Kind::Settled: {
+  case Kind::ProgressAck: {
     JobIndex job_index;
     if (InboundDelegation *d = inbound(m.generation, cell, job_index); d && d->ended)
       jobs_.confirm_end_by_origin(job_index);
--- a/src/core/federation/delegations_in.cpp
+++ b/src/core/federation/delegations_in.cpp
@@ -49,10 +49,10 @@
 
 void CellFederation::offered(const Route &from, int cell, wire::CellMessage &&m) {
   auto answer = [this, from, cell, generation = m.generation, number = m.number](bool yes, std::string_view why) {
-    auto r = message(Kind::Taken, cell);
+    auto r = message(Kind::OfferReply, cell);
     r.number = number;
     r.generation = generation;
-    r.yes = yes;
+    r.accepted = yes;
     r.body = why;
     reply(from, std::move(r));
   };
@@ -154,10 +154,10 @@
     const bool news = d.ended || job.done != d.told_done || running != d.told_running || used.held() != d.told_held;
     if (job.ending || now < d.next_told || (!news && now < d.next_told + kToldAtLeast - kToldEvery)) continue;
     if (d.origin < 0) continue;
-    auto m = message(Kind::Told, d.origin);
+    auto m = message(Kind::Progress, d.origin);
     m.generation = d.state.generation();
-    m.other_term = cells_[static_cast<std::size_t>(d.origin)].term;
-    m.yes = d.ended;
+    m.origin_term = cells_[static_cast<std::size_t>(d.origin)].term;
+    m.ended = d.ended;
     m.running = running;
     m.usage = used;
     std::vector<char> done(job.spec.tasks, 0);
@@ -187,7 +187,7 @@
   c.next_renew = runtime_.now() + kMaxGrant * kRenewShare;
   std::erase_if(c.renewals, [this](const auto &r) { return runtime_.now() - r.second.first > kMaxGrant; });
   for (std::size_t i = 0; i < about.size(); i += wire::kCellMaxGenerations) {
-    auto m = message(Kind::Renew, origin);
+    auto m = message(Kind::Renewal, origin);
     m.number = ++c.question;
     m.lease_s = settings_.lease_s;
     m.generations.assign(about.begin() + static_cast<long>(i),
--- a/src/core/federation/delegations_out.cpp
+++ b/src/core/federation/delegations_out.cpp
@@ -137,13 +137,13 @@
 
 void CellFederation::want(JobIndex job_index, int cell, const cells::Work &work, std::uint32_t tasks) {
   const std::uint64_t ticket = ++numbers_;
-  auto m = message(Kind::Want, cell);
+  auto m = message(Kind::CapacityRequest, cell);
   m.number = ticket;
   m.need = work.need;
   m.tasks = tasks;
   m.types = work.types;
   m.spot = work.spot;
-  m.whole = work.whole;
+  m.all_at_once = work.whole;
   not_again_[pair_key(jobs_[job_index].serial, cell)] = runtime_.now() + kNoRoomPause;
   if (send(cell, std::move(m))) wanted_[ticket] = {job_index, cell, jobs_[job_index].serial, tasks, runtime_.now() + 3};
 }
@@ -204,7 +204,7 @@
 
 wire::CellMessage CellFederation::offer(JobIndex job_index, const OutboundDelegation &delegation) const {
   const Job &job = jobs_[job_index];
-  auto m = message(Kind::Offer, delegation.cell);
+  auto m = message(Kind::DelegationOffer, delegation.cell);
   m.number = delegation.ticket;
   m.generation = delegation.state.generation();
   JobSpec spec = job.spec;
@@ -288,8 +288,8 @@
   JobIndex job_index;
   OutboundDelegation *l = delegation(m.generation, job_index);
   if (!l || l->cell != cell) {
-    if (!m.yes || !leadership_.active()) return;
-    auto r = message(Kind::Settled, cell); // its end is recorded, or was never known
+    if (!m.ended || !leadership_.active()) return;
+    auto r = message(Kind::ProgressAck, cell); // its end is recorded, or was never known
     r.generation = m.generation;
     return reply(from, std::move(r));
   }
@@ -318,14 +318,14 @@
         jobs_.finish(job_index, i);
       }
     }
-  l->running = lapsed || m.yes ? 0 : m.running;
+  l->running = lapsed || m.ended ? 0 : m.running;
   l->progressed |= m.running > 0;
   std::uint32_t running = 0;
   for (const auto &x : outbound_[job_index.position()])
     running += x.running;
   jobs_.set_delegated_running(job_index, running);
-  if (!m.yes) return;
-  if (!lapsed && !l->state.ended(m.term, m.other_term)) return;
+  if (!m.ended) return;
+  if (!lapsed && !l->state.ended(m.term, m.origin_term)) return;
   runtime_.log(LogLevel::Info, "delegation_ended",
                {{"job", job.spec.id}, {"cell", cells_[static_cast<std::size_t>(cell)].name}, {"late", lapsed}});
   drop(job_index, *l);
--- a/src/core/federation/quota_exchange.cpp
+++ b/src/core/federation/quota_exchange.cpp
@@ -101,7 +101,7 @@
   if (last.version == record.version && runtime_.now() < last.next) return false;
   last = {record.version, runtime_.now() + kSendAgain};
   auto m = federation_.message(Kind::Quota, cell);
-  m.generation = record.version;
+  m.version = record.version;
   m.body = wire::encode({{"team", team}, {"record", wire::to_json(record)}});
   return federation_.tell_quota(cell, std::move(m));
 }
@@ -109,9 +109,9 @@
 void QuotaExchange::take_acknowledgement(int cell, const wire::CellMessage &message) {
   if (!changes_.owns(message.body)) return;
   auto &said = acknowledged_[message.body][federation_.name(cell)];
-  if (message.generation < said.version) return;
-  if (message.generation > said.version) said = {message.generation, runtime_.wall(), false};
-  said.within |= message.yes;
+  if (message.version < said.version) return;
+  if (message.version > said.version) said = {message.version, runtime_.wall(), false};
+  said.within |= message.within_cap;
   next_tick_ = 0;
 }
 
@@ -123,7 +123,7 @@
                      [this, cell, number = message.number](const QuotaChanges::Outcome &o) {
                        auto answer = federation_.message(Kind::QuotaOutcome, cell);
                        answer.number = number;
-                       answer.running = static_cast<std::uint32_t>(o.status);
+                       answer.status = static_cast<std::uint32_t>(o.status);
                        answer.body = o.text;
                        federation_.tell_quota(cell, std::move(answer));
                      });
@@ -151,8 +151,8 @@
   if (own && own->version == record->version) {
     used_ = quotas_.used();
     auto answer = federation_.message(Kind::QuotaApplied, cell);
-    answer.generation = record->version;
-    answer.yes = within_cap(team, *own);
+    answer.version = record->version;
+    answer.within_cap = within_cap(team, *own);
     answer.body = team;
     federation_.tell_quota(cell, std::move(answer));
     return;
@@ -196,9 +196,9 @@
   const auto *found = configuration_.find(key);
   auto forwarded = found ? wire::forwarded_from_json(found->value) : std::nullopt;
   // "Cannot tell now" is asked again while its node waits.
-  if (!forwarded || forwarded->status != 0 || message.running == 503 || message.running == 0 || !leadership_.active())
+  if (!forwarded || forwarded->status != 0 || message.status == 503 || message.status == 0 || !leadership_.active())
     return;
-  forwarded->status = static_cast<int>(message.running);
+  forwarded->status = static_cast<int>(message.status);
   forwarded->text = message.body.substr(0, 300);
   if (committing_.insert(key).second) write_change(key, wire::to_json(*forwarded), found->revision);
 }
--- a/src/core/heartbeats/heartbeat_handler.cpp
+++ b/src/core/heartbeats/heartbeat_handler.cpp
@@ -100,7 +100,7 @@
   const int replica = replicas_.by_sender(cmd.message.sender);
   if (replica < 0) return std::nullopt; // not from a node of these settings
   connectivity_.forwarded_heartbeat_received();
-  return hear({.link = cmd.link, .nonce = cmd.message.nonce, .replica = replica}, cmd.message.report);
+  return hear({.link = cmd.link, .nonce = cmd.message.nonce, .replica = replica}, cmd.message.heartbeat);
 }
 
 std::optional<HeartbeatHandler::Pending> HeartbeatHandler::hear(const Asker &from, const Heartbeat &heartbeat) {
@@ -148,11 +148,11 @@
   const auto nonce = to >= 0 ? relay_.take(cmd.req, cmd.report.machine, runtime_.now()) : std::nullopt;
   if (!nonce) return send_elsewhere(cmd.req);
   wire::PeerMessage message;
-  message.kind = wire::PeerMessage::Kind::Report;
+  message.kind = wire::PeerMessage::Kind::Heartbeat;
   message.nonce = *nonce;
   message.term = leadership_.highest_term();
   message.sender = replicas_.self();
-  message.report = std::move(cmd.report);
+  message.heartbeat = std::move(cmd.report);
   spread_.heard(true);
   runtime_.send({to, 0, std::move(message)});
 }
@@ -166,7 +166,7 @@
   const auto req = relay_.answered(message.nonce, message.status != 421);
   if (!req) return; // given up
   if (message.status == 200 && message.term >= leadership_.highest_term())
-    return runtime_.reply(*req, 200, wire::encode_commands(message.term, message.orders));
+    return runtime_.reply(*req, 200, wire::encode_commands(message.term, message.commands));
   if (message.status == 503) return runtime_.refuse(*req, "the leader has refused this report");
   send_elsewhere(*req);
 }
@@ -180,12 +180,12 @@
                             std::string_view why) {
   if (!from.direct()) {
     wire::PeerMessage message;
-    message.kind = wire::PeerMessage::Kind::Orders;
+    message.kind = wire::PeerMessage::Kind::Commands;
     message.nonce = from.nonce;
     message.term = status == 200 ? leadership_.term() : leadership_.highest_term();
     message.sender = replicas_.self();
     message.status = static_cast<std::uint16_t>(status);
-    message.orders = orders;
+    message.commands = orders;
     return runtime_.send({-1, from.link, std::move(message)});
   }
   if (status == 200) return runtime_.reply(from.req, 200, wire::encode_commands(leadership_.term(), orders));
--- a/src/core/runtime/runtime.cpp
+++ b/src/core/runtime/runtime.cpp
@@ -95,7 +95,7 @@
   const auto it = proxied_requests_.find(r.req);
   if (it == proxied_requests_.end()) return;
   wire::PeerMessage message;
-  message.kind = wire::PeerMessage::Kind::Told;
+  message.kind = wire::PeerMessage::Kind::UserResponse;
   message.nonce = it->second.second;
   message.status = static_cast<std::uint16_t>(r.status);
   message.retry_s = static_cast<std::uint16_t>(std::max(0, r.retry_after.value_or(0)));
--- a/src/wire/cell.cpp
+++ b/src/wire/cell.cpp
@@ -1,300 +1,367 @@
 #include "loftrouter/wire/cell.hpp"
 
 #include <algorithm>
+#include <cmath>
 
+#include "frame.hpp"
 #include "loftrouter/wire/cbor.hpp"
 #include "packed.hpp"
 
 namespace loftrouter::wire {
 
-using namespace packed;
-
 namespace {
 
-constexpr std::uint32_t kMagic = 0x4c434c4c; // "LLCL"
-constexpr std::uint16_t kVersion = 1;
-constexpr std::size_t kHeader = 12;
 using Kind = CellMessage::Kind;
 
-// Amounts, in thousandths.
-void put_amount(std::string &out, double v) {
-  put(out, static_cast<std::uint64_t>(std::clamp(v, 0.0, 1e12) * 1000 + 0.5));
+constexpr FrameFormat kFormat{0x4c434c4c, 1, static_cast<std::uint16_t>(Kind::QuotaOutcome), // "LLCL"
+                              [](std::uint16_t) { return kCellMaxBody; }};
+
+constexpr std::size_t kPriorities = 4;
+constexpr std::size_t kMaxTypes = 100;
+constexpr std::uint32_t kMaxTasks = 100'000;
+constexpr std::uint32_t kMaxIndex = 1'000'000;
+constexpr double kMaxAmount = 1e12;
+constexpr std::uint64_t kMaxThousandths = 1'000'000'000'000'000;
+constexpr std::uint64_t kUsageLimit = 1ULL << 53; // whole numbers below are held exactly by a double
+
+// ---- values ----
+
+// Amounts are sent in thousandths.
+void write_amount(PackedWriter &writer, double amount) {
+  const double thousandths = std::clamp(amount, 0.0, kMaxAmount) * 1000;
+  writer.u64(static_cast<std::uint64_t>(std::floor(thousandths + 0.5)));
 }
-double get_amount(Reader &reader) {
-  const auto v = reader.get<std::uint64_t>();
-  if (v > static_cast<std::uint64_t>(1e15)) reader.ok = false;
-  return static_cast<double>(v) / 1000;
+
+double read_amount(PackedReader &reader) {
+  const auto thousandths = reader.u64();
+  if (thousandths > kMaxThousandths) reader.fail();
+  return static_cast<double>(thousandths) / 1000;
 }
-void put_resources(std::string &out, const Resources &resources) {
-  for (double v : {resources.cpus, resources.gpus, resources.memory})
-    put_amount(out, v);
+
+void write_resources(PackedWriter &writer, const Resources &resources) {
+  write_amount(writer, resources.cpus);
+  write_amount(writer, resources.gpus);
+  write_amount(writer, resources.memory);
 }
-Resources get_resources(Reader &reader) {
+
+Resources read_resources(PackedReader &reader) {
   Resources resources;
-  for (double *v : {&resources.cpus, &resources.gpus, &resources.memory})
-    *v = get_amount(reader);
+  resources.cpus = read_amount(reader);
+  resources.gpus = read_amount(reader);
+  resources.memory = read_amount(reader);
   return resources;
 }
-bool get_name(Reader &reader, std::string &to) {
-  return reader.text(to) && valid_utf8(to);
+
+bool read_name(PackedReader &reader, std::string &name) {
+  if (!reader.text(name)) return false;
+  return valid_utf8(name) || reader.fail();
 }
 
-void put_ranges(std::string &out, const Ranges &ranges) {
-  put(out, static_cast<std::uint16_t>(std::min(ranges.size(), kCellMaxRanges)));
-  for (std::size_t i = 0; i < ranges.size() && i < kCellMaxRanges; ++i) {
-    put(out, ranges[i].first);
-    put(out, ranges[i].second);
+void write_ranges(PackedWriter &writer, const Ranges &ranges) {
+  const auto count = std::min(ranges.size(), kCellMaxRanges);
+  writer.u16(static_cast<std::uint16_t>(count));
+  for (std::size_t i = 0; i < count; ++i) {
+    writer.u32(ranges[i].first);
+    writer.u32(ranges[i].second);
   }
 }
-bool get_ranges(Reader &reader, Ranges &ranges) {
-  const auto n = reader.get<std::uint16_t>();
-  if (n > kCellMaxRanges) return reader.ok = false;
-  std::uint32_t last = 0;
-  for (unsigned i = 0; reader.ok && i < n; ++i) {
-    const auto a = reader.get<std::uint32_t>(), b = reader.get<std::uint32_t>();
-    if (a >= b || b > 1'000'000 || (i && a < last)) return reader.ok = false;
-    ranges.emplace_back(a, b);
-    last = b;
-  }
-  return reader.ok;
-}
-
-void put_kinds(std::string &out, const std::vector<CellKind> &kinds) {
-  put(out, static_cast<std::uint8_t>(std::min(kinds.size(), kCellMaxKinds)));
-  for (std::size_t i = 0; i < kinds.size() && i < kCellMaxKinds; ++i) {
-    const auto &k = kinds[i];
-    put_text(out, k.type);
-    put_text(out, k.zone);
-    put(out, static_cast<std::uint8_t>(k.spot | k.refused << 1));
-    put(out, k.machines);
-    put(out, k.idle);
-    put_resources(out, k.size);
-    put_resources(out, k.free);
-    put_amount(out, k.boot_s);
-    put_amount(out, k.fetch_gb_per_s);
+
+// Ranges have to be sorted and apart, as the delegation's tasks are counted by them.
+bool read_ranges(PackedReader &reader, Ranges &ranges) {
+  const auto count = reader.u16();
+  if (count > kCellMaxRanges) return reader.fail();
+  std::uint32_t previous_end = 0;
+  for (unsigned i = 0; reader.ok() && i < count; ++i) {
+    const auto begin = reader.u32();
+    const auto end = reader.u32();
+    if (begin >= end || end > kMaxIndex || begin < previous_end) return reader.fail();
+    ranges.emplace_back(begin, end);
+    previous_end = end;
   }
+  return reader.ok();
 }
-bool get_kinds(Reader &reader, std::vector<CellKind> &to) {
-  const auto n = reader.get<std::uint8_t>();
-  if (n > kCellMaxKinds) return reader.ok = false;
-  for (unsigned i = 0; reader.ok && i < n; ++i) {
-    CellKind k;
-    if (!get_name(reader, k.type) || !get_name(reader, k.zone)) return reader.ok = false;
-    const auto flags = reader.get<std::uint8_t>();
-    if (flags > 3) return reader.ok = false;
-    k.spot = flags & 1;
-    k.refused = flags & 2;
-    k.machines = reader.get<std::uint32_t>();
-    k.idle = reader.get<std::uint32_t>();
-    k.size = get_resources(reader);
-    k.free = get_resources(reader);
-    k.boot_s = get_amount(reader);
-    k.fetch_gb_per_s = get_amount(reader);
-    to.push_back(std::move(k));
-  }
-  return reader.ok;
-}
-
-void put_want(std::string &out, const CellMessage &message) {
-  put_resources(out, message.need);
-  put(out, message.tasks);
-  put(out, static_cast<std::uint8_t>(message.spot | message.whole << 1));
-  put(out, static_cast<std::uint8_t>(std::min<std::size_t>(message.types.size(), 100)));
-  for (std::size_t i = 0; i < message.types.size() && i < 100; ++i)
-    put_text(out, message.types[i]);
-}
-bool get_want(Reader &reader, CellMessage &message) {
-  message.need = get_resources(reader);
-  message.tasks = reader.get<std::uint32_t>();
-  const auto flags = reader.get<std::uint8_t>();
-  message.spot = flags & 1;
-  message.whole = flags & 2;
-  const auto n = reader.get<std::uint8_t>();
-  if (flags > 3 || n > 100 || message.tasks > 100'000) return reader.ok = false;
-  for (unsigned i = 0; reader.ok && i < n; ++i)
-    if (!get_name(reader, message.types.emplace_back())) return reader.ok = false;
-  return reader.ok;
-}
-
-void put_generations(std::string &out, const std::vector<std::uint64_t> &all) {
-  put(out, static_cast<std::uint16_t>(std::min(all.size(), kCellMaxGenerations)));
-  for (std::size_t i = 0; i < all.size() && i < kCellMaxGenerations; ++i)
-    put(out, all[i]);
-}
-bool get_generations(Reader &reader, std::vector<std::uint64_t> &to) {
-  const auto n = reader.get<std::uint16_t>();
-  if (n > kCellMaxGenerations) return reader.ok = false;
-  for (unsigned i = 0; reader.ok && i < n; ++i)
-    to.push_back(reader.get<std::uint64_t>());
-  return reader.ok;
-}
-
-void put_told(std::string &out, const CellMessage &message) {
-  put(out, message.other_term);
-  put(out, static_cast<std::uint8_t>(message.yes));
-  put(out, message.running);
-  for (auto v : message.usage.values)
-    put(out, static_cast<std::uint64_t>(std::max<std::int64_t>(0, v)));
-  put_ranges(out, message.ranges);
-}
-bool get_told(Reader &reader, CellMessage &message) {
-  message.other_term = reader.get<std::uint64_t>();
-  const auto yes = reader.get<std::uint8_t>();
-  message.yes = yes == 1;
-  message.running = reader.get<std::uint32_t>();
-  for (auto &v : message.usage.values) {
-    const auto n = reader.get<std::uint64_t>();
-    if (n >= 1ULL << 53) return reader.ok = false;
-    v = static_cast<std::int64_t>(n);
+
+void write_generations(PackedWriter &writer, const std::vector<std::uint64_t> &generations) {
+  const auto count = std::min(generations.size(), kCellMaxGenerations);
+  writer.u16(static_cast<std::uint16_t>(count));
+  for (std::size_t i = 0; i < count; ++i)
+    writer.u64(generations[i]);
+}
+
+bool read_generations(PackedReader &reader, std::vector<std::uint64_t> &generations) {
+  const auto count = reader.u16();
+  if (count > kCellMaxGenerations) return reader.fail();
+  for (unsigned i = 0; reader.ok() && i < count; ++i)
+    generations.push_back(reader.u64());
+  return reader.ok();
+}
+
+// ---- Summary, SummaryReply ----
+
+constexpr unsigned kSpotFlag = 1;
+constexpr unsigned kRefusedFlag = 2;
+constexpr unsigned kAllAtOnceFlag = 2; // of a CapacityRequest
+constexpr unsigned kMaxFlags = 3;
+
+void write_kind(PackedWriter &writer, const CellKind &kind) {
+  writer.text(kind.type);
+  writer.text(kind.zone);
+  writer.u8(static_cast<std::uint8_t>((kind.spot ? kSpotFlag : 0) | (kind.refused ? kRefusedFlag : 0)));
+  writer.u32(kind.machines);
+  writer.u32(kind.idle);
+  write_resources(writer, kind.size);
+  write_resources(writer, kind.free);
+  write_amount(writer, kind.boot_s);
+  write_amount(writer, kind.fetch_gb_per_s);
+}
+
+bool read_kind(PackedReader &reader, CellKind &kind) {
+  if (!read_name(reader, kind.type) || !read_name(reader, kind.zone)) return false;
+  const auto flags = reader.u8();
+  if (flags > kMaxFlags) return reader.fail();
+  kind.spot = flags & kSpotFlag;
+  kind.refused = flags & kRefusedFlag;
+  kind.machines = reader.u32();
+  kind.idle = reader.u32();
+  kind.size = read_resources(reader);
+  kind.free = read_resources(reader);
+  kind.boot_s = read_amount(reader);
+  kind.fetch_gb_per_s = read_amount(reader);
+  return reader.ok();
+}
+
+void write_summary(PackedWriter &writer, const CellMessage &message) {
+  writer.text(message.address);
+  write_amount(writer, message.lease_s);
+  for (std::size_t i = 0; i < kPriorities; ++i)
+    write_amount(writer, i < message.wait_s.size() ? message.wait_s[i] : 0);
+  const auto count = std::min(message.kinds.size(), kCellMaxKinds);
+  writer.u8(static_cast<std::uint8_t>(count));
+  for (std::size_t i = 0; i < count; ++i)
+    write_kind(writer, message.kinds[i]);
+}
+
+bool read_summary(PackedReader &reader, CellMessage &message) {
+  if (!read_name(reader, message.address)) return false;
+  message.lease_s = read_amount(reader);
+  for (std::size_t i = 0; i < kPriorities; ++i)
+    message.wait_s.push_back(read_amount(reader));
+  const auto count = reader.u8();
+  if (count > kCellMaxKinds) return reader.fail();
+  for (unsigned i = 0; reader.ok() && i < count; ++i)
+    if (!read_kind(reader, message.kinds.emplace_back())) return false;
+  return reader.ok();
+}
+
+// ---- CapacityRequest ----
+
+void write_capacity_request(PackedWriter &writer, const CellMessage &message) {
+  write_resources(writer, message.need);
+  writer.u32(message.tasks);
+  writer.u8(static_cast<std::uint8_t>((message.spot ? kSpotFlag : 0) | (message.all_at_once ? kAllAtOnceFlag : 0)));
+  const auto count = std::min(message.types.size(), kMaxTypes);
+  writer.u8(static_cast<std::uint8_t>(count));
+  for (std::size_t i = 0; i < count; ++i)
+    writer.text(message.types[i]);
+}
+
+bool read_capacity_request(PackedReader &reader, CellMessage &message) {
+  message.need = read_resources(reader);
+  message.tasks = reader.u32();
+  const auto flags = reader.u8();
+  const auto count = reader.u8();
+  if (flags > kMaxFlags || count > kMaxTypes || message.tasks > kMaxTasks) return reader.fail();
+  message.spot = flags & kSpotFlag;
+  message.all_at_once = flags & kAllAtOnceFlag;
+  for (unsigned i = 0; reader.ok() && i < count; ++i)
+    if (!read_name(reader, message.types.emplace_back())) return false;
+  return reader.ok();
+}
+
+// ---- DelegationOffer, OfferReply, Progress ----
+
+void write_offer(PackedWriter &writer, const CellMessage &message) {
+  writer.u64(message.generation);
+  write_ranges(writer, message.ranges);
+  writer.body(message.body);
+}
+
+bool read_offer(PackedReader &reader, CellMessage &message) {
+  message.generation = reader.u64();
+  if (!read_ranges(reader, message.ranges) || message.ranges.empty()) return false;
+  return reader.body(message.body);
+}
+
+void write_offer_reply(PackedWriter &writer, const CellMessage &message) {
+  writer.u64(message.generation);
+  writer.flag(message.accepted);
+  writer.body(message.body);
+}
+
+bool read_offer_reply(PackedReader &reader, CellMessage &message) {
+  message.generation = reader.u64();
+  message.accepted = reader.flag();
+  return reader.body(message.body) && valid_utf8(message.body);
+}
+
+void write_progress(PackedWriter &writer, const CellMessage &message) {
+  writer.u64(message.generation);
+  writer.u64(message.origin_term);
+  writer.flag(message.ended);
+  writer.u32(message.running);
+  for (std::int64_t column : message.usage.values)
+    writer.u64(static_cast<std::uint64_t>(std::max<std::int64_t>(0, column)));
+  write_ranges(writer, message.ranges);
+}
+
+bool read_progress(PackedReader &reader, CellMessage &message) {
+  message.generation = reader.u64();
+  message.origin_term = reader.u64();
+  message.ended = reader.flag();
+  message.running = reader.u32();
+  for (std::int64_t &column : message.usage.values) {
+    const auto value = reader.u64();
+    if (value >= kUsageLimit) return reader.fail();
+    column = static_cast<std::int64_t>(value);
   }
-  return yes < 2 && get_ranges(reader, message.ranges);
+  return read_ranges(reader, message.ranges);
 }
 
-} // namespace
+// ---- Renewal, RenewalReply ----
 
-std::string encode_cell(const CellMessage &message) {
-  std::string body;
-  put_text(body, message.from);
-  put_text(body, message.to);
-  put(body, message.term);
-  put(body, message.number);
+void write_renewal(PackedWriter &writer, const CellMessage &message) {
+  write_amount(writer, message.lease_s);
+  write_generations(writer, message.generations);
+}
+
+bool read_renewal(PackedReader &reader, CellMessage &message) {
+  message.lease_s = read_amount(reader);
+  return read_generations(reader, message.generations);
+}
+
+void write_renewal_reply(PackedWriter &writer, const CellMessage &message) {
+  write_amount(writer, message.grant_s);
+  write_generations(writer, message.generations);
+}
+
+bool read_renewal_reply(PackedReader &reader, CellMessage &message) {
+  message.grant_s = read_amount(reader);
+  return read_generations(reader, message.generations);
+}
+
+// ---- Quota, QuotaApplied, QuotaChange, QuotaOutcome ----
+
+void write_quota(PackedWriter &writer, const CellMessage &message) {
+  writer.u64(message.version);
+  writer.u32(message.status);
+  writer.flag(message.within_cap);
+  writer.body(message.body);
+}
+
+bool read_quota(PackedReader &reader, CellMessage &message) {
+  message.version = reader.u64();
+  message.status = reader.u32();
+  message.within_cap = reader.flag();
+  return reader.body(message.body);
+}
+
+// ---- by kind ----
+
+void write_fields(PackedWriter &writer, const CellMessage &message) {
   switch (message.kind) {
   case Kind::Summary:
-  case Kind::Summaries:
-    put_text(body, message.address);
-    put_amount(body, message.lease_s);
-    for (std::size_t u = 0; u < 4; ++u)
-      put_amount(body, u < message.wait_s.size() ? message.wait_s[u] : 0);
-    put_kinds(body, message.kinds);
-    break;
-  case Kind::Want:
-    put_want(body, message);
-    break;
-  case Kind::Room:
-    put(body, message.tasks);
-    break;
-  case Kind::Offer:
-    put(body, message.generation);
-    put_ranges(body, message.ranges);
-    put_body(body, message.body);
-    break;
-  case Kind::Taken:
-    put(body, message.generation);
-    put(body, static_cast<std::uint8_t>(message.yes));
-    put_body(body, message.body);
-    break;
-  case Kind::Renew:
-    put_amount(body, message.lease_s);
-    put_generations(body, message.generations);
-    break;
-  case Kind::Renewed:
-    put_amount(body, message.grant_s);
-    put_generations(body, message.generations);
-    break;
-  case Kind::Told:
-    put(body, message.generation);
-    put_told(body, message);
-    break;
-  case Kind::Settled:
+  case Kind::SummaryReply:
+    return write_summary(writer, message);
+  case Kind::CapacityRequest:
+    return write_capacity_request(writer, message);
+  case Kind::CapacityReply:
+    return writer.u32(message.tasks);
+  case Kind::DelegationOffer:
+    return write_offer(writer, message);
+  case Kind::OfferReply:
+    return write_offer_reply(writer, message);
+  case Kind::Renewal:
+    return write_renewal(writer, message);
+  case Kind::RenewalReply:
+    return write_renewal_reply(writer, message);
+  case Kind::Progress:
+    return write_progress(writer, message);
+  case Kind::ProgressAck:
   case Kind::Recall:
-    put(body, message.generation);
-    break;
+    return writer.u64(message.generation);
   case Kind::Quota:
   case Kind::QuotaApplied:
   case Kind::QuotaChange:
   case Kind::QuotaOutcome:
-    put(body, message.generation);
-    put(body, message.running);
-    put(body, static_cast<std::uint8_t>(message.yes));
-    put_body(body, message.body);
-    break;
+    return write_quota(writer, message);
   }
-  std::string out;
-  put(out, kMagic);
-  put(out, kVersion);
-  put(out, static_cast<std::uint16_t>(message.kind));
-  put(out, static_cast<std::uint32_t>(body.size()));
-  return out += body;
 }
 
-bool looks_like_cell(std::string_view buffer) {
-  Reader reader{buffer};
-  return reader.get<std::uint32_t>() == kMagic && reader.ok;
-}
-
-PeerRead read_cell(std::string_view &buffer, CellMessage &out) {
-  Reader head{buffer};
-  const auto magic = head.get<std::uint32_t>();
-  const auto version = head.get<std::uint16_t>(), kind = head.get<std::uint16_t>();
-  const auto length = head.get<std::uint32_t>();
-  if (!head.ok) return PeerRead::NeedMore;
-  if (magic != kMagic || version != kVersion || kind < 1 || kind > static_cast<unsigned>(Kind::QuotaOutcome) ||
-      length > kCellMaxBody)
-    return PeerRead::Garbage;
-  if (buffer.size() < kHeader + length) return PeerRead::NeedMore;
-  Reader reader{buffer.substr(kHeader, length)};
-  out = {};
-  out.kind = static_cast<Kind>(kind);
-  bool good = get_name(reader, out.from) && get_name(reader, out.to) && !out.from.empty() && !out.to.empty();
-  out.term = reader.get<std::uint64_t>();
-  out.number = reader.get<std::uint64_t>();
-  switch (good ? out.kind : Kind::Recall) {
+bool read_fields(PackedReader &reader, CellMessage &message) {
+  switch (message.kind) {
   case Kind::Summary:
-  case Kind::Summaries:
-    good &= get_name(reader, out.address);
-    out.lease_s = get_amount(reader);
-    for (int u = 0; u < 4; ++u)
-      out.wait_s.push_back(get_amount(reader));
-    good &= get_kinds(reader, out.kinds);
-    break;
-  case Kind::Want:
-    good &= get_want(reader, out);
-    break;
-  case Kind::Room:
-    out.tasks = reader.get<std::uint32_t>();
-    break;
-  case Kind::Offer:
-    out.generation = reader.get<std::uint64_t>();
-    good &= get_ranges(reader, out.ranges) && !out.ranges.empty() && get_body(reader, out.body);
-    break;
-  case Kind::Taken: {
-    out.generation = reader.get<std::uint64_t>();
-    const auto yes = reader.get<std::uint8_t>();
-    out.yes = yes == 1;
-    good &= yes < 2 && get_body(reader, out.body) && valid_utf8(out.body);
-    break;
-  }
-  case Kind::Renew:
-    out.lease_s = get_amount(reader);
-    good &= get_generations(reader, out.generations);
-    break;
-  case Kind::Renewed:
-    out.grant_s = get_amount(reader);
-    good &= get_generations(reader, out.generations);
-    break;
-  case Kind::Told:
-    out.generation = reader.get<std::uint64_t>();
-    good &= get_told(reader, out);
-    break;
-  case Kind::Settled:
+  case Kind::SummaryReply:
+    return read_summary(reader, message);
+  case Kind::CapacityRequest:
+    return read_capacity_request(reader, message);
+  case Kind::CapacityReply:
+    message.tasks = reader.u32();
+    return reader.ok();
+  case Kind::DelegationOffer:
+    return read_offer(reader, message);
+  case Kind::OfferReply:
+    return read_offer_reply(reader, message);
+  case Kind::Renewal:
+    return read_renewal(reader, message);
+  case Kind::RenewalReply:
+    return read_renewal_reply(reader, message);
+  case Kind::Progress:
+    return read_progress(reader, message);
+  case Kind::ProgressAck:
   case Kind::Recall:
-    out.generation = reader.get<std::uint64_t>();
-    break;
+    message.generation = reader.u64();
+    return reader.ok();
   case Kind::Quota:
   case Kind::QuotaApplied:
   case Kind::QuotaChange:
-  case Kind::QuotaOutcome: {
-    out.generation = reader.get<std::uint64_t>();
-    out.running = reader.get<std::uint32_t>();
-    const auto yes = reader.get<std::uint8_t>();
-    out.yes = yes == 1;
-    good &= yes < 2 && get_body(reader, out.body);
-    break;
-  }
+  case Kind::QuotaOutcome:
+    return read_quota(reader, message);
   }
-  if (!good || !reader.ok || !reader.in.empty()) return PeerRead::Garbage;
-  buffer.remove_prefix(kHeader + length);
-  return PeerRead::Frame;
+  return reader.fail();
+}
+
+} // namespace
+
+std::string encode_cell(const CellMessage &message) {
+  PackedWriter writer;
+  writer.text(message.from);
+  writer.text(message.to);
+  writer.u64(message.term);
+  writer.u64(message.number);
+  write_fields(writer, message);
+  return encode_frame(kFormat, static_cast<std::uint16_t>(message.kind), std::move(writer).take());
+}
+
+bool looks_like_cell(std::string_view buffer) {
+  PackedReader reader(buffer);
+  const auto magic = reader.u32();
+  return reader.ok() && magic == kFormat.magic;
+}
+
+FrameRead read_cell(std::string_view &buffer, CellMessage &out) {
+  FrameView frame;
+  const auto found = find_frame(kFormat, buffer, frame);
+  if (found != FrameRead::Frame) return found;
+  out = {};
+  out.kind = static_cast<Kind>(frame.kind);
+  PackedReader reader(frame.body);
+  if (!read_name(reader, out.from) || !read_name(reader, out.to)) return FrameRead::Garbage;
+  if (out.from.empty() || out.to.empty()) return FrameRead::Garbage;
+  out.term = reader.u64();
+  out.number = reader.u64();
+  if (!read_fields(reader, out) || !reader.complete()) return FrameRead::Garbage;
+  buffer.remove_prefix(frame.size);
+  return FrameRead::Frame;
 }
 
 } // namespace loftrouter::wire
--- a/src/wire/configuration.cpp
+++ b/src/wire/configuration.cpp
@@ -97,7 +97,7 @@
   for (const auto &element : list) {
     auto change = change_from_json(element);
     if (!change) return std::nullopt;
-    history.push_back(std::move(*change));
+    history.push_back(*change);
   }
   return history;
 }
--- a/src/wire/packed.hpp
+++ b/src/wire/packed.hpp
@@ -1,60 +1,110 @@
-// What frames between controllers are packed with: little-endian numbers, short text, bytes. Reading checks every
-// length; what does not decode leaves `ok` false.
+// Reading and writing of the bodies of frames: little-endian numbers, short text, and bytes.
+//
+// Every length is checked against what is left. After the first value that can't be read, `ok` stays false and the
+// values that follow mean nothing; a caller may check once at the end, but must not loop on a count before.
 #pragma once
 
 #include <cstddef>
 #include <cstdint>
+#include <limits>
 #include <string>
 #include <string_view>
 
-namespace loftrouter::wire::packed {
+namespace loftrouter::wire {
 
-template <class T> inline void put(std::string &out, T v) {
-  for (std::size_t i = 0; i < sizeof v; ++i)
-    out.push_back(static_cast<char>(v >> (8 * i)));
-}
+class PackedWriter {
+public:
+  void reserve(std::size_t bytes) { out_.reserve(bytes); }
 
-struct Reader {
-  std::string_view in;
-  bool ok = true;
-  template <class T> T get() {
-    T v = 0;
-    if (in.size() < sizeof v) {
-      ok = false;
+  void u8(std::uint8_t value) { number(value); }
+  void u16(std::uint16_t value) { number(value); }
+  void u32(std::uint32_t value) { number(value); }
+  void u64(std::uint64_t value) { number(value); }
+  void flag(bool value) { u8(value ? 1 : 0); }
+
+  // Short text: its length in one byte, then its bytes. What is longer is cut.
+  void text(std::string_view text) {
+    text = text.substr(0, std::numeric_limits<std::uint8_t>::max());
+    u8(static_cast<std::uint8_t>(text.size()));
+    out_ += text;
+  }
+
+  // Bytes as they are, the last of their frame: their length in four bytes, then they.
+  void body(std::string_view bytes) {
+    u32(static_cast<std::uint32_t>(bytes.size()));
+    out_ += bytes;
+  }
+
+  [[nodiscard]] std::string take() && { return std::move(out_); }
+
+private:
+  template <class Number> void number(Number value) {
+    for (std::size_t i = 0; i < sizeof value; ++i)
+      out_.push_back(static_cast<char>(value >> (8 * i)));
+  }
+
+  std::string out_;
+};
+
+class PackedReader {
+public:
+  explicit PackedReader(std::string_view bytes) : rest_(bytes) {}
+
+  // Whether everything so far could be read.
+  [[nodiscard]] bool ok() const { return ok_; }
+  // Whether, besides, nothing is left.
+  [[nodiscard]] bool complete() const { return ok_ && rest_.empty(); }
+  // Reports a value that was read but is invalid. Returns false, so that a reading function can end with it.
+  bool fail() {
+    ok_ = false;
+    return false;
+  }
+
+  std::uint8_t u8() { return number<std::uint8_t>(); }
+  std::uint16_t u16() { return number<std::uint16_t>(); }
+  std::uint32_t u32() { return number<std::uint32_t>(); }
+  std::uint64_t u64() { return number<std::uint64_t>(); }
+
+  // Anything but 0 and 1 is invalid.
+  bool flag() {
+    const auto value = u8();
+    if (value > 1) fail();
+    return value == 1;
+  }
+
+  bool text(std::string &out) {
+    const std::size_t size = u8();
+    if (!ok_ || rest_.size() < size) return fail();
+    out = rest_.substr(0, size);
+    rest_.remove_prefix(size);
+    return true;
+  }
+
+  bool body(std::string &out) {
+    const std::size_t size = u32();
+    if (!ok_ || size != rest_.size()) return fail();
+    out = rest_;
+    rest_ = {};
+    return true;
+  }
+
+private:
+  template <class Number> Number number() {
+    if (rest_.size() < sizeof(Number)) {
+      fail();
       return 0;
     }
-    for (std::size_t i = 0; i < sizeof v; ++i)
-      v = static_cast<T>(v | static_cast<T>(static_cast<T>(static_cast<unsigned char>(in[i])) << (8 * i)));
-    in.remove_prefix(sizeof v);
-    return v;
-  }
-  // Short text: its length, then its bytes.
-  bool text(std::string &to) {
-    auto n = get<std::uint8_t>();
-    if (!ok || in.size() < n) return ok = false;
-    to = in.substr(0, n);
-    in.remove_prefix(n);
-    return true;
+    Number value = 0;
+    for (std::size_t i = 0; i < sizeof value; ++i) {
+      const Number byte = static_cast<unsigned char>(rest_[i]);
+      value = static_cast<Number>(value | static_cast<Number>(byte << (8 * i)));
+    }
+    rest_.remove_prefix(sizeof value);
+    return value;
   }
+
+  std::string_view rest_;
+  bool ok_ = true;
 };
 
-inline void put_text(std::string &out, std::string_view text) {
-  text = text.substr(0, 255);
-  put(out, static_cast<std::uint8_t>(text.size()));
-  out += text;
-}
-
-// Bytes, as they are; the last in their frame.
-inline void put_body(std::string &out, std::string_view body) {
-  put(out, static_cast<std::uint32_t>(body.size()));
-  out += body;
-}
-inline bool get_body(Reader &reader, std::string &to) {
-  const auto n = reader.get<std::uint32_t>();
-  if (!reader.ok || n != reader.in.size()) return reader.ok = false;
-  to = reader.in;
-  reader.in = {};
-  return true;
-}
-
-} // namespace loftrouter::wire::packed
+} // namespace loftrouter::wire
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -2,268 +2,383 @@
 
 #include <algorithm>
 
+#include "frame.hpp"
 #include "loftrouter/wire/cbor.hpp"
 #include "loftrouter/wire/job.hpp"
 #include "packed.hpp"
 
 namespace loftrouter::wire {
 
-using namespace packed;
-
 namespace {
 
-constexpr std::uint32_t kMagic = 0x5254464c; // "LFTR"
-constexpr std::uint16_t kVersion = 4;
+using Kind = PeerMessage::Kind;
+
+// By the order of kinds: what one node says of itself, what it forwards, and frames of other cells.
+std::size_t max_body(std::uint16_t kind) {
+  if (kind > static_cast<std::uint16_t>(Kind::UserResponse)) return kPeerMaxCellBody;
+  if (kind > static_cast<std::uint16_t>(Kind::Digest)) return kPeerMaxForwardedBody;
+  return kPeerMaxBody;
+}
+
+constexpr FrameFormat kFormat{0x5254464c, 4, static_cast<std::uint16_t>(Kind::CellResponse), max_body}; // "LFTR"
+
+constexpr double kMillisecondsPerSecond = 1000;
+constexpr double kTenthsPerSecond = 10;
+constexpr double kMaxMilliseconds = 4e9; // of 32 bits
+
+std::uint32_t to_milliseconds(double seconds) {
+  return static_cast<std::uint32_t>(std::min(kMaxMilliseconds, seconds * kMillisecondsPerSecond));
+}
+
+// ---- tasks ----
 
 // The tasks of one machine are mostly of a few jobs in a row: an empty name stands for the one before.
-void put_task(std::string &out, const std::string &job, std::string_view &before, std::uint32_t index,
-              std::uint64_t attempt) {
-  put_text(out, job == before ? std::string_view() : std::string_view(job));
-  before = job;
-  put(out, index);
-  put(out, attempt);
+class TaskWriter {
+public:
+  explicit TaskWriter(PackedWriter &writer) : writer_(writer) {}
+
+  void task(const std::string &job, std::uint32_t index, std::uint64_t attempt) {
+    writer_.text(job == previous_job_ ? std::string_view() : std::string_view(job));
+    writer_.u32(index);
+    writer_.u64(attempt);
+    previous_job_ = job;
+  }
+
+private:
+  PackedWriter &writer_;
+  std::string_view previous_job_;
+};
+
+class TaskReader {
+public:
+  explicit TaskReader(PackedReader &reader) : reader_(reader) {}
+
+  bool task(std::string &job, std::uint32_t &index, std::uint64_t &attempt) {
+    if (!reader_.text(job)) return false;
+    if (job.empty()) job = previous_job_;
+    if (!valid_job_id(job)) return reader_.fail();
+    previous_job_ = job;
+    index = reader_.u32();
+    attempt = reader_.u64();
+    return reader_.ok();
+  }
+
+private:
+  PackedReader &reader_;
+  std::string previous_job_;
+};
+
+// ---- Heartbeat ----
+
+constexpr unsigned kSpotFlag = 1;
+constexpr unsigned kNoticeFlag = 2;
+constexpr unsigned kHeartbeatFlags = kSpotFlag | kNoticeFlag;
+// The phase of a task and whether it saved its progress share a byte.
+constexpr unsigned kSavedFlag = 0x80;
+constexpr unsigned kPhaseMask = 0x7f;
+
+void write_task_status(PackedWriter &writer, TaskWriter &tasks, const TaskStatus &task) {
+  tasks.task(task.job, task.index, task.attempt);
+  writer.u8(static_cast<std::uint8_t>(static_cast<unsigned>(task.phase) | (task.saved ? kSavedFlag : 0)));
+  writer.u8(static_cast<std::uint8_t>(task.cause));
 }
-bool get_task(Reader &reader, std::string &job, std::string &before, std::uint32_t &index, std::uint64_t &attempt) {
-  if (!reader.text(job)) return false;
-  if (job.empty()) job = before;
-  if (!valid_job_id(job)) return reader.ok = false;
-  before = job;
-  index = reader.get<std::uint32_t>();
-  attempt = reader.get<std::uint64_t>();
-  return reader.ok;
+
+bool read_task_status(PackedReader &reader, TaskReader &tasks, TaskStatus &task) {
+  if (!tasks.task(task.job, task.index, task.attempt)) return false;
+  const auto phase_and_saved = reader.u8();
+  const auto cause = reader.u8();
+  const unsigned phase = phase_and_saved & kPhaseMask;
+  if (phase > static_cast<unsigned>(TaskPhase::Exited)) return reader.fail();
+  if (cause > static_cast<unsigned>(ExitCause::Unknown)) return reader.fail();
+  task.phase = static_cast<TaskPhase>(phase);
+  task.saved = phase_and_saved & kSavedFlag;
+  task.cause = static_cast<ExitCause>(cause);
+  return reader.ok();
 }
 
-void put_report(std::string &out, const Heartbeat &heartbeat) {
+void write_heartbeat(PackedWriter &writer, const Heartbeat &heartbeat) {
   for (const auto *text : {&heartbeat.machine, &heartbeat.address, &heartbeat.type, &heartbeat.zone})
-    put_text(out, *text);
-  put(out, static_cast<std::uint8_t>(heartbeat.spot | heartbeat.notice_s.has_value() << 1));
-  put(out, heartbeat.incarnation);
-  put(out, heartbeat.sequence);
-  put(out, heartbeat.fencing_token);
-  if (heartbeat.notice_s) put(out, static_cast<std::uint32_t>(std::min(4e9, *heartbeat.notice_s * 1000)));
-  put(out, static_cast<std::uint16_t>(heartbeat.tasks.size()));
-  std::string_view before;
-  for (const auto &t : heartbeat.tasks) {
-    put_task(out, t.job, before, t.index, t.attempt);
-    put(out, static_cast<std::uint8_t>(static_cast<unsigned>(t.phase) | t.saved << 7));
-    put(out, static_cast<std::uint8_t>(t.cause));
-  }
+    writer.text(*text);
+  writer.u8(static_cast<std::uint8_t>((heartbeat.spot ? kSpotFlag : 0) | (heartbeat.notice_s ? kNoticeFlag : 0)));
+  writer.u64(heartbeat.incarnation);
+  writer.u64(heartbeat.sequence);
+  writer.u64(heartbeat.fencing_token);
+  if (heartbeat.notice_s) writer.u32(to_milliseconds(*heartbeat.notice_s));
+  writer.u16(static_cast<std::uint16_t>(heartbeat.tasks.size()));
+  TaskWriter tasks(writer);
+  for (const auto &task : heartbeat.tasks)
+    write_task_status(writer, tasks, task);
 }
-bool get_report(Reader &reader, Heartbeat &heartbeat) {
+
+bool read_heartbeat(PackedReader &reader, Heartbeat &heartbeat) {
   for (auto *text : {&heartbeat.machine, &heartbeat.address, &heartbeat.type, &heartbeat.zone})
-    if (!reader.text(*text) || text->empty() || !valid_utf8(*text)) return false;
-  const auto flags = reader.get<std::uint8_t>();
-  heartbeat.spot = flags & 1;
-  heartbeat.incarnation = reader.get<std::uint64_t>();
-  heartbeat.sequence = reader.get<std::uint64_t>();
-  heartbeat.fencing_token = reader.get<std::uint64_t>();
-  if (flags & 2) heartbeat.notice_s = reader.get<std::uint32_t>() / 1000.0;
-  const auto count = reader.get<std::uint16_t>();
-  std::string before;
-  for (unsigned i = 0; reader.ok && i < count; ++i) {
+    if (!reader.text(*text) || text->empty() || !valid_utf8(*text)) return reader.fail();
+  const auto flags = reader.u8();
+  if (flags > kHeartbeatFlags) return reader.fail();
+  heartbeat.spot = flags & kSpotFlag;
+  heartbeat.incarnation = reader.u64();
+  heartbeat.sequence = reader.u64();
+  heartbeat.fencing_token = reader.u64();
+  if (flags & kNoticeFlag) heartbeat.notice_s = reader.u32() / kMillisecondsPerSecond;
+  const auto count = reader.u16();
+  TaskReader tasks(reader);
+  for (unsigned i = 0; reader.ok() && i < count; ++i) {
     TaskStatus task;
-    if (!get_task(reader, task.job, before, task.index, task.attempt)) return false;
-    const auto phase = reader.get<std::uint8_t>(), cause = reader.get<std::uint8_t>();
-    if ((phase & 0x7f) > static_cast<unsigned>(TaskPhase::Exited) || cause > static_cast<unsigned>(ExitCause::Unknown))
-      return false;
-    task.phase = static_cast<TaskPhase>(phase & 0x7f);
-    task.saved = phase >> 7;
-    task.cause = static_cast<ExitCause>(cause);
+    if (!read_task_status(reader, tasks, task)) return false;
     heartbeat.tasks.push_back(std::move(task));
   }
-  return reader.ok && flags < 4;
+  return reader.ok();
 }
 
-void put_orders(std::string &out, const PeerMessage &message) {
-  put(out, message.status);
-  put(out, static_cast<std::uint16_t>(message.orders.size()));
-  std::string_view before;
-  for (const auto &o : message.orders) {
-    put_task(out, o.job, before, o.index, o.attempt);
-    put(out, static_cast<std::uint8_t>(o.verb));
-    put(out, static_cast<std::uint32_t>(std::min(4e9, o.grace_s * 1000)));
+// ---- Commands ----
+
+void write_commands(PackedWriter &writer, const PeerMessage &message) {
+  writer.u16(message.status);
+  writer.u16(static_cast<std::uint16_t>(message.commands.size()));
+  TaskWriter tasks(writer);
+  for (const auto &command : message.commands) {
+    tasks.task(command.job, command.index, command.attempt);
+    writer.u8(static_cast<std::uint8_t>(command.verb));
+    writer.u32(to_milliseconds(command.grace_s));
   }
 }
-bool get_orders(Reader &reader, PeerMessage &message) {
-  message.status = reader.get<std::uint16_t>();
-  const auto count = reader.get<std::uint16_t>();
-  std::string before;
-  for (unsigned i = 0; reader.ok && i < count; ++i) {
+
+bool read_command(PackedReader &reader, TaskReader &tasks, TaskCommand &command) {
+  if (!tasks.task(command.job, command.index, command.attempt)) return false;
+  const auto verb = reader.u8();
+  if (verb > static_cast<unsigned>(TaskCommand::Verb::Forget)) return reader.fail();
+  command.verb = static_cast<TaskCommand::Verb>(verb);
+  command.grace_s = reader.u32() / kMillisecondsPerSecond;
+  return reader.ok();
+}
+
+bool read_commands(PackedReader &reader, PeerMessage &message) {
+  message.status = reader.u16();
+  const auto count = reader.u16();
+  TaskReader tasks(reader);
+  for (unsigned i = 0; reader.ok() && i < count; ++i) {
     TaskCommand command;
-    if (!get_task(reader, command.job, before, command.index, command.attempt)) return false;
-    const auto verb = reader.get<std::uint8_t>();
-    if (verb > static_cast<unsigned>(TaskCommand::Verb::Forget)) return false;
-    command.verb = static_cast<TaskCommand::Verb>(verb);
-    command.grace_s = reader.get<std::uint32_t>() / 1000.0;
-    message.orders.push_back(std::move(command));
+    if (!read_command(reader, tasks, command)) return false;
+    message.commands.push_back(std::move(command));
   }
-  return reader.ok;
+  return reader.ok();
 }
 
-void put_ask(std::string &out, const PeerMessage &message) {
-  put(out, static_cast<std::uint8_t>(message.verb));
-  put_text(out, message.id);
-  put_body(out, message.body);
+// ---- UserRequest, UserResponse ----
+
+void write_user_request(PackedWriter &writer, const PeerMessage &message) {
+  writer.u8(static_cast<std::uint8_t>(message.verb));
+  writer.text(message.id);
+  writer.body(message.body);
 }
-bool get_ask(Reader &reader, PeerMessage &message) {
-  const auto verb = reader.get<std::uint8_t>();
-  if (verb > static_cast<unsigned>(PeerMessage::Verb::Abort)) return false;
+
+bool read_user_request(PackedReader &reader, PeerMessage &message) {
+  const auto verb = reader.u8();
+  if (verb > static_cast<unsigned>(PeerMessage::Verb::Abort)) return reader.fail();
   message.verb = static_cast<PeerMessage::Verb>(verb);
-  return reader.text(message.id) && valid_job_id(message.id) && get_body(reader, message.body);
+  return reader.text(message.id) && valid_job_id(message.id) && reader.body(message.body);
 }
 
-void put_told(std::string &out, const PeerMessage &message) {
-  put(out, message.status);
-  put(out, message.retry_s);
-  put_body(out, message.body);
-}
-bool get_told(Reader &reader, PeerMessage &message) {
-  message.status = reader.get<std::uint16_t>();
-  message.retry_s = reader.get<std::uint16_t>();
-  return reader.ok && message.status >= 200 && message.status < 600 && get_body(reader, message.body);
+void write_user_response(PackedWriter &writer, const PeerMessage &message) {
+  writer.u16(message.status);
+  writer.u16(message.retry_s);
+  writer.body(message.body);
 }
 
-std::string frame(PeerMessage::Kind kind, const std::string &body) {
-  std::string out;
-  out.reserve(kPeerHeader + body.size());
-  put(out, kMagic);
-  put(out, kVersion);
-  put(out, static_cast<std::uint16_t>(kind));
-  put(out, static_cast<std::uint32_t>(body.size()));
-  return out += body;
+bool read_user_response(PackedReader &reader, PeerMessage &message) {
+  message.status = reader.u16();
+  message.retry_s = reader.u16();
+  if (message.status < 200 || message.status >= 600) return reader.fail();
+  return reader.body(message.body);
 }
 
-} // namespace
+// ---- Ping, Pong, Digest ----
 
-std::size_t peer_news_size(const PeerMessage::JobNews &n) {
-  return 11 + n.id.size() + std::min(n.reason.size(), kPeerMaxReason);
-}
+constexpr unsigned kCutOffFlag = 1;
+constexpr unsigned kLeadsFlag = 2;
+constexpr unsigned kSpreadsFlag = 4;
+constexpr unsigned kForwardsFlag = 8;
+constexpr unsigned kNodeFlags = kCutOffFlag | kLeadsFlag | kSpreadsFlag | kForwardsFlag;
+// Whether workers and the cloud are reached share a byte.
+constexpr unsigned kWorkersMask = 3;
+constexpr unsigned kCloudShift = 2;
 
-std::string encode_peer(const PeerMessage &message) {
-  std::string body;
-  put(body, message.nonce);
-  put(body, message.term);
-  put(body, message.sender);
-  switch (message.kind) {
-  case PeerMessage::Kind::Report:
-    put_report(body, message.report);
-    return frame(message.kind, body);
-  case PeerMessage::Kind::Orders:
-    put_orders(body, message);
-    return frame(message.kind, body);
-  case PeerMessage::Kind::Ask:
-    put_ask(body, message);
-    return frame(message.kind, body);
-  case PeerMessage::Kind::Told:
-    put_told(body, message);
-    return frame(message.kind, body);
-  case PeerMessage::Kind::CellAsk:
-  case PeerMessage::Kind::CellTold:
-    put_body(body, message.body);
-    return frame(message.kind, body);
-  default:
-    break;
+void write_connectivity(PackedWriter &writer, const ConnectivityRecord &connectivity) {
+  writer.u8(static_cast<std::uint8_t>(static_cast<unsigned>(connectivity.workers) |
+                                      static_cast<unsigned>(connectivity.cloud) << kCloudShift));
+  writer.u16(connectivity.machines);
+  for (double seconds : {connectivity.quiet_s, connectivity.carried_s}) {
+    const double capped = std::clamp(seconds, 0.0, ConnectivityRecord::kMaxQuiet);
+    writer.u16(static_cast<std::uint16_t>(capped * kTenthsPerSecond));
   }
-  put(body, message.uptime_ms);
-  put(body, message.reads);
-  put(body, message.writes);
-  put(body,
-      static_cast<std::uint8_t>(message.cut_off | message.leads << 1 | message.spreads << 2 | message.passes << 3));
-  put(body, static_cast<std::uint8_t>(static_cast<unsigned>(message.connectivity.workers) |
-                                      static_cast<unsigned>(message.connectivity.cloud) << 2));
-  put(body, message.connectivity.machines);
-  for (double s : {message.connectivity.quiet_s, message.connectivity.carried_s})
-    put(body, static_cast<std::uint16_t>(std::clamp(s, 0.0, ConnectivityRecord::kMaxQuiet) * 10));
-  auto count = std::min(message.cancelled.size(), kPeerMaxCancelled);
-  put(body, static_cast<std::uint8_t>(count));
+}
+
+bool read_connectivity(PackedReader &reader, ConnectivityRecord &connectivity) {
+  const auto reached = reader.u8();
+  const unsigned workers = reached & kWorkersMask;
+  const unsigned cloud = reached >> kCloudShift;
+  if (workers > static_cast<unsigned>(WorkerReachability::Unreachable)) return reader.fail();
+  if (cloud > static_cast<unsigned>(ProviderHealth::Unhealthy)) return reader.fail();
+  connectivity.workers = static_cast<WorkerReachability>(workers);
+  connectivity.cloud = static_cast<ProviderHealth>(cloud);
+  connectivity.machines = reader.u16();
+  for (double *seconds : {&connectivity.quiet_s, &connectivity.carried_s})
+    *seconds = std::min(ConnectivityRecord::kMaxQuiet, reader.u16() / kTenthsPerSecond);
+  return reader.ok();
+}
+
+void write_cancelled(PackedWriter &writer, const std::vector<std::string> &cancelled) {
+  const auto count = std::min(cancelled.size(), kPeerMaxCancelled);
+  writer.u8(static_cast<std::uint8_t>(count));
   for (std::size_t i = 0; i < count; ++i)
-    put_text(body, message.cancelled[i]);
-  if (message.kind == PeerMessage::Kind::Digest) {
-    put(body, static_cast<std::uint8_t>(message.news.size()));
-    for (const auto &n : message.news) {
-      put_text(body, n.id);
-      put(body, n.done);
-      put(body, n.running);
-      put(body, static_cast<std::uint8_t>(n.late));
-      put_text(body, std::string_view(n.reason).substr(0, kPeerMaxReason));
-    }
+    writer.text(cancelled[i]);
+}
+
+bool read_cancelled(PackedReader &reader, std::vector<std::string> &cancelled) {
+  const auto count = reader.u8();
+  for (unsigned i = 0; reader.ok() && i < count; ++i) {
+    std::string id;
+    if (!reader.text(id) || !valid_job_id(id)) return reader.fail();
+    cancelled.push_back(std::move(id));
   }
-  return frame(message.kind, body);
+  return reader.ok();
 }
 
-PeerRead read_peer(std::string_view &buffer, PeerMessage &out) {
-  Reader head{buffer};
-  auto magic = head.get<std::uint32_t>();
-  auto version = head.get<std::uint16_t>();
-  auto kind = head.get<std::uint16_t>();
-  auto length = head.get<std::uint32_t>();
-  if (!head.ok) return PeerRead::NeedMore;
-  if (magic != kMagic || version != kVersion || kind < 1 || kind > 9) return PeerRead::Garbage;
-  if (length > (kind > 7 ? kPeerMaxPassed : kind > 3 ? kPeerMaxRelayed : kPeerMaxBody)) return PeerRead::Garbage;
-  if (buffer.size() < kPeerHeader + length) return PeerRead::NeedMore;
-  Reader reader{buffer.substr(kPeerHeader, length)};
-  out = {};
-  out.kind = static_cast<PeerMessage::Kind>(kind);
-  out.nonce = reader.get<std::uint64_t>();
-  out.term = reader.get<std::uint64_t>();
-  out.sender = reader.get<std::uint8_t>();
-  auto done = [&](bool good) {
-    if (!good || !reader.ok || !reader.in.empty()) return PeerRead::Garbage;
-    buffer.remove_prefix(kPeerHeader + length);
-    return PeerRead::Frame;
-  };
-  switch (out.kind) {
-  case PeerMessage::Kind::Report:
-    return done(get_report(reader, out.report));
-  case PeerMessage::Kind::Orders:
-    return done(get_orders(reader, out));
-  case PeerMessage::Kind::Ask:
-    return done(get_ask(reader, out));
-  case PeerMessage::Kind::Told:
-    return done(get_told(reader, out));
-  case PeerMessage::Kind::CellAsk:
-  case PeerMessage::Kind::CellTold:
-    return done(get_body(reader, out.body));
-  default:
-    break;
+void write_node_state(PackedWriter &writer, const PeerMessage &message) {
+  writer.u32(message.uptime_ms);
+  writer.u16(message.store_reads);
+  writer.u16(message.store_writes);
+  unsigned flags = 0;
+  if (message.cut_off) flags |= kCutOffFlag;
+  if (message.leads) flags |= kLeadsFlag;
+  if (message.spreads) flags |= kSpreadsFlag;
+  if (message.forwards_heartbeats) flags |= kForwardsFlag;
+  writer.u8(static_cast<std::uint8_t>(flags));
+  write_connectivity(writer, message.connectivity);
+  write_cancelled(writer, message.cancelled);
+}
+
+bool read_node_state(PackedReader &reader, PeerMessage &message) {
+  message.uptime_ms = reader.u32();
+  message.store_reads = reader.u16();
+  message.store_writes = reader.u16();
+  const auto flags = reader.u8();
+  if (flags > kNodeFlags) return reader.fail();
+  message.cut_off = flags & kCutOffFlag;
+  message.leads = flags & kLeadsFlag;
+  message.spreads = flags & kSpreadsFlag;
+  message.forwards_heartbeats = flags & kForwardsFlag;
+  return read_connectivity(reader, message.connectivity) && read_cancelled(reader, message.cancelled);
+}
+
+void write_job_digest(PackedWriter &writer, const PeerMessage::JobDigest &job) {
+  writer.text(job.id);
+  writer.u32(job.done);
+  writer.u32(job.running);
+  writer.flag(job.late);
+  writer.text(std::string_view(job.reason).substr(0, kPeerMaxReason));
+}
+
+bool read_job_digest(PackedReader &reader, PeerMessage::JobDigest &job) {
+  if (!reader.text(job.id) || !valid_job_id(job.id)) return reader.fail();
+  job.done = reader.u32();
+  job.running = reader.u32();
+  job.late = reader.u8() != 0;
+  return reader.text(job.reason) && valid_utf8(job.reason);
+}
+
+void write_digest(PackedWriter &writer, const PeerMessage &message) {
+  write_node_state(writer, message);
+  writer.u8(static_cast<std::uint8_t>(message.jobs.size()));
+  for (const auto &job : message.jobs)
+    write_job_digest(writer, job);
+}
+
+bool read_digest(PackedReader &reader, PeerMessage &message) {
+  if (!read_node_state(reader, message)) return false;
+  const auto count = std::min<std::size_t>(reader.u8(), kPeerMaxDigestJobs);
+  for (std::size_t i = 0; reader.ok() && i < count; ++i) {
+    PeerMessage::JobDigest job;
+    if (!read_job_digest(reader, job)) return reader.fail();
+    message.jobs.push_back(std::move(job));
   }
-  out.uptime_ms = reader.get<std::uint32_t>();
-  out.reads = reader.get<std::uint16_t>();
-  out.writes = reader.get<std::uint16_t>();
-  auto flags = reader.get<std::uint8_t>();
-  if (flags > 15) return PeerRead::Garbage;
-  out.cut_off = flags & 1;
-  out.leads = flags & 2;
-  out.spreads = flags & 4;
-  out.passes = flags & 8;
-  const auto connectivity = reader.get<std::uint8_t>();
-  if ((connectivity & 3) > static_cast<unsigned>(WorkerReachability::Unreachable) ||
-      connectivity >> 2 > static_cast<unsigned>(ProviderHealth::Unhealthy))
-    return PeerRead::Garbage;
-  out.connectivity.workers = static_cast<WorkerReachability>(connectivity & 3);
-  out.connectivity.cloud = static_cast<ProviderHealth>(connectivity >> 2);
-  out.connectivity.machines = reader.get<std::uint16_t>();
-  for (double *s : {&out.connectivity.quiet_s, &out.connectivity.carried_s})
-    *s = std::min(ConnectivityRecord::kMaxQuiet, reader.get<std::uint16_t>() / 10.0);
-  auto count = reader.get<std::uint8_t>();
-  for (unsigned i = 0; reader.ok && i < count; ++i) {
-    std::string id;
-    if (!reader.text(id) || !valid_job_id(id)) return PeerRead::Garbage;
-    out.cancelled.push_back(std::move(id));
+  return reader.ok();
+}
+
+// ---- by kind ----
+
+void write_fields(PackedWriter &writer, const PeerMessage &message) {
+  switch (message.kind) {
+  case Kind::Ping:
+  case Kind::Pong:
+    return write_node_state(writer, message);
+  case Kind::Digest:
+    return write_digest(writer, message);
+  case Kind::Heartbeat:
+    return write_heartbeat(writer, message.heartbeat);
+  case Kind::Commands:
+    return write_commands(writer, message);
+  case Kind::UserRequest:
+    return write_user_request(writer, message);
+  case Kind::UserResponse:
+    return write_user_response(writer, message);
+  case Kind::CellRequest:
+  case Kind::CellResponse:
+    return writer.body(message.body);
   }
-  if (out.kind == PeerMessage::Kind::Digest) {
-    auto news = reader.get<std::uint8_t>();
-    for (unsigned i = 0; reader.ok && i < news && i < kPeerMaxNews; ++i) {
-      PeerMessage::JobNews n;
-      if (!reader.text(n.id) || !valid_job_id(n.id)) return PeerRead::Garbage;
-      n.done = reader.get<std::uint32_t>();
-      n.running = reader.get<std::uint32_t>();
-      n.late = reader.get<std::uint8_t>();
-      if (!reader.text(n.reason) || !valid_utf8(n.reason)) return PeerRead::Garbage;
-      out.news.push_back(std::move(n));
-    }
+}
+
+bool read_fields(PackedReader &reader, PeerMessage &message) {
+  switch (message.kind) {
+  case Kind::Ping:
+  case Kind::Pong:
+    return read_node_state(reader, message);
+  case Kind::Digest:
+    return read_digest(reader, message);
+  case Kind::Heartbeat:
+    return read_heartbeat(reader, message.heartbeat);
+  case Kind::Commands:
+    return read_commands(reader, message);
+  case Kind::UserRequest:
+    return read_user_request(reader, message);
+  case Kind::UserResponse:
+    return read_user_response(reader, message);
+  case Kind::CellRequest:
+  case Kind::CellResponse:
+    return reader.body(message.body);
   }
-  return done(true);
+  return reader.fail();
+}
+
+} // namespace
+
+std::size_t job_digest_size(const PeerMessage::JobDigest &job) {
+  constexpr std::size_t fixed = 11; // two numbers of four bytes, a flag, and the lengths of two texts
+  return fixed + job.id.size() + std::min(job.reason.size(), kPeerMaxReason);
+}
+
+std::string encode_peer(const PeerMessage &message) {
+  PackedWriter writer;
+  writer.u64(message.nonce);
+  writer.u64(message.term);
+  writer.u8(message.sender);
+  write_fields(writer, message);
+  return encode_frame(kFormat, static_cast<std::uint16_t>(message.kind), std::move(writer).take());
+}
+
+FrameRead read_peer(std::string_view &buffer, PeerMessage &out) {
+  FrameView frame;
+  const auto found = find_frame(kFormat, buffer, frame);
+  if (found != FrameRead::Frame) return found;
+  out = {};
+  out.kind = static_cast<Kind>(frame.kind);
+  PackedReader reader(frame.body);
+  out.nonce = reader.u64();
+  out.term = reader.u64();
+  out.sender = reader.u8();
+  if (!read_fields(reader, out) || !reader.complete()) return FrameRead::Garbage;
+  buffer.remove_prefix(frame.size);
+  return FrameRead::Frame;
 }
 
 } // namespace loftrouter::wire
--- a/src/wire/progress_record.cpp
+++ b/src/wire/progress_record.cpp
@@ -148,8 +148,8 @@
 
 Json progress_shard(std::vector<std::pair<std::string, Json>> jobs, const SumsByTeam &sums) {
   Json by_id = Json::object();
-  for (auto &[id, progress] : jobs)
-    by_id[id] = std::move(progress);
+  for (auto &job : jobs)
+    by_id[job.first] = std::move(job.second);
   Json json = {{stored::kShardJobs, std::move(by_id)}};
   if (!sums.empty()) {
     json[stored::kShardVersion] = kShardVersion;
--- a/tests/cells_test.cpp
+++ b/tests/cells_test.cpp
@@ -194,9 +194,9 @@
     Ranges told;
     bool ended = false;
     w.send_cell = [&](int, const core::CellSend &s) {
-      if (s.message.kind != wire::CellMessage::Kind::Told) return;
+      if (s.message.kind != wire::CellMessage::Kind::Progress) return;
       told = s.message.ranges;
-      ended |= s.message.yes;
+      ended |= s.message.ended;
     };
     w.run(20); // nobody confirms it: it ends
     EXPECT_TRUE(ended);
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -644,7 +644,7 @@
 
 TEST(ConfigLimits, WhereAListingGoesOnIsChecked) {
   const auto status_of = [](const std::string &target) {
-    const auto read = wire::read_admin("GET", target, "");
+    const auto read = wire::read_admin_request("GET", target, "");
     const auto *error = std::get_if<wire::AdminError>(&read);
     return error ? error->status : 200;
   };
--- a/tests/federation.cpp
+++ b/tests/federation.cpp
@@ -53,7 +53,7 @@
 // Node numbers are those of the sender's features file: the others' nodes in order.
 void Federation::send(int cell, int node, const core::CellSend &s) {
   ++frames;
-  delegations += s.message.kind == wire::CellMessage::Kind::Taken && s.message.yes;
+  delegations += s.message.kind == wire::CellMessage::Kind::OfferReply && s.message.accepted;
   auto numbered = [this](int of, int other, int k) { // how `of` dials node k of `other`
     int n = 0;
     for (int x = 0; x < other; ++x)
@@ -86,7 +86,7 @@
   const auto bytes = wire::encode_cell(s.message);
   std::string_view rest = bytes;
   core::CmdCell cmd{as, static_cast<std::uint64_t>(cell * kNodes + node), {}};
-  if (wire::read_cell(rest, cmd.message) != wire::PeerRead::Frame || !rest.empty() ||
+  if (wire::read_cell(rest, cmd.message) != wire::FrameRead::Frame || !rest.empty() ||
       wire::encode_cell(cmd.message) != bytes)
     return broken_.push_back("a frame between cells did not survive");
   const int copies = draw(rng_) < loss_ ? 2 : 1;
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -73,11 +73,11 @@
 void peer(std::string_view in) {
   using namespace loftrouter::wire;
   std::string_view rest = in;
-  for (PeerMessage m; read_peer(rest, m) == PeerRead::Frame;) {
+  for (PeerMessage m; read_peer(rest, m) == FrameRead::Frame;) {
     const auto bytes = encode_peer(m);
     std::string_view one = bytes;
     PeerMessage again;
-    must(read_peer(one, again) == PeerRead::Frame && one.empty() && encode_peer(again) == bytes,
+    must(read_peer(one, again) == FrameRead::Frame && one.empty() && encode_peer(again) == bytes,
          "a frame goes there and back");
   }
 }
@@ -85,11 +85,11 @@
 void cell(std::string_view in) {
   using namespace loftrouter::wire;
   std::string_view rest = in;
-  for (CellMessage m; read_cell(rest, m) == PeerRead::Frame;) {
+  for (CellMessage m; read_cell(rest, m) == FrameRead::Frame;) {
     const auto bytes = encode_cell(m);
     std::string_view one = bytes;
     CellMessage again;
-    must(read_cell(one, again) == PeerRead::Frame && one.empty() && encode_cell(again) == bytes,
+    must(read_cell(one, again) == FrameRead::Frame && one.empty() && encode_cell(again) == bytes,
          "a frame between cells goes there and back");
   }
 }
@@ -202,26 +202,26 @@
   if (name == "wire") return {encode_heartbeat(r), encode_commands(3, {{TaskCommand::Verb::Stop, "j-1", 0, 1, 2}})};
   if (name == "peer") {
     PeerMessage m;
-    m.kind = PeerMessage::Kind::Report;
-    m.report = r;
+    m.kind = PeerMessage::Kind::Heartbeat;
+    m.heartbeat = r;
     auto bytes = encode_peer(m);
-    m.kind = PeerMessage::Kind::Orders;
-    m.orders = {{TaskCommand::Verb::Start, "j-1", 0, 1, 0}};
+    m.kind = PeerMessage::Kind::Commands;
+    m.commands = {{TaskCommand::Verb::Start, "j-1", 0, 1, 0}};
     bytes += encode_peer(m);
     m.kind = PeerMessage::Kind::Digest;
-    m.news = {{"j-1", 1, 2, true, "why"}};
+    m.jobs = {{"j-1", 1, 2, true, "why"}};
     const auto digest = encode_peer(m);
-    m.kind = PeerMessage::Kind::Ask;
+    m.kind = PeerMessage::Kind::UserRequest;
     m.id = "j-1";
     m.body = "body";
     auto asked = encode_peer(m);
-    m.kind = PeerMessage::Kind::Told;
+    m.kind = PeerMessage::Kind::UserResponse;
     m.status = 200;
     return {bytes, digest, asked + encode_peer(m)};
   }
   if (name == "cell") {
     std::vector<std::string> all;
-    for (int kind = 1; kind <= static_cast<int>(CellMessage::Kind::Recall); ++kind) {
+    for (int kind = 1; kind <= static_cast<int>(CellMessage::Kind::QuotaOutcome); ++kind) {
       CellMessage m;
       m.kind = static_cast<CellMessage::Kind>(kind);
       m.from = "north";
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -71,9 +71,9 @@
       std::string_view rest = bytes;
       wire::PeerMessage peer;
       wire::CellMessage cell;
-      if (name.starts_with("cell") && wire::read_cell(rest, cell) == wire::PeerRead::Frame)
+      if (name.starts_with("cell") && wire::read_cell(rest, cell) == wire::FrameRead::Frame)
         again = wire::encode_cell(cell);
-      if (name.starts_with("frame") && wire::read_peer(rest, peer) == wire::PeerRead::Frame)
+      if (name.starts_with("frame") && wire::read_peer(rest, peer) == wire::FrameRead::Frame)
         again = wire::encode_peer(peer);
       EXPECT_EQ(again, bytes) << name;
       continue;
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -288,7 +288,7 @@
   }
   for (const auto &p : effects.peers) {
     if (chance(o_.loss)) continue;
-    relayed += p.message.kind == wire::PeerMessage::Kind::Report;
+    relayed += p.message.kind == wire::PeerMessage::Kind::Heartbeat;
     // Link ids in this world: the asker's index.
     int to = p.replica >= 0 ? (p.replica < i ? p.replica : p.replica + 1) : static_cast<int>(p.link);
     double there = t_ + (chance(o_.loss) ? uniform(0.1, 30) : uniform(0.001, 0.005));
@@ -301,7 +301,7 @@
       wire::PeerMessage read;
       const auto bytes = wire::encode_peer(m);
       std::string_view rest = bytes;
-      if (wire::read_peer(rest, read) != wire::PeerRead::Frame) return break_rule("a peer frame did not survive");
+      if (wire::read_peer(rest, read) != wire::FrameRead::Frame) return break_rule("a peer frame did not survive");
       push(to, core::CmdPeer{pong ? (i < to ? i : i - 1) : -1, static_cast<std::uint64_t>(i), std::move(read)});
     });
   }
