--- a/include/loftrouter/wire/cbor.hpp
+++ b/include/loftrouter/wire/cbor.hpp
@@ -1,6 +1,10 @@
-// CBOR bodies: nlohmann's decoder behind a SAX handler that stops early on anything hostile.
+// CBOR bodies of messages to and from other components.
+//
+// All functions are pure. `decode` takes input from anybody: the parser's recursion and memory are bounded, so that no
+// message can end the process.
 #pragma once
 
+#include <cstddef>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -12,14 +16,17 @@
 using Json = nlohmann::json;
 
 struct DecodeLimits {
-  std::size_t depth = 16;
-  std::size_t items = 200'000;
+  std::size_t depth = 16;      // of nested maps and lists
+  std::size_t items = 200'000; // values in all
 };
 
-// Nothing on: truncated or trailing input, nesting too deep, duplicate or non-text keys, byte
-// strings, tags, NaN or infinity, text that is not UTF-8.
-std::optional<Json> decode(std::string_view bytes, DecodeLimits limits = {});
-std::string encode(const Json &value);
-bool valid_utf8(std::string_view text);
+// Nothing on: truncated or trailing input, nesting too deep, too many items, duplicate or non-text keys, byte strings,
+// tags, NaN or infinity, text that is not UTF-8.
+[[nodiscard]] std::optional<Json> decode(std::string_view bytes, DecodeLimits limits = {});
+
+[[nodiscard]] std::string encode(const Json &value);
+
+// Whether a text is well-formed UTF-8: no overlong forms, surrogates or code points beyond U+10FFFF.
+[[nodiscard]] bool valid_utf8(std::string_view text);
 
 } // namespace loftrouter::wire
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -1,34 +1,55 @@
 #include "loftrouter/cloud/cloud_client.hpp"
 
+#include <utility>
+
 #include <fmt/format.h>
 
 namespace loftrouter::cloud {
 
+namespace {
+
+const net::HttpClient::Options kOptions{.max_connections = 4, .max_queued = 32, .max_response = 2 << 20};
+constexpr int kMachinesPerList = 500; // the most that the cloud lists at once
+
+std::string list_target(const std::string &from) {
+  const auto after = from.empty() ? std::string() : "from=" + from + "&";
+  return fmt::format("/machines?{}most={}", after, kMachinesPerList);
+}
+
+} // namespace
+
 CloudClient::CloudClient(net::Loop &loop, net::Address address, Done done)
-    : http_(loop, std::move(address), {4, 32, 2 << 20}), done_(std::move(done)) {}
+    : http_(loop, std::move(address), kOptions), done_(std::move(done)) {}
 
-void CloudClient::send(const core::CloudOp &op) {
-  auto go = [&](wire::CloudCall kind, std::string_view method, const std::string &target, const std::string &body) {
-    http_.request(method, target, body, op.deadline_s, [this, id = op.op, kind](int status, std::string &&answer) {
-      done_(id, wire::decode_cloud_reply(kind, status, answer));
-    });
+void CloudClient::request(const core::CloudOp &operation, wire::CloudCall call, std::string_view method,
+                          const std::string &target, const std::string &body) {
+  const auto answered = [this, id = operation.op, call](int status, std::string &&answer) {
+    done_(id, wire::decode_cloud_reply(call, status, answer));
   };
+  http_.request(method, target, body, operation.deadline_s, answered);
+}
+
+void CloudClient::send(const core::CloudOp &operation) {
+  using wire::CloudCall;
   struct Visitor {
-    decltype(go) &call;
-    void operator()(const core::CloudTypes &) { call(wire::CloudCall::MachineTypes, "GET", "/machine_types", ""); }
-    void operator()(const core::CloudList &x) {
-      call(wire::CloudCall::ListMachines, "GET",
-           fmt::format("/machines?{}most=500", x.from.empty() ? "" : "from=" + x.from + "&"), "");
+    CloudClient &client;
+    const core::CloudOp &operation;
+    void operator()(const core::CloudTypes &) const {
+      client.request(operation, CloudCall::MachineTypes, "GET", "/machine_types");
+    }
+    void operator()(const core::CloudList &list) const {
+      client.request(operation, CloudCall::ListMachines, "GET", list_target(list.from));
     }
-    void operator()(const core::CloudScaleOut &x) {
-      call(wire::CloudCall::ScaleOut, "POST", "/machines",
-           wire::encode_scale_out(x.request, x.type, x.zone, x.spot, x.count));
+    void operator()(const core::CloudScaleOut &scale_out) const {
+      client.request(
+          operation, CloudCall::ScaleOut, "POST", "/machines",
+          wire::encode_scale_out(scale_out.request, scale_out.type, scale_out.zone, scale_out.spot, scale_out.count));
     }
-    void operator()(const core::CloudScaleIn &x) {
-      call(wire::CloudCall::ScaleIn, "POST", "/machines/return", wire::encode_scale_in(x.names));
+    void operator()(const core::CloudScaleIn &scale_in) const {
+      client.request(operation, CloudCall::ScaleIn, "POST", "/machines/return", wire::encode_scale_in(scale_in.names));
     }
   };
-  std::visit(Visitor{go}, op.what);
+  std::visit(Visitor{*this, operation}, operation.what);
 }
 
 } // namespace loftrouter::cloud
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -1,44 +1,71 @@
 #include "loftrouter/store/store_client.hpp"
 
+#include <utility>
+
 #include <fmt/format.h>
 
 namespace loftrouter::store {
 
+namespace {
+
+const net::HttpClient::Options kRequestOptions{.max_connections = 8, .max_queued = 256, .max_response = 4 << 20};
+const net::HttpClient::Options kLeaseOptions{.max_connections = 2, .max_queued = 8, .max_response = 64 << 10};
+const net::HttpClient::Options kWatchOptions{.max_connections = 2, .max_queued = 4, .max_response = 8 << 20};
+constexpr double kMillisecondsPerSecond = 1000;
+
+std::string list_target(const core::StoreList &list) {
+  const auto after = list.from.empty() ? std::string() : "&from=" + list.from;
+  return fmt::format("/store?under={}{}&most={}", list.prefix, after, list.page);
+}
+
+std::string watch_target(const core::StoreWatch &watch) {
+  const int hold_ms = static_cast<int>(watch.hold_s * kMillisecondsPerSecond);
+  return fmt::format("/follow?under={}&from={}&hold_ms={}", watch.prefix, watch.from, hold_ms);
+}
+
+} // namespace
+
 StoreClient::StoreClient(net::Loop &loop, net::Address address, Done done)
-    : requests_(loop, address, {8, 256, 4 << 20}), leases_(loop, address, {2, 8, 64 << 10}),
-      follows_(loop, address, {2, 4, 8 << 20}), done_(std::move(done)) {}
+    : requests_(loop, address, kRequestOptions), leases_(loop, address, kLeaseOptions),
+      watches_(loop, address, kWatchOptions), done_(std::move(done)) {}
 
-void StoreClient::send(const core::StoreOp &op) {
-  auto answer = [this, id = op.op](int status, std::string &&body) {
-    done_(id, wire::decode_store_reply(status, body));
-  };
-  auto go = [&](net::HttpClient &c, std::string_view method, const std::string &target, const std::string &body = "") {
-    c.request(method, target, body, op.deadline_s, answer);
+void StoreClient::request(net::HttpClient &client, const core::StoreOp &operation, std::string_view method,
+                          const std::string &target, const std::string &body) {
+  const auto answered = [this, id = operation.op](int status, std::string &&answer) {
+    done_(id, wire::decode_store_reply(status, answer));
   };
+  client.request(method, target, body, operation.deadline_s, answered);
+}
+
+void StoreClient::send(const core::StoreOp &operation) {
   struct Visitor {
-    decltype(go) &call;
-    StoreClient &c;
-    void operator()(const core::StoreGet &x) { call(c.requests_, "GET", "/store/" + x.key); }
-    void operator()(const core::StoreList &x) {
-      call(c.requests_, "GET",
-           fmt::format("/store?under={}{}&most={}", x.prefix, x.from.empty() ? "" : "&from=" + x.from, x.page));
+    StoreClient &client;
+    const core::StoreOp &operation;
+    void operator()(const core::StoreGet &get) const {
+      client.request(client.requests_, operation, "GET", "/store/" + get.key);
+    }
+    void operator()(const core::StoreList &list) const {
+      client.request(client.requests_, operation, "GET", list_target(list));
+    }
+    void operator()(const core::StoreCommit &commit) const {
+      client.request(client.requests_, operation, "POST", "/commit",
+                     wire::encode_commit(commit.preconditions, commit.writes));
     }
-    void operator()(const core::StoreCommit &x) {
-      call(c.requests_, "POST", "/commit", wire::encode_commit(x.preconditions, x.writes));
+    void operator()(const core::StoreLeaseGrant &grant) const {
+      client.request(client.leases_, operation, "POST", "/leases", wire::encode_lease_grant(grant.ttl_s));
     }
-    void operator()(const core::StoreLeaseGrant &x) {
-      call(c.leases_, "POST", "/leases", wire::encode_lease_grant(x.ttl_s));
+    void operator()(const core::StoreLeaseRenew &renew) const {
+      client.request(client.leases_, operation, "POST", fmt::format("/leases/{}/touch", renew.lease),
+                     wire::encode_lease_renew());
     }
-    void operator()(const core::StoreLeaseRenew &x) {
-      call(c.leases_, "POST", fmt::format("/leases/{}/touch", x.lease), wire::encode_lease_renew());
+    void operator()(const core::StoreLeaseRevoke &revoke) const {
+      client.request(client.leases_, operation, "DELETE", fmt::format("/leases/{}", revoke.lease));
     }
-    void operator()(const core::StoreLeaseRevoke &x) { call(c.leases_, "DELETE", fmt::format("/leases/{}", x.lease)); }
-    void operator()(const core::StoreWatch &x) {
-      call(c.follows_, "GET",
-           fmt::format("/follow?under={}&from={}&hold_ms={}", x.prefix, x.from, static_cast<int>(x.hold_s * 1000)));
+    void operator()(const core::StoreWatch &watch) const {
+      client.request(client.watches_, operation, "GET", watch_target(watch));
     }
   };
-  std::visit(Visitor{go, *this}, op.what);
+  std::visit(Visitor{*this, operation}, operation.what);
 }
 
 } // namespace loftrouter::store
--- /dev/null
+++ b/tests/wire_cbor_test.cpp
@@ -0,0 +1,29 @@
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "loftrouter/wire/cbor.hpp"
+#include "wire_fixtures.hpp"
+
+using namespace loftrouter::wire;
+
+// Each of these has ended a process somewhere: deep nesting (the decoder recurses), lengths that are not there,
+// trailing bytes, byte strings, non-finite numbers, doubled keys, text that is no text.
+TEST(WireCbor, HostileBodiesAreRefused) {
+  const std::string infinity("\xa1\x61\x61\xf9\x7c\x00", 6);
+  const std::string not_a_number("\xa1\x61\x61\xf9\x7e\x00", 6);
+  const std::string bodies[] = {std::string(60000, '\x81'),
+                                std::string(60000, '\xa1'),
+                                std::string("\x9b\x7f\xff\xff\xff\xff\xff\xff\xff"),
+                                std::string("\x7b\x7f\xff\xff\xff\xff\xff\xff\xff"),
+                                std::string("\xbb\x7f\xff\xff\xff\xff\xff\xff\xff"),
+                                encode(valid_job()) + "x",
+                                std::string("\xa1\x61\x61\x41\x00", 5),
+                                infinity,
+                                not_a_number,
+                                std::string("\xa2\x61\x61\x01\x61\x61\x02"),
+                                std::string("\xa1\x61\x61\x62\xc3\x28"),
+                                std::string()};
+  for (const std::string &body : bodies)
+    EXPECT_FALSE(decode(body)) << body.substr(0, 12);
+}
--- /dev/null
+++ b/tests/wire_job_test.cpp
@@ -0,0 +1,90 @@
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "loftrouter/wire/job.hpp"
+#include "wire_fixtures.hpp"
+
+using namespace loftrouter;
+using namespace loftrouter::wire;
+
+namespace {
+
+bool accepted(const Json &json) {
+  return std::holds_alternative<JobSpec>(decode_job(encode(json)));
+}
+
+} // namespace
+
+TEST(WireJob, DescriptionSurvivesItsRecord) {
+  const auto decoded = decode_job(encode(valid_job()));
+  ASSERT_TRUE(std::holds_alternative<JobSpec>(decoded));
+  const auto &spec = std::get<JobSpec>(decoded);
+  EXPECT_EQ(spec.tasks, 16u);
+  EXPECT_EQ(spec.urgency, Urgency::High);
+  EXPECT_FALSE(spec.zone);
+  const auto again = job_from_json(to_json(spec));
+  ASSERT_TRUE(std::holds_alternative<JobSpec>(again)) << std::get<FieldError>(again).message;
+  EXPECT_EQ(to_json(std::get<JobSpec>(again)), to_json(spec));
+}
+
+TEST(WireJob, NoDependenciesLeaveTheRecordAsItWas) {
+  auto json = valid_job();
+  const auto plain = to_json(std::get<JobSpec>(decode_job(encode(json)))).dump();
+  for (Json none : {Json(), Json(Json::array())}) {
+    json["waits_on"] = none;
+    EXPECT_EQ(to_json(std::get<JobSpec>(decode_job(encode(json)))).dump(), plain);
+  }
+}
+
+TEST(WireJob, EachDependencyIsKeptOnce) {
+  auto json = valid_job();
+  json["waits_on"] = {"j-000398", "j-000405", "j-000398"};
+  const auto spec = std::get<JobSpec>(decode_job(encode(json)));
+  EXPECT_EQ(spec.waits_for, (std::vector<std::string>{"j-000398", "j-000405"}));
+}
+
+TEST(WireJob, InvalidDependenciesAreRefused) {
+  auto json = valid_job();
+  Json too_many = Json::array();
+  for (std::size_t i = 0; i <= kMaxWaitsFor; ++i)
+    too_many.push_back("j-1" + std::to_string(1000 + i));
+  for (Json bad : {Json("j-000398"), Json({{"j-000398", 1}}), Json({"j-000412"}), Json({"x-1"}), Json({7}), too_many}) {
+    json["waits_on"] = bad;
+    EXPECT_FALSE(accepted(json)) << bad;
+  }
+}
+
+TEST(WireJob, MissingOrInvalidFieldIsNamed) {
+  for (const std::string field :
+       {"id", "jobclass", "crew", "shape", "urgency", "pieces", "cores", "cards", "ram_gb", "bundle", "image_gb",
+        "one_zone", "apart", "standby", "guess_s", "bookmark_s", "stash_s"}) {
+    const bool any_text = field == "jobclass" || field == "crew" || field == "bundle";
+    for (Json bad : {Json(), Json(Json::array()), Json(-1), Json("?"), Json(1e300)}) {
+      if (bad.is_string() && any_text) continue;
+      auto json = valid_job();
+      json[field] = bad;
+      const auto decoded = decode_job(encode(json));
+      ASSERT_TRUE(std::holds_alternative<FieldError>(decoded)) << field << " " << bad;
+      EXPECT_NE(std::get<FieldError>(decoded).message.find(field), std::string::npos);
+    }
+    auto json = valid_job();
+    json.erase(field);
+    EXPECT_FALSE(accepted(json)) << field;
+  }
+}
+
+TEST(WireJob, FieldsThatMayBeNullMayBeLeftOut) {
+  for (const char *nullable : {"hulls", "yard", "due_s"}) {
+    auto json = valid_job();
+    json.erase(nullable);
+    EXPECT_TRUE(accepted(json)) << nullable;
+  }
+}
+
+TEST(WireJob, MoreTasksThanTheLimitAreRefused) {
+  auto json = valid_job();
+  json["pieces"] = 100001;
+  EXPECT_FALSE(accepted(json));
+}
