--- a/include/loftrouter/wire/admin_settings.hpp
+++ b/include/loftrouter/wire/admin_settings.hpp
@@ -43,7 +43,7 @@
 // In the document alone, without records of their own: the production version reads no more of it.
 constexpr std::size_t kMaxMachineOrders = 100;
 // Of the entries of one answer that lists what is configured; what is beyond stands on the next page.
-constexpr std::size_t kMaxListingBytes = 48 * 1024;
+constexpr std::size_t kMaxListingBytes = std::size_t{48} * 1024;
 
 [[nodiscard]] Json to_json(MachineAdminState state);
 [[nodiscard]] std::optional<MachineAdminState> machine_admin_state_from_json(const Json &json);
--- a/include/loftrouter/wire/cell.hpp
+++ b/include/loftrouter/wire/cell.hpp
@@ -101,10 +101,10 @@
   bool within_cap = false;   // QuotaApplied: the team can use no more than its cap there
 };
 
-constexpr std::size_t kCellMaxBody = 64 * 1024;  // bytes
-constexpr std::size_t kCellMaxKinds = 64;        // entries
-constexpr std::size_t kCellMaxGenerations = 400; // entries
-constexpr std::size_t kCellMaxRanges = 400;      // entries
+constexpr std::size_t kCellMaxBody = std::size_t{64} * 1024; // bytes
+constexpr std::size_t kCellMaxKinds = 64;                    // entries
+constexpr std::size_t kCellMaxGenerations = 400;             // entries
+constexpr std::size_t kCellMaxRanges = 400;                  // entries
 
 [[nodiscard]] std::string encode_cell(const CellMessage &message);
 // Takes one frame off the front of `buffer`.
--- a/include/loftrouter/wire/peer.hpp
+++ b/include/loftrouter/wire/peer.hpp
@@ -84,7 +84,7 @@
 // Bounds. A forwarded message may be as large as what a worker or user may send, and a frame of another cell is larger
 // by what is around it.
 constexpr std::size_t kPeerMaxBody = 4096;                             // bytes, of a ping, pong or digest
-constexpr std::size_t kPeerMaxForwardedBody = 64 * 1024;               // bytes, of a forwarded message
+constexpr std::size_t kPeerMaxForwardedBody = std::size_t{64} * 1024;  // bytes, of a forwarded message
 constexpr std::size_t kPeerMaxCellBody = kPeerMaxForwardedBody + 4096; // bytes, of a frame of another cell
 constexpr std::size_t kPeerMaxCancelled = 64;                          // entries
 constexpr std::size_t kPeerMaxDigestJobs = 100;                        // entries
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -27,7 +27,7 @@
 
 StoreClient::StoreClient(net::Loop &loop, net::Address address, Done done)
     : requests_(loop, address, kRequestOptions), leases_(loop, address, kLeaseOptions),
-      watches_(loop, address, kWatchOptions), done_(std::move(done)) {}
+      watches_(loop, std::move(address), kWatchOptions), done_(std::move(done)) {}
 
 void StoreClient::request(net::HttpClient &client, const core::StoreOp &operation, std::string_view method,
                           const std::string &target, const std::string &body) {
--- a/tests/worker_registry_test.cpp
+++ b/tests/worker_registry_test.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "loftrouter/core/workers/worker_registry.hpp"
-#include "loftrouter/wire/messages.hpp"
+#include "loftrouter/wire/job_records.hpp"
 #include "state_fixture.hpp"
 
 using namespace loftrouter;
