--- a/include/loftrouter/core/configuration/configuration.hpp
+++ b/include/loftrouter/core/configuration/configuration.hpp
@@ -3,7 +3,7 @@
 // Owns this node's copy and how it is kept up: one watch, and a list when the watch has failed, now and then in any
 // case, and after each election. Promises that a record is never replaced by an older one, and that `listed_since(t)`
 // is true only if everything that was committed before `t` is in the copy. If that were wrong, a new leader could go by
-// a limit that an earlier one had already acknowledged as lowered (docs/safety.md, "Limits that change"). With the
+// a limit that an earlier one had already acknowledged as lowered (docs/safety.md, "Quotas that change"). With the
 // feature switched off it polls the older documents alone, as the production version does.
 #pragma once
 
--- a/include/loftrouter/core/core.hpp
+++ b/include/loftrouter/core/core.hpp
@@ -3,7 +3,7 @@
 // and reads no clock.
 //
 // Every part owns its state privately, and is named by its header. A part uses those declared before it here; what it
-// has to tell the others goes out as events. docs/design.md has the picture.
+// has to tell the others goes out as events. docs/architecture.md has a drawing.
 #pragma once
 
 #include "loftrouter/core/api/administration_api_handler.hpp"
--- a/include/loftrouter/core/federation/delegation_protocol.hpp
+++ b/include/loftrouter/core/federation/delegation_protocol.hpp
@@ -4,7 +4,7 @@
 // a short time whenever the borrower asks on; the borrower records it too, runs it only while it is confirmed, and
 // counts that time from when it *asked*. Home counts from when it *answered*, and adds what the borrower's workers take
 // to let go. So at no moment do both run it, whatever is lost, late, doubled or forgotten by a crash. Pure; searched in
-// full by tests/handover_test.cpp. The argument: docs/safety.md, "Work lent to another cell".
+// full by tests/handover_test.cpp. The argument: docs/safety.md, "Work delegated to another cell".
 #pragma once
 
 #include <cstdint>
--- a/include/loftrouter/core/federation/quota_exchange.hpp
+++ b/include/loftrouter/core/federation/quota_exchange.hpp
@@ -3,7 +3,7 @@
 //
 // Owns what each other cell has acknowledged, and the changes that are being passed on. Promises that a cell takes a
 // record only if its version is higher than its own, and that it acknowledges a cap only when its team can use no more
-// than that there (quota). docs/safety.md, "Limits that change"; docs/configuration.md.
+// than that there (quota). docs/safety.md, "Quotas that change"; docs/configuration.md.
 #pragma once
 
 #include <map>
--- a/include/loftrouter/core/heartbeats/heartbeat_forwarder.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_forwarder.hpp
@@ -3,7 +3,7 @@
 // Owns both. Invariants: a response of the leader reaches the heartbeat it was made for, at most once, and never after
 // that heartbeat was given up; and both sets are bounded. The forwarding replica decides nothing itself: the worker
 // gets the leader's response, or is redirected. If a response reached another heartbeat than its own, tasks could run
-// twice (rule `ran_twice`). See docs/safety.md, "Reports passed on", and docs/fleet-scale.md.
+// twice (rule `ran_twice`). See docs/safety.md, "Forwarded heartbeats", and docs/fleet-scale.md.
 #pragma once
 
 #include <cstdint>
--- a/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
@@ -4,7 +4,7 @@
 // Owns the heartbeats that are being forwarded and the balance of workers over replicas. Invariants: a worker gets a
 // response to its own heartbeat alone, made by the leader, or is redirected; and a leader that may not renew leases
 // accepts no heartbeat. If either were broken, tasks could run twice (rule `ran_twice`). Single-threaded, as all of the
-// core. See docs/safety.md, "Reports passed on".
+// core. See docs/safety.md, "Forwarded heartbeats".
 #pragma once
 
 #include <functional>
--- a/include/loftrouter/core/quotas/quota_shares.hpp
+++ b/include/loftrouter/core/quotas/quota_shares.hpp
@@ -1,5 +1,5 @@
 // How a team's limit is divided among cells while it changes: lower before raise. Pure functions on a quota's record;
-// the argument is in docs/safety.md, "Limits that change", and tests compare them with a plain model.
+// the argument is in docs/safety.md, "Quotas that change", and tests compare them with a plain model.
 #pragma once
 
 #include <optional>
--- a/include/loftrouter/core/quotas/quotas.hpp
+++ b/include/loftrouter/core/quotas/quotas.hpp
@@ -2,7 +2,7 @@
 //
 // Owns the limits in force in this cell. Promises that they never exceed the settings file's (quota), that the leader
 // goes by no limit older than one that any leader before it has acknowledged (`ready`), and that work beyond a lowered
-// limit is stopped, with time to save. docs/safety.md, "Limits that change".
+// limit is stopped, with time to save. docs/safety.md, "Quotas that change".
 #pragma once
 
 #include <optional>
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -55,9 +55,9 @@
   PlacementJob job;
   double starts_in_s = 0; // 0: it can
   double estimate_s = 0;
-  double due_s = 0;  // after it could start
-  double left_s = 0; // until then
-  bool low = false;  // of low urgency
+  double target_s = 0; // after it could start
+  double left_s = 0;   // until then
+  bool low = false;    // of low urgency
   // A gang needs all its places at the same time, perhaps in one zone: none serves two of its tasks, one after the
   // other. Counting so from the start rents more than others leave time for (measured: worse); a gang that has waited
   // long is what the easier count does not serve.
@@ -244,9 +244,9 @@
   demand.job_index = job_index;
   demand.starts_in_s = starts_in_s_[job_index.position()];
   demand.estimate_s = std::max(kMinEstimate, spec.estimate_s);
-  demand.due_s = context_.objectives.achievable_target(spec, context_.dependencies.deadline(job_index),
-                                                       context_.scheduler.queue().age_s(job_index));
-  demand.left_s = demand.due_s - job.wait_s;
+  demand.target_s = context_.objectives.achievable_target(spec, context_.dependencies.deadline(job_index),
+                                                          context_.scheduler.queue().age_s(job_index));
+  demand.left_s = demand.target_s - job.wait_s;
   demand.low = job.urgency == Urgency::Low;
   demand.strict = job.gang && job.wait_s > context_.operators.tunables().reserve_after_s;
   demand.in_zone = demand.strict && job.one_zone;
@@ -333,7 +333,7 @@
   const double horizon_s = type.boot_s + (demand.low ? demand.estimate_s : 0.0);
   if (!demand.low || task_price <= kExpensiveRatio * cheapest) return horizon_s;
   const bool can_meet = kSlackShare * demand.left_s > horizon_s;
-  const double patience_s = can_meet ? demand.left_s : kVeryLate * demand.due_s - demand.job.wait_s;
+  const double patience_s = can_meet ? demand.left_s : kVeryLate * demand.target_s - demand.job.wait_s;
   return std::max(horizon_s, kSlackShare * patience_s);
 }
 
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -1,6 +1,6 @@
 // Configuration that changes while the service runs: how a team's limit is divided among cells, against a slow plain
 // model; records and the older documents side by side; lowered limits, takeovers, lost watches and cuts in the
-// simulated worlds. The argument: docs/safety.md, "Limits that change".
+// simulated worlds. The argument: docs/safety.md, "Quotas that change".
 #include <gtest/gtest.h>
 
 #include <deque>
