--- a/src/core/connectivity/connectivity_monitor.cpp
+++ b/src/core/connectivity/connectivity_monitor.cpp
@@ -186,20 +186,20 @@
 
 // How badly a replica is placed to lead.
 int ConnectivityMonitor::placement_penalty(const ConnectivityRecord &record) const {
-  constexpr int kForwardedOnly = 1;
-  constexpr int kWorkersUnknown = 2;
-  constexpr int kWorkersUnreachable = 5;
-  constexpr int kProviderUnhealthy = 3;
+  constexpr int forwarded_only = 1;
+  constexpr int workers_unknown = 2;
+  constexpr int workers_unreachable = 5;
+  constexpr int provider_unhealthy = 3;
   int penalty = 0;
   if (record.workers != WorkerReachability::Reachable) {
     if (core::reachable_by_forwarding(record, settings_))
-      penalty += kForwardedOnly;
+      penalty += forwarded_only;
     else if (record.workers == WorkerReachability::Unknown)
-      penalty += kWorkersUnknown;
+      penalty += workers_unknown;
     else
-      penalty += kWorkersUnreachable;
+      penalty += workers_unreachable;
   }
-  if (record.cloud == ProviderHealth::Unhealthy) penalty += kProviderUnhealthy;
+  if (record.cloud == ProviderHealth::Unhealthy) penalty += provider_unhealthy;
   return penalty;
 }
 
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -17,8 +17,8 @@
 // ---- look-ups in the graph ----
 
 const Dependencies::Node &Dependencies::node(JobIndex job_index) const {
-  static const Node none;
-  return has_node(job_index) ? nodes_[job_index.position()] : none;
+  static const Node kNone;
+  return has_node(job_index) ? nodes_[job_index.position()] : kNone;
 }
 
 bool Dependencies::ready(JobIndex job_index) const {
--- a/src/core/jobs/failure_attribution.cpp
+++ b/src/core/jobs/failure_attribution.cpp
@@ -19,8 +19,8 @@
 // ---- look-ups ----
 
 const FailureAttribution::JobHistory &FailureAttribution::history(JobIndex job_index) const {
-  static const JobHistory none;
-  return job_index.position() < job_histories_.size() ? job_histories_[job_index.position()] : none;
+  static const JobHistory kNone;
+  return job_index.position() < job_histories_.size() ? job_histories_[job_index.position()] : kNone;
 }
 
 bool FailureAttribution::suspected(JobIndex job_index) const {
--- a/src/core/jobs/pending_reasons.cpp
+++ b/src/core/jobs/pending_reasons.cpp
@@ -11,8 +11,8 @@
 }
 
 const std::string &PendingReasons::last_event(JobIndex job_index) const {
-  static const std::string none;
-  return job_index.position() < last_events_.size() ? last_events_[job_index.position()] : none;
+  static const std::string kNone;
+  return job_index.position() < last_events_.size() ? last_events_[job_index.position()] : kNone;
 }
 
 // It stays until the next such event.
--- a/src/core/state/usage_ledger.cpp
+++ b/src/core/state/usage_ledger.cpp
@@ -44,8 +44,8 @@
 }
 
 const SumsByTeam &UsageLedger::sums(ShardIndex shard) const {
-  static const SumsByTeam none;
-  return shard.position() < sums_.size() ? sums_[shard.position()] : none;
+  static const SumsByTeam kNone;
+  return shard.position() < sums_.size() ? sums_[shard.position()] : kNone;
 }
 
 void UsageLedger::load_sums(ShardIndex shard, SumsByTeam sums) {
--- a/src/core/workers/heartbeat_reconciliation.cpp
+++ b/src/core/workers/heartbeat_reconciliation.cpp
@@ -9,8 +9,8 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr std::size_t kMaxStarts = 400;     // in one response; keeps it below the protocol's 64 KiB
-constexpr double kResponsePatience_s = 3.5; // a worker whose response is lost tries again after 4 s at the soonest
+constexpr std::size_t kMaxStarts = 400;    // in one response; keeps it below the protocol's 64 KiB
+constexpr double kResponsePatienceS = 3.5; // a worker whose response is lost tries again after 4 s at the soonest
 // Of a lease: an incarnation that ends sooner after a response has not received it.
 constexpr double kUnacknowledgedLeaseShare = 0.6;
 
@@ -55,7 +55,7 @@
   evidence.acknowledged = shows_our_token && !machine.downlink.verified();
   if (!machine.heartbeat.received()) return evidence;
   const double since_response_s = runtime_.now() - machine.heartbeat.last_accepted_at;
-  const bool in_time = since_response_s < kResponsePatience_s && settings_.heartbeat_interval_s < kResponsePatience_s;
+  const bool in_time = since_response_s < kResponsePatienceS && settings_.heartbeat_interval_s < kResponsePatienceS;
   const bool restarted = heartbeat.incarnation > machine.heartbeat.incarnation;
   evidence.acknowledged |= in_time && shows_our_token;
   evidence.unacknowledged =
