--- a/bench/scale/channel.hpp
+++ b/bench/scale/channel.hpp
@@ -1,5 +1,5 @@
-// Lines of text between the runner of a scale run and its processes, over pipes. Bounded: a line is at most kMostLine
-// bytes, and what the far end doesn't take within kMostUnsent bytes ends the process, as the run would be worthless.
+// Lines of text between the runner of a scale run and its processes, over pipes. Bounded: a line is at most kMaxLine
+// bytes, and what the far end doesn't take within kMaxUnsent bytes ends the process, as the run would be worthless.
 #pragma once
 
 #include <functional>
