--- a/tests/fingerprint/effects_hash.cpp
+++ b/tests/fingerprint/effects_hash.cpp
@@ -34,6 +34,42 @@
   std::string out_;
 };
 
+// Keeps the order of a map's fields, which is hashed too.
+using OrderedJson = nlohmann::ordered_json;
+
+void empty_texts(OrderedJson &value) {
+  for (auto &item : value.items()) {
+    if (item.value().is_structured())
+      empty_texts(item.value());
+    else if (item.value().is_string() && (item.key() == "error" || item.key() == "reason"))
+      item.value() = "";
+  }
+}
+
+// A body whose texts for people are empty; the body itself if it is neither a map nor a list.
+std::string without_texts(const std::string &body, bool json) {
+  auto value = json ? OrderedJson::parse(body, nullptr, false) : OrderedJson::from_cbor(body, true, false);
+  if (!value.is_structured()) return body;
+  empty_texts(value);
+  if (json) return value.dump();
+  std::string bytes;
+  OrderedJson::to_cbor(value, bytes);
+  return bytes;
+}
+
+core::Reply without_texts(core::Reply reply) {
+  reply.body = without_texts(reply.body, reply.json);
+  return reply;
+}
+
+core::PeerSend without_texts(core::PeerSend frame) {
+  auto &message = frame.message;
+  for (auto &job : message.jobs)
+    job.reason.clear();
+  if (message.kind == wire::PeerMessage::Kind::UserResponse) message.body = without_texts(message.body, false);
+  return frame;
+}
+
 std::string content_of(const core::Reply &reply) {
   constexpr int kNoRetryAfter = -1;
   return FieldWriter()
@@ -168,12 +204,15 @@
     for (const auto &message : messages)
       add({time, sender, destination, content_of(message)});
   };
-  add_all(Destination::User, effects.replies);
+  const bool leave_out = texts_ == TextContents::LeftOut;
+  for (const auto &reply : effects.replies)
+    add({time, sender, Destination::User, content_of(leave_out ? without_texts(reply) : reply)});
   add_all(Destination::OtherCell, effects.cells);
   add_all(Destination::StateService, effects.store);
   add_all(Destination::Cloud, effects.cloud);
   add_all(Destination::Worker, effects.workers);
-  add_all(Destination::Replica, effects.peers);
+  for (const auto &frame : effects.peers)
+    add({time, sender, Destination::Replica, content_of(leave_out ? without_texts(frame) : frame)});
 }
 
 } // namespace loftrouter::fingerprint
--- a/tests/fingerprint/effects_hash.hpp
+++ b/tests/fingerprint/effects_hash.hpp
@@ -1,6 +1,6 @@
 // A hash of all that simulated controllers send: to the state service, the cloud, workers, replicas, other cells and
 // users, each message with its time and its sender. What has an encoding on the network is hashed as those bytes, the
-// rest field by field. Log lines are left out.
+// rest field by field. Log lines are left out, and on request what texts for people say.
 #pragma once
 
 #include <cstdint>
@@ -43,10 +43,17 @@
   std::string content;
 };
 
+// Whether the hash covers what texts for people say: the fields `error` and `reason` of a response to a user or
+// operator, also while a replica forwards it, and the reason in a digest of jobs. Everything else is hashed either way,
+// and so is whether such a field is there.
+enum class TextContents : std::uint8_t { Hashed, LeftOut };
+
 class EffectsHash {
 public:
-  // Told of each message, in order: for finding the first that differs between two versions.
-  explicit EffectsHash(std::function<void(const SentMessage &)> observer = {}) : observer_(std::move(observer)) {}
+  // `observer` is called with each message, in order: for finding the first that differs between two versions.
+  explicit EffectsHash(TextContents texts = TextContents::Hashed,
+                       std::function<void(const SentMessage &)> observer = {})
+      : texts_(texts), observer_(std::move(observer)) {}
   void add(const Sender &sender, double time, const core::Effects &effects);
   std::uint64_t value() const { return hash_.value(); }
   std::uint64_t messages() const { return messages_; }
@@ -54,6 +61,7 @@
 private:
   void add(SentMessage message);
 
+  TextContents texts_;
   std::function<void(const SentMessage &)> observer_;
   Hash hash_;
   std::uint64_t messages_ = 0;
--- a/tests/fingerprint/main.cpp
+++ b/tests/fingerprint/main.cpp
@@ -21,7 +21,9 @@
 struct Options {
   int seeds = 20, first_seed = 1, jobs = 4;
   std::vector<std::string> scenarios; // none: all
-  bool list = false, by_seed = false, trace = false;
+  bool list = false, by_seed = false, trace = false, ignore_texts = false;
+
+  TextContents texts() const { return ignore_texts ? TextContents::LeftOut : TextContents::Hashed; }
 };
 
 struct ScenarioRun {
@@ -36,7 +38,8 @@
   const auto work = [&] {
     for (std::size_t i = next++; i < runs.size() * seeds; i = next++) {
       auto &run = runs[runs.size() - 1 - i / seeds]; // the longest are the last of the list
-      run.seeds[i % seeds] = play_seed(*run.scenario, static_cast<std::uint64_t>(options.first_seed) + i % seeds);
+      const auto seed = static_cast<std::uint64_t>(options.first_seed) + i % seeds;
+      run.seeds[i % seeds] = play_seed(*run.scenario, seed, options.texts());
     }
   };
   std::vector<std::thread> threads;
@@ -84,8 +87,8 @@
 }
 
 // Every message on a line: the first line that differs between two versions shows what has changed.
-void print_trace(const Scenario &scenario, std::uint64_t seed) {
-  EffectsHash hash([](const SentMessage &message) {
+void print_trace(const Scenario &scenario, std::uint64_t seed, TextContents texts) {
+  EffectsHash hash(texts, [](const SentMessage &message) {
     fmt::print("{:.6f} cell {} node {} {} {}\n", message.time, message.sender.cell, message.sender.node,
                destination_name(message.destination), escaped(message.content));
   });
@@ -110,7 +113,7 @@
   }
   auto runs = chosen_runs(options);
   if (options.trace) {
-    print_trace(*runs.front().scenario, static_cast<std::uint64_t>(options.first_seed));
+    print_trace(*runs.front().scenario, static_cast<std::uint64_t>(options.first_seed), options.texts());
     return 0;
   }
   play_all(runs, options);
@@ -137,6 +140,8 @@
   app.add_flag("--list", options.list, "prints the scenarios");
   app.add_flag("--by-seed", options.by_seed, "prints the hash of each seed, too");
   app.add_flag("--trace", options.trace, "prints each message of the first seed of the first scenario");
+  app.add_flag("--ignore-texts", options.ignore_texts,
+               "leaves out what error messages and reasons say; two versions that word them differently are equal");
   CLI11_PARSE(app, argc, argv);
   return run(options);
 }
--- a/tests/fingerprint/scenarios.cpp
+++ b/tests/fingerprint/scenarios.cpp
@@ -617,8 +617,8 @@
   return found == all.end() ? nullptr : &*found;
 }
 
-SeedResult play_seed(const Scenario &scenario, std::uint64_t seed) {
-  EffectsHash hash;
+SeedResult play_seed(const Scenario &scenario, std::uint64_t seed, TextContents texts) {
+  EffectsHash hash(texts);
   SeedResult result;
   result.broken_rules = scenario.play(seed, hash);
   result.hash = hash.value();
--- a/tests/fingerprint/scenarios.hpp
+++ b/tests/fingerprint/scenarios.hpp
@@ -24,6 +24,6 @@
   std::uint64_t hash = 0, messages = 0;
   std::vector<std::string> broken_rules;
 };
-SeedResult play_seed(const Scenario &scenario, std::uint64_t seed);
+SeedResult play_seed(const Scenario &scenario, std::uint64_t seed, TextContents texts = TextContents::Hashed);
 
 } // namespace loftrouter::fingerprint
--- a/tests/fingerprint_test.cpp
+++ b/tests/fingerprint_test.cpp
@@ -4,6 +4,7 @@
 #include <set>
 
 #include "fingerprint/scenarios.hpp"
+#include "loftrouter/wire/cbor.hpp"
 
 using namespace loftrouter;
 using namespace loftrouter::fingerprint;
@@ -13,8 +14,9 @@
 constexpr Sender kSender{0, 1};
 constexpr double kTime = 2.5;
 
-std::uint64_t hash_of(const core::Effects &effects, const Sender &sender = kSender, double time = kTime) {
-  EffectsHash hash;
+std::uint64_t hash_of(const core::Effects &effects, const Sender &sender = kSender, double time = kTime,
+                      TextContents texts = TextContents::Hashed) {
+  EffectsHash hash(texts);
   hash.add(sender, time, effects);
   return hash.value();
 }
@@ -71,3 +73,30 @@
   effects.logs.push_back({core::LogLevel::Info, "event", {}});
   EXPECT_EQ(hash_of(effects), hash_of(one_of_each()));
 }
+
+// Versions that word a text differently are equal without texts, and differ with them.
+TEST(Fingerprint, LeavesTextsOutOnRequest) {
+  const auto without_texts = [](const core::Effects &effects) {
+    return hash_of(effects, kSender, kTime, TextContents::LeftOut);
+  };
+  const auto effects_with = [](const nlohmann::json &body, const std::string &reason) {
+    auto effects = one_of_each();
+    effects.replies[0].body = body.dump();
+    effects.replies.push_back({2, 422, wire::encode(body), {}, false});
+    auto &message = effects.peers[0].message;
+    message.kind = wire::PeerMessage::Kind::UserResponse;
+    message.body = wire::encode(body);
+    effects.peers.push_back(effects.peers[0]);
+    effects.peers[1].message.kind = wire::PeerMessage::Kind::Digest;
+    effects.peers[1].message.jobs.push_back({"job", 1, 2, false, reason});
+    return effects;
+  };
+  const auto original = effects_with({{"jobs", {{{"id", "a"}, {"reason", "one"}}}}, {"error", "one"}}, "one");
+  const auto reworded = effects_with({{"jobs", {{{"id", "a"}, {"reason", "two"}}}}, {"error", "two"}}, "two");
+  const auto other_field = effects_with({{"jobs", {{{"id", "b"}, {"reason", "one"}}}}, {"error", "one"}}, "one");
+  const auto no_text = effects_with({{"jobs", {{{"id", "a"}, {"reason", "one"}}}}}, "one");
+  EXPECT_NE(hash_of(original), hash_of(reworded));
+  EXPECT_EQ(without_texts(original), without_texts(reworded));
+  EXPECT_NE(without_texts(original), without_texts(other_field));
+  EXPECT_NE(without_texts(original), without_texts(no_text));
+}
