--- a/include/loftrouter/core/state/cancellations.hpp
+++ b/include/loftrouter/core/state/cancellations.hpp
@@ -1,11 +1,10 @@
-// Up to which moment this replica, as leader, knows every cancellation, and so for how long it may keep workers alive.
+// Tracks which job cancellations this replica knows, and decides whether the leader may renew worker leases.
 //
-// Owns what this replica has read or written of cancellations, what the other replicas have reported of theirs, and
-// the moment up to which that is complete: `known_until`. Invariant: every cancellation that any user was told of
-// before then is marked in the job table, also for a job that comes into it later. It is the only place that decides
-// whether workers' leases may be renewed as far as cancellations go; if it were wrong, a task would outlive its
-// cancellation (rule `ran_cancelled`; docs/safety.md has the argument). It takes no part in elections. Times are
-// monotonic, in seconds, unless a name says otherwise. Not thread-safe: used by the core's thread alone.
+// The leader merges cancellations from three sources: its own requests, the other replicas' reports, and the state
+// service. `known_until` is the time up to which that is complete. Invariant: every cancellation acknowledged to a user
+// before `known_until` is marked in the job table, also for jobs added to the table later. Without it a task could
+// outlive its cancellation (rule `ran_cancelled`, docs/safety.md). Times are monotonic seconds unless a name says
+// otherwise. Not thread-safe: used by the core thread only.
 #pragma once
 
 #include <deque>
@@ -24,23 +23,26 @@
 public:
   Cancellations(Runtime &runtime, const Settings &settings, const Leadership &leadership, JobTable &jobs);
 
-  // This replica has read or written that a job is cancelled. To be called before any user is told.
+  // Records that a job is cancelled. Must be called before the user gets an acknowledgement.
   void record(const std::string &id);
-  // Ids that this replica has recorded within `Settings::cancel_s`, the newest first, as many as a message to another
-  // replica holds.
+  // Returns the ids recorded within `Settings::cancel_s`, newest first, at most wire::kPeerMaxCancelled.
   [[nodiscard]] std::vector<std::string> recent();
-  // Whether `recent` has left none out.
+  // Returns whether `recent` returns all of them.
   [[nodiscard]] bool recent_is_complete() const { return recorded_here_.size() <= wire::kPeerMaxCancelled; }
 
-  // Everything that was in the state service at `asked_at` has been taken into the job table.
-  void confirmed_by_state_service(double asked_at);
-  // Another replica's `recent`, in answer to a question sent at `asked_at`, and for how long its process has run.
-  void confirmed_by_replica(std::size_t replica, double asked_at, double uptime_s, const std::vector<std::string> &ids);
+  // Called when everything stored in the state service at `requested_at` has been merged into the job table.
+  void confirmed_by_state_service(double requested_at);
+  // Merges another replica's `recent`, the reply to a request sent at `requested_at`. `uptime_s`: how long its process
+  // has run.
+  void confirmed_by_replica(std::size_t replica, double requested_at, double uptime_s,
+                            const std::vector<std::string> &ids);
 
-  // The moment up to which every cancellation is known; and the same on the wall clock, s since 1970.
+  // Returns the time up to which every cancellation is known.
   [[nodiscard]] double known_until() const;
+  // The same as wall clock time, seconds since 1970.
   [[nodiscard]] double known_until_wall() const { return runtime_.wall() - (runtime_.now() - known_until()); }
-  // Whether a worker's lease may be renewed now: a task whose cancellation is not known here would still end in time.
+  // Returns whether worker leases may be renewed: tasks with a cancellation not yet known here would still stop in
+  // time.
   [[nodiscard]] bool may_renew() const;
 
   void on(const LeaderElected &);
@@ -49,7 +51,7 @@
 
 private:
   static constexpr double kNever = -1e9;
-  // Bounds, in jobs: as many as a replica remembers as open, at 0.12 KB each.
+  // Limits in jobs; an entry takes about 0.12 KB.
   static constexpr std::size_t kMaxRecorded = 12'000;
   static constexpr std::size_t kMaxUnmatched = 12'000;
 
@@ -58,20 +60,20 @@
     double recorded_at;
   };
 
-  [[nodiscard]] bool collecting() const;
-  [[nodiscard]] bool apply(const std::string &id);
+  [[nodiscard]] bool tracking() const;
+  [[nodiscard]] bool mark_cancelled(const std::string &id);
 
   Runtime &runtime_;
   const Settings &settings_;
   const Leadership &leadership_;
   JobTable &jobs_;
   std::deque<RecordedCancellation> recorded_here_;
-  // Cancelled jobs that are not in the job table, and when this was learned: an answer of the state service that was
-  // asked for before then may still bring the job in, without its cancellation.
+  // Cancelled jobs that are not in the job table, with the time of the cancellation. A state service request sent
+  // before that time may still return the job without its cancellation.
   std::unordered_map<std::string, double> unmatched_;
   double confirmed_by_state_service_ = kNever;
-  std::vector<double> confirmed_by_replica_; // by replica: all that its processes had recorded by then is known here
-  double dropped_at_ = kNever;               // when an own record found no room in `unmatched_`
+  std::vector<double> confirmed_by_replica_; // by replica: everything it recorded up to then is known
+  double dropped_at_ = kNever;               // last time a record was dropped because `unmatched_` was full
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/state/end_record_compaction.hpp
+++ b/include/loftrouter/core/state/end_record_compaction.hpp
@@ -1,8 +1,9 @@
-// Moves ends of jobs that were written into their open records to records of their own (open/ to end/).
+// Moves end records stored in the open record of a job (open/) to their own key (end/).
 //
-// Where many jobs end at once, one write in place of the open record says so for each, since users wait for that; the
-// move is made when nothing else waits for the state service. Owns the queue of moves; bounded, as nothing is ended in
-// place while the queue is full. Not thread-safe: used by the core's thread alone.
+// When many jobs end at once, each end is first written in place of the open record, which takes one write instead of
+// two; users wait for that write. The move to end/ happens later, when the state service has spare write capacity. The
+// queue is bounded because EndRecordWriter stops writing ends in place while it is full. Not thread-safe: used by the
+// core thread only.
 #pragma once
 
 #include <cstddef>
@@ -22,15 +23,16 @@
 
   void enqueue(PendingCompaction compaction) { queue_.push_back(std::move(compaction)); }
   [[nodiscard]] bool empty() const { return queue_.empty(); }
-  // Nothing more is to be ended in place. (Ends that were found in place after an election come in beyond that.)
+  // Returns whether no more ends may be written in place. Ends found in place after an election are queued regardless.
   [[nodiscard]] bool full() const { return queue_.size() >= kMaxQueued; }
-  // The end of a job that is still in its open record; null if it is in none that waits here.
+  // Returns the queued end record of a job, or null. The pointer is valid until the queue changes.
   [[nodiscard]] const wire::Json *find_end(std::string_view id) const;
 
-  // Adds moves as far as they fit, but only with most of the write budget at hand, so that nothing waits for them.
+  // Adds moves to the transaction up to `max_operations` writes, but only if most of the write budget is available, so
+  // that they delay no other write.
   void add_to(WriteTransaction &transaction, double write_budget, std::size_t max_operations);
-  // After a transaction that was not applied. `conflicts`: keys whose records are not as expected; those have been
-  // moved already, by a write that had no answer.
+  // Requeues the moves of a transaction that was not applied. `conflicts`: keys with an unexpected revision; their
+  // records were already moved by an earlier write whose reply was lost.
   void requeue(const std::vector<PendingCompaction> &compactions, const std::vector<std::string> &conflicts);
 
   void clear() { queue_.clear(); }
--- a/include/loftrouter/core/state/end_record_writer.hpp
+++ b/include/loftrouter/core/state/end_record_writer.hpp
@@ -1,10 +1,9 @@
-// Writes how jobs ended, and removes them from the job table once that is known to be recorded.
+// Writes the end records of jobs and removes the jobs from the job table once the write is confirmed.
 //
-// Owns the queue of jobs whose ends are to be written, and what is known of each write. Invariants: a job is ended only
-// while nothing of it runs or may run (Job::finishable); its end is written only over the open record as last seen, so
-// that a cancellation that comes in between is not lost; a write without an answer is looked up before the next one.
-// If they were broken, a job could be reported done and then go back (rule `went_back`). Not thread-safe: used by the
-// core's thread alone.
+// Invariants: a job ends only when none of its tasks runs or may run (Job::finishable). An end record replaces only the
+// last seen revision of the open record, so that a concurrent cancellation is not lost. After a write without a reply
+// the record is read back before the next write. Without them a job could be reported done and later as open again
+// (rule `went_back`). Not thread-safe: used by the core thread only.
 #pragma once
 
 #include <deque>
@@ -28,43 +27,44 @@
 
   void enqueue(JobIndex job_index);
   [[nodiscard]] bool empty() const { return queue_.empty(); }
-  // So many jobs end at present that writing fewer records matters more than writing them soon.
+  // Returns whether so many ends are queued that saving writes matters more than latency.
   [[nodiscard]] bool busy() const;
 
-  // Adds ends, the oldest first, as far as they fit. `in_place`: into the open records, one write each.
-  void add_to(WriteTransaction &transaction, TransactionRoom &room, bool in_place);
+  // Adds queued ends, oldest first, up to the capacity. `in_place`: store each end in the open record, with a single
+  // write.
+  void add_to(WriteTransaction &transaction, TransactionCapacity &capacity, bool in_place);
 
-  // Outcomes of a transaction, by the ids of the jobs that it ends. `revision`: that of the records written.
-  void recorded(const std::vector<std::string> &ids, std::uint64_t revision);
-  void outcome_unknown(const std::vector<std::string> &ids);
-  void not_applied(const std::vector<std::string> &ids); // after any outcome but `recorded`; they are not queued again
-  // The state service has refused the end for its size: the next one goes without its reason.
-  void refused_for_size(const std::string &id);
-  // A record of this job has another revision than the transaction expected.
-  void conflicted(const std::string &id);
+  // Handle the outcome of a transaction; `ids` are the jobs that it ends. `revision`: revision of the written records.
+  void on_committed(const std::vector<std::string> &ids, std::uint64_t revision);
+  void on_outcome_unknown(const std::vector<std::string> &ids);
+  void on_not_applied(const std::vector<std::string> &ids); // any outcome but committed; doesn't requeue the jobs
+  // The state service rejected the end record as too large; the next one is written without its reason text.
+  void on_too_large(const std::string &id);
+  // A record of this job has a different revision than the transaction expected.
+  void on_conflict(const std::string &id);
 
-  // Looks up the record of a job that is no longer as this leader knows it, and follows what it says.
+  // Reads the open record of a job whose stored state is uncertain, and updates the job from it.
   void resync(JobIndex job_index);
 
   void clear();
 
 private:
-  struct EndState { // of a job
+  struct EndState {
     bool queued = false;
-    bool needs_resync = false; // its open record's revision is unknown
+    bool needs_resync = false; // the revision of the open record is unknown
     bool resyncing = false;
-    bool in_place = false; // how `end` is being written
-    EndRecord end;         // while it is being written
+    bool in_place = false; // whether `end` is written into the open record
+    EndRecord end;         // valid while it is being written
   };
 
-  EndState &state(JobIndex job_index) { return grown(states_, job_index); }
-  bool ready(JobIndex job_index);
+  EndState &end_state(JobIndex job_index) { return grown(states_, job_index); }
+  bool ready_to_write(JobIndex job_index);
   void add_end(JobIndex job_index, WriteTransaction &transaction, bool in_place);
   void log_end(JobIndex job_index, const EndRecord &end);
   void on_open_record_read(const std::string &id, const wire::StoreReply &reply);
   void on_open_record_gone(JobIndex job_index);
   void on_end_record_read(const std::string &id, const wire::StoreReply &reply);
-  void finish_ended(JobIndex job_index, EndRecord end);
+  void remove_ended(JobIndex job_index, EndRecord end);
   void remove(JobIndex job_index);
 
   Runtime &runtime_;
@@ -79,7 +79,7 @@
   EndRecordCompaction &compaction_;
   WriteSchedule &schedule_;
   std::deque<JobIndex> queue_;
-  std::vector<EndState> states_; // by job
+  std::vector<EndState> states_; // by job index
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/state/job_progress.hpp
+++ b/include/loftrouter/core/state/job_progress.hpp
@@ -1,4 +1,4 @@
-// What the leader has recorded, and still has to record, of the progress of one open job.
+// Per-job state of the progress records: what has been written to the state service and what is still to be written.
 #pragma once
 
 #include <cstdint>
@@ -9,34 +9,34 @@
 
 namespace loftrouter::core {
 
-// How far the records of the state service have followed one task. A write covers what was so when it was built; what
-// comes up later waits for the next write.
+// Tracks how much of one task's progress is stored in the state service. A write covers the state at the time it was
+// built; later changes need another write.
 struct TaskRecordState {
-  bool started : 1 = false;             // may be, or may have been, on a machine; never taken back
-  bool start_in_write : 1 = false;      // the latest write of its progress says so
-  bool start_recorded : 1 = false;      // a confirmed write says so: the start may be sent
-  bool completion_in_write : 1 = false; // the same two for its completion
-  bool completion_recorded : 1 = false; // the worker may forget the task
+  bool started : 1 = false;             // the task may be or may have been on a machine; never reset
+  bool start_in_write : 1 = false;      // included in the latest write
+  bool start_recorded : 1 = false;      // confirmed by the state service: the worker may be told to start it
+  bool completion_in_write : 1 = false; // included in the latest write
+  bool completion_recorded : 1 = false; // confirmed by the state service: the worker may forget the task
 };
-static_assert(sizeof(TaskRecordState) == 1, "there is one of each task of each open job");
+static_assert(sizeof(TaskRecordState) == 1, "held for every task of every open job");
 
 struct JobProgress {
   static constexpr std::uint32_t kDefaultPrerecordedTasks = 4;
 
-  std::vector<TaskRecordState> tasks; // by index of the task
+  std::vector<TaskRecordState> tasks; // by task index
 
-  // Where its entry is. A job moves when the record that holds it is larger than may be written by now; it stands in
-  // both until the old record has been written without it.
+  // The shard that holds the entry. A job moves to another shard when its record exceeds the maximum size. Both records
+  // hold the entry until the old one has been written without it.
   ShardIndex shard;
-  ShardIndex moving_from;     // valid while it moves
-  bool copy_recorded = false; // while it moves: a confirmed write of `shard` holds its entry
+  ShardIndex moving_from;     // valid during a move
+  bool copy_recorded = false; // during a move: a confirmed write of `shard` holds the entry
 
-  wire::Json entry;        // as last written
+  wire::Json entry;        // the job's part of the record, as last written
   bool dirty = false;      // differs from `entry`
-  int size_reductions = 0; // each halves the room of its task ranges; the state service has refused the record
+  int size_reductions = 0; // times the record was rejected as too large; each halves the space for task ranges
   std::uint32_t prerecorded_tasks = kDefaultPrerecordedTasks; // see ProgressWriter::set_prerecorded_tasks
 
-  // Generations of its delegations, in the latest write and in the latest confirmed one.
+  // Generations of the job's delegations in the latest write, and in the latest confirmed write.
   std::vector<std::uint64_t> delegations_in_write;
   std::vector<std::uint64_t> delegations_recorded;
 };
--- a/include/loftrouter/core/state/period_rollup.hpp
+++ b/include/loftrouter/core/state/period_rollup.hpp
@@ -1,10 +1,10 @@
-// Moves the usage sums of past accounting periods from the progress shards to one record a period (accounts/<period>),
-// so that progress records stay small and a failover reads no history.
+// Moves the usage sums of past accounting periods from the progress shards to one record per period
+// (accounts/<period>), so that progress records stay small and a failover reads no history.
 //
-// Invariant: one transaction takes the sums out of a shard and adds them to the period's record, guarded by the
-// revisions of both; if its answer is lost, ProgressWriter finds out from the shard itself whether it was applied. If
-// that were broken, usage would be counted twice or not at all (docs/accounts.md). A period's record that cannot be
-// read is never written over. Not thread-safe: used by the core's thread alone.
+// Invariant: a single transaction, conditional on the revisions of both records, removes the sums from a shard and adds
+// them to the period's record. If its reply is lost, ProgressWriter reads the shard to find out whether it was applied.
+// Otherwise usage would be counted twice or not at all (docs/accounts.md). An unreadable period record is never
+// overwritten. Not thread-safe: used by the core thread only.
 #pragma once
 
 #include <functional>
@@ -21,15 +21,15 @@
 
 class PeriodRollup {
 public:
-  // Sends a transaction, and delivers its outcome to the parts of StateWriter.
+  // Sends a transaction; StateWriter handles its outcome.
   using Commit = std::function<void(WriteTransaction &&)>;
 
   PeriodRollup(const StateContext &context, ProgressShards &shards, ProgressWriter &progress_writer,
                WriteSchedule &schedule, Commit commit);
 
-  // Begins to move the oldest past period of the first shard that has one. Only while nothing else is to be written.
+  // Starts moving the oldest past period of the first shard that has one. Call only if nothing else is to be written.
   void start_next();
-  // The state service has refused the transaction for its size: the sums of this period stay where they are.
+  // Leaves the sums of this period in the shards, because the state service rejected the transaction as too large.
   void exclude(const std::string &period) { excluded_periods_.insert(period); }
 
 private:
@@ -46,7 +46,7 @@
   ProgressWriter &progress_writer_;
   WriteSchedule &schedule_;
   Commit commit_;
-  std::set<std::string> excluded_periods_; // for as long as this process runs
+  std::set<std::string> excluded_periods_; // kept until the process restarts
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/state/progress_loader.hpp
+++ b/include/loftrouter/core/state/progress_loader.hpp
@@ -1,8 +1,8 @@
-// Reads the progress records that earlier leaders have left, between this node's election and its term.
+// Loads the progress records of earlier leaders, between this replica's election and the start of its term.
 //
-// Owns what they say of each job until its open record is read. Invariant: a job that stands in several records has
-// been started as far as any of them says; if a start were dropped, the task could run twice (rule `ran_twice`).
-// Not thread-safe: used by the core's thread alone.
+// Keeps the loaded progress of each job until its open record is read. Invariant: if several records hold a job, the
+// starts in all of them count; a dropped start could let the task run twice (rule `ran_twice`). Not thread-safe: used
+// by the core thread only.
 #pragma once
 
 #include <map>
@@ -18,24 +18,24 @@
 public:
   struct LoadedJob {
     ProgressRecord progress;
-    ShardIndex shard; // of the newest record that has an entry of it
+    ShardIndex shard; // of the newest record with an entry for the job
   };
 
   ProgressLoader(const StateContext &context, ProgressShards &shards);
 
-  // Adds a record. False: it cannot be read, so that what it may say of started tasks is not known, and nothing may be
-  // started in this term.
+  // Loads a record. Returns false if it is unreadable: some tasks may have been started unknown to this leader, so it
+  // must not start any in this term.
   [[nodiscard]] bool load(const wire::KeyValue &record);
-  // What was read of a job; null if nothing was.
+  // Returns the loaded progress of a job, or null.
   [[nodiscard]] const LoadedJob *find(const Job &job) const;
-  // All open records have been read. With accounts, jobs that were not among them are unsettled (UsageSettlement);
-  // shards without any content are written next, so that they are deleted.
+  // Called after all open records have been loaded. If accounting is enabled, jobs without an open record become
+  // unsettled (UsageSettlement). Empty shards are marked dirty so that they are deleted.
   void finish();
-  void clear() { jobs_read_.clear(); }
+  void clear() { loaded_jobs_.clear(); }
 
 private:
-  // Id of a job and, if another cell has delegated it to this one, the generation of the delegation: what an earlier
-  // delegation of the same job has done here is not taken for this one's. 0: a job of this cell's own users.
+  // Job id and, if another cell delegated the job to this one, the generation of the delegation (0: a local job). The
+  // generation keeps apart the progress of earlier delegations of the same job.
   using Key = std::pair<std::string, std::uint64_t>;
 
   void merge(const std::string &id, const ProgressRecord &progress, ShardIndex shard);
@@ -43,7 +43,7 @@
   JobTable &jobs_;
   UsageLedger &ledger_;
   ProgressShards &shards_;
-  std::map<Key, LoadedJob> jobs_read_;
+  std::map<Key, LoadedJob> loaded_jobs_;
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/state/progress_writer.hpp
+++ b/include/loftrouter/core/state/progress_writer.hpp
@@ -1,9 +1,9 @@
-// Writes progress shards, and learns from the state service what has been written.
+// Writes progress shards and tracks which writes the state service has confirmed.
 //
-// Invariants: the entry of a job never names too few started tasks; TaskRecordState::start_recorded and
-// completion_recorded say only what a confirmed write has said; a shard whose write was refused or had no answer is
-// read again before its next write. If the first two were broken, a task could run twice after a failover (rule
-// `ran_twice`). Not thread-safe: used by the core's thread alone.
+// Invariants: a job's entry never omits a started task; TaskRecordState::start_recorded and completion_recorded reflect
+// confirmed writes only; after a rejected or unanswered write a shard is read back before it is written again. If the
+// first two were broken, a task could run twice after a failover (rule `ran_twice`). Not thread-safe: used by the core
+// thread only.
 #pragma once
 
 #include <string>
@@ -21,30 +21,30 @@
 public:
   ProgressWriter(const StateContext &context, ProgressShards &shards, WriteSchedule &schedule);
 
-  // How many pending tasks of a job are to be recorded as started before they are placed, so that their starts need no
-  // write of their own.
+  // Sets how many pending tasks of a job are recorded as started before they are placed, so that their starts don't
+  // wait for a write.
   void set_prerecorded_tasks(JobIndex job_index, std::uint32_t tasks);
 
-  // Adds shards in this order, as far as they fit. One that has to be read again first is read instead.
-  void add_shards(const std::vector<ShardIndex> &shards, WriteTransaction &transaction, TransactionRoom &room);
-  // Adds one shard. `without_period`: an accounting period whose sums are left out; empty: none.
+  // Adds shards in the given order, up to the capacity. Those that need a resync are read instead.
+  void add_shards(const std::vector<ShardIndex> &shards, WriteTransaction &transaction, TransactionCapacity &capacity);
+  // Adds one shard. `without_period`: an accounting period whose sums are omitted; empty: none.
   void add_shard(ShardIndex shard, WriteTransaction &transaction, const std::string &without_period = {});
 
-  // Outcomes of a transaction. `revision`: that of the records written.
-  void recorded(const WriteTransaction &transaction, std::uint64_t revision);
-  void outcome_unknown(const WriteTransaction &transaction);
-  // The record under this key has another revision than the transaction expected.
-  void conflicted(const std::string &key);
+  // Handle the outcome of a transaction. `revision`: revision of the written records.
+  void on_committed(const WriteTransaction &transaction, std::uint64_t revision);
+  void on_outcome_unknown(const WriteTransaction &transaction);
+  // The record at this key has a different revision than the transaction expected.
+  void on_conflict(const std::string &key);
 
 private:
   void prerecord_starts(JobIndex job_index);
   [[nodiscard]] ProgressRecord progress_record(JobIndex job_index) const;
   void limit_size(ProgressRecord &progress, JobIndex job_index) const;
-  void cover_task_states(JobIndex job_index);
+  void snapshot_written_state(JobIndex job_index);
   void build_entry(JobIndex job_index, WriteTransaction &transaction);
   [[nodiscard]] wire::Json shard_value(ShardIndex shard, const std::string &without_period) const;
-  void task_states_recorded(JobIndex job_index);
-  void delegations_recorded(JobIndex job_index);
+  void mark_task_states_recorded(JobIndex job_index);
+  void publish_recorded_delegations(JobIndex job_index);
   void resync(ShardIndex shard);
   void on_shard_read(ShardIndex shard, const wire::StoreReply &reply);
   void resolve_rollup(ShardIndex shard, const wire::Json &value);
--- a/include/loftrouter/core/state/shard_index.hpp
+++ b/include/loftrouter/core/state/shard_index.hpp
@@ -1,10 +1,10 @@
-// Index of a progress shard: of a record that holds the progress of many jobs and what their teams have used.
+// Index of a progress shard in ProgressShards; valid for one term.
 #pragma once
 
 #include "loftrouter/core/runtime/dense_index.hpp"
 
 namespace loftrouter::core {
 
-using ShardIndex = DenseIndex<struct ShardIndexTag>; // of ProgressShards, while this node leads
+using ShardIndex = DenseIndex<struct ShardIndexTag>;
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/state/state_context.hpp
+++ b/include/loftrouter/core/state/state_context.hpp
@@ -1,5 +1,5 @@
-// The parts of the core that the state module is built on. Passed to the constructors of the module's classes, each of
-// which keeps references to those that it needs; every part outlives them.
+// Dependencies of the state module, passed to the constructors of its classes. Everything referred to outlives those
+// classes; each keeps references to what it needs.
 #pragma once
 
 #include "loftrouter/core/election/leadership.hpp"
--- a/include/loftrouter/core/state/state_watch.hpp
+++ b/include/loftrouter/core/state/state_watch.hpp
@@ -1,9 +1,9 @@
-// Reads the records of the state service when this replica is elected, and follows the open ones while it leads.
+// Loads the stored records after this replica is elected, and watches the open records while it leads.
 //
-// Owns the list, the watch and the audit under way. Invariant: when it confirms a moment to `Cancellations`, everything
-// that was recorded before then has been taken into the job table; if it were broken, a job could be forgotten, or a
-// task could run after its cancellation (rules `forgotten`, `ran_cancelled`). Progress records are read before open
-// records, and the term begins only when all of both have been read. Not thread-safe: used by the core's thread alone.
+// Progress records are read before open records, and the term begins only after all of both are loaded. Invariant:
+// everything recorded before a time that it confirms to `Cancellations` has been merged into the job table; otherwise a
+// job could be forgotten or a task could run after its cancellation (rules `forgotten`, `ran_cancelled`). Not
+// thread-safe: used by the core thread only.
 #pragma once
 
 #include <functional>
@@ -20,7 +20,7 @@
   StateWatch(Runtime &runtime, const Settings &settings, Leadership &leadership, StateWriter &state_writer,
              Cancellations &cancellations);
 
-  // Sends the next watch and the next audit, if they are due.
+  // Sends the next watch and audit requests that are due.
   void tick();
 
   void on(const LeaderElected &);
@@ -28,7 +28,7 @@
   void on(const TermEnded &);
 
 private:
-  // Lists of progress and open records, page by page. `from`: the last key of the page before; empty: the first page.
+  // Read the progress and open records page by page. `from`: last key of the previous page; empty: the first page.
   void load_progress_records(const std::string &from);
   void on_progress_page(const std::string &from, const wire::StoreReply &reply);
   void load_open_records(const std::string &from);
@@ -36,13 +36,13 @@
   void on_open_records_loaded();
 
   void watch();
-  void on_watch_reply(double asked_at, const wire::StoreReply &reply);
+  void on_watch_reply(double requested_at, const wire::StoreReply &reply);
 
   void audit();
   void on_audit_page(const wire::StoreReply &reply);
   void audit_records(const std::string &from, const wire::StoreReply &reply);
 
-  // Calls `action` after a pause, unless this replica's role has changed by then.
+  // Calls `action` after a delay, unless this replica's role has changed by then.
   void retry_later(std::function<void()> action);
 
   Runtime &runtime_;
@@ -51,13 +51,13 @@
   StateWriter &state_writer_;
   Cancellations &cancellations_;
 
-  std::uint64_t watched_revision_ = 0; // changes up to it have been taken in
+  std::uint64_t watched_revision_ = 0; // all changes up to this revision have been loaded
   bool watching_ = false;
-  bool relisting_ = false; // all open records are read again, as the watch has failed
-  double listed_at_ = 0;   // monotonic, s: when the first page of the list under way was asked for
+  bool relisting_ = false; // reading all open records again after the watch failed
+  double listed_at_ = 0;   // monotonic, s: when the first page of the current list was requested
 
   bool auditing_ = false;
-  std::string audited_until_; // the last key of the audit's last page; empty: it begins anew
+  std::string audited_until_; // last key of the latest audited page; empty: start over
   double next_audit_at_ = 0;  // monotonic, s
 };
 
--- a/include/loftrouter/core/state/state_writer.hpp
+++ b/include/loftrouter/core/state/state_writer.hpp
@@ -1,14 +1,13 @@
-// The leader's records in the state service: which tasks may have been started and which are finished (progress), how
-// jobs ended, and what teams have used.
+// Writes the leader's records to the state service: started and finished tasks (progress), job ends, and team usage.
 //
-// Puts the parts of the module together, and sends one transaction at a time. Invariants: every write is guarded by
-// the revision of the leader key and by that of each record in it; start_recorded and completion_recorded say only
-// what a confirmed write has said; records never name too few started tasks. If they were broken, a task could run
-// twice after a failover (rule `ran_twice`), or a job be reported done and then go back (rule `went_back`). Not
-// thread-safe: used by the core's thread alone.
+// Combines the classes of this module and sends one transaction at a time. Invariants: every write is conditional on
+// the revisions of the leader key and of each record it contains; start_recorded and completion_recorded reflect
+// confirmed writes only; no record omits a started task. Without them a task could run twice after a failover (rule
+// `ran_twice`), or a job be reported done and later as open again (rule `went_back`). Not thread-safe: used by the core
+// thread only.
 //
-// A record of its own job each: ProgressLoader and OpenRecordLoader (what is read), ProgressShards and ProgressWriter
-// (progress), EndRecordWriter and EndRecordCompaction (ends), UsageSettlement and PeriodRollup (sums of usage).
+// Parts: ProgressLoader and OpenRecordLoader load records, ProgressShards and ProgressWriter write progress,
+// EndRecordWriter and EndRecordCompaction write job ends, UsageSettlement and PeriodRollup maintain usage sums.
 #pragma once
 
 #include <set>
@@ -36,13 +35,13 @@
   StateWriter(const StateWriter &) = delete; // its parts refer to each other
   StateWriter &operator=(const StateWriter &) = delete;
 
-  // The task may be on a machine from now on, or may have been. Never taken back.
+  // Marks a task as possibly running on a machine, now or earlier. Never reset.
   void mark_started(JobIndex job_index, std::uint32_t task) { shards_.job(job_index).tasks[task].started = true; }
-  // The state service says that it may have been started: its start may be sent.
+  // Returns whether the state service has recorded the start; only then may the worker be told to start the task.
   [[nodiscard]] bool start_recorded(JobIndex job_index, std::uint32_t task) const {
     return shards_.job(job_index).tasks[task].start_recorded;
   }
-  // The state service says that it is done: its worker may forget it.
+  // Returns whether the state service has recorded the completion; only then may the worker forget the task.
   [[nodiscard]] bool completion_recorded(JobIndex job_index, std::uint32_t task) const {
     return shards_.job(job_index).tasks[task].completion_recorded;
   }
@@ -51,23 +50,25 @@
     progress_writer_.set_prerecorded_tasks(job_index, tasks);
   }
 
-  // Records read between this node's election and its term, progress first. False: see ProgressLoader::load.
+  // Loads a progress record. Called between election and term start, before the open records. Returns false if the
+  // record is unreadable, see ProgressLoader::load.
   [[nodiscard]] bool load_progress_record(const wire::KeyValue &record) { return progress_loader_.load(record); }
-  // Takes in an open record that says how its job ended, and has not been compacted yet; others are passed over.
+  // Loads an open record that holds the end of its job and has not been compacted yet; ignores other open records.
   void load_end_record(const wire::KeyValue &record);
-  // Takes in an open record: while records are loaded, and whenever it has changed.
+  // Loads an open record, at startup of the term and whenever it has changed.
   void load_open_record(const std::string &key, const wire::Json &value, std::uint64_t mod_revision) {
     open_records_.load(key, value, mod_revision);
   }
 
   // See OpenRecordLoader::audit.
   [[nodiscard]] std::string_view audit_open_record(const wire::KeyValue &record) { return open_records_.audit(record); }
-  // Looks up the jobs that OpenRecordLoader::absent_jobs finds, and returns the keys of their open records.
+  // Reads the records of the jobs returned by OpenRecordLoader::absent_jobs, and returns the keys of their open
+  // records.
   std::vector<std::string> resync_absent_jobs(const std::string &from, const std::string &to,
                                               const std::set<std::string> &listed, std::uint64_t revision);
 
-  // Sends the next transaction, if there is something to write, none is under way and the write budget allows it. At
-  // the end of each batch of commands.
+  // Sends the next transaction if there is something to write, none is in flight and the write budget allows it. Called
+  // at the end of each batch of commands.
   void flush();
 
   void on(const LeaderElected &) { progress_loader_.clear(); }
@@ -104,7 +105,7 @@
   EndRecordWriter end_records_;
   UsageSettlement settlement_;
   PeriodRollup rollup_;
-  bool ends_first_ = false; // in the latest transaction; they take turns with progress
+  bool ends_first_ = false; // whether the latest transaction put ends before progress; alternates
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/state/usage_settlement.hpp
+++ b/include/loftrouter/core/state/usage_settlement.hpp
@@ -1,10 +1,10 @@
-// Completes the usage sums after a failover, for jobs that ended under an earlier leader.
+// Completes the usage sums after a failover, for jobs that ended under an earlier leader after their last progress
+// write.
 //
-// Such a job's end record may say more than its last progress record, whose shard's sums hold only what that one says.
-// One such job after the other: its end is read, and the difference is added to the sums. Invariant: the sums of a
-// shard are exactly those of all jobs that have ever been in it (docs/accounts.md). There are as many such jobs as end
-// within the delay of a progress write; nothing else that has ended is read. Not thread-safe: used by the core's thread
-// alone.
+// Reads the end records of these jobs one at a time, and adds the usage that the last progress record lacks to the sums
+// of its shard. Invariant: the sums of a shard are exactly those of all jobs that have ever been in it
+// (docs/accounts.md). Only jobs that ended within the delay of a progress write are read. Not thread-safe: used by the
+// core thread only.
 #pragma once
 
 #include <optional>
@@ -20,9 +20,9 @@
 public:
   UsageSettlement(const StateContext &context, ProgressShards &shards, const EndRecordCompaction &compaction);
 
-  // Settles the next unsettled job, if there is one and none is being read.
+  // Settles the next unsettled job, unless there is none or a read is in flight.
   void settle_next();
-  // The term has ended. Answers of its reads are not waited for any more.
+  // Called at the end of the term; replies to reads in flight are ignored.
   void clear() { reading_ = false; }
 
 private:
--- a/include/loftrouter/core/state/write_schedule.hpp
+++ b/include/loftrouter/core/state/write_schedule.hpp
@@ -1,17 +1,17 @@
-// When the leader may send its next transaction.
+// Decides when the leader may send its next transaction.
 #pragma once
 
 namespace loftrouter::core {
 
-// How long to wait before the next transaction or read, s.
-inline constexpr double kReadRetryDelay = 0.2;    // after an answer that leaves open what a record holds
-inline constexpr double kWriteRefusedDelay = 0.3; // after a transaction that was refused as a whole
+// Delay before the next transaction or read, s.
+inline constexpr double kReadRetryDelay = 0.2;    // after a reply that leaves a record's content unknown
+inline constexpr double kWriteRefusedDelay = 0.3; // after the state service rejected a transaction
 
-// Shared by the parts of StateWriter, which owns it. All times are monotonic, in seconds.
+// Shared by the parts of StateWriter, which owns it. Times are monotonic, in seconds.
 struct WriteSchedule {
-  bool in_flight = false;               // a transaction, or the read on which the next one depends
-  double not_before = 0;                // the next one waits until then
-  double single_operation_until = -1e9; // until then one record a transaction, to find the one that is refused
+  bool in_flight = false;               // a transaction, or a read on which the next one depends
+  double not_before = 0;                // earliest time of the next transaction
+  double single_operation_until = -1e9; // until then one record per transaction, to find the one that is rejected
 
   [[nodiscard]] bool may_write(double now) const { return !in_flight && now >= not_before; }
   [[nodiscard]] bool single_operation(double now) const { return now < single_operation_until; }
--- a/include/loftrouter/core/state/write_transaction.hpp
+++ b/include/loftrouter/core/state/write_transaction.hpp
@@ -1,4 +1,4 @@
-// One transaction of the leader: what it writes, and what has to follow once its outcome is known.
+// One compare-and-swap transaction of the leader: its writes, and the data needed to handle its outcome.
 #pragma once
 
 #include <cstddef>
@@ -11,42 +11,42 @@
 
 namespace loftrouter::core {
 
-// An end that was written into the open record of its job, and that is moved to a record of its own when there is time.
+// An end record stored in the open record of its job, to be moved to its own key later.
 struct PendingCompaction {
-  std::string id;                 // of the job
-  std::uint64_t mod_revision = 0; // of the open record that holds the end
+  std::string id;                 // job id
+  std::uint64_t mod_revision = 0; // revision of the open record that holds the end
   wire::Json end;
 };
 
-// Guarded by the revision of the leader key, so that nothing written by an earlier leader is applied late, and by that
-// of every record in it, so that of an unanswered transaction and its successor one fails.
+// Conditional on the revision of the leader key, so that a former leader's writes fail, and on the revision of every
+// record written, so that of an unanswered transaction and its successor at most one is applied.
 struct WriteTransaction {
-  // `term`: the revision of the leader key.
+  // `term`: revision of the leader key, which serves as fencing token.
   explicit WriteTransaction(std::uint64_t term) : preconditions{{std::string(wire::kLeaderKey), term}} {}
 
   std::vector<wire::Precondition> preconditions;
   std::vector<wire::Mutation> writes;
 
-  std::vector<std::string> progress_jobs;     // ids of jobs whose entries were built anew for it
+  std::vector<std::string> progress_jobs;     // ids of jobs whose entries were rebuilt for it
   std::vector<std::string> ended_jobs;        // ids of jobs whose ends it writes
-  std::vector<PendingCompaction> compactions; // that it carries out
-  std::vector<ShardIndex> shards;             // that it writes
+  std::vector<PendingCompaction> compactions; // moves of end records that it contains
+  std::vector<ShardIndex> shards;             // shards that it writes
   std::vector<ShardIndex> deleted_shards;
-  std::string rolled_up_period; // whose sums it moves out of its only shard; empty: none
+  std::string rolled_up_period; // period whose sums it moves out of its only shard; empty: none
   std::size_t approximate_bytes = 0;
 };
 
-// How much one transaction may hold. Once something has not fitted nothing more does, so that what comes first in line
-// is not overtaken for ever by what is smaller.
-class TransactionRoom {
+// Limits the size of one transaction. After the first item that doesn't fit nothing else fits, so that smaller items
+// can't starve a larger one.
+class TransactionCapacity {
 public:
-  // `write_budget`: writes that the leader may make now.
-  TransactionRoom(std::size_t max_operations, double write_budget)
+  // `write_budget`: number of writes that the leader may make now.
+  TransactionCapacity(std::size_t max_operations, double write_budget)
       : max_operations_(max_operations), write_budget_(write_budget) {}
 
   [[nodiscard]] bool full() const { return full_; }
 
-  // Whether `transaction` can take as many operations more.
+  // Returns whether `transaction` has capacity for this many more operations.
   [[nodiscard]] bool fits(const WriteTransaction &transaction, std::size_t operations) {
     const std::size_t total = transaction.writes.size() + operations;
     full_ |= total > max_operations_ || static_cast<double>(total) > write_budget_ ||
--- a/src/core/state/cancellations.cpp
+++ b/src/core/state/cancellations.cpp
@@ -5,11 +5,10 @@
 namespace loftrouter::core {
 
 namespace {
-// From an order to stop, or the end of a lease, until the task is off its machine; and what two clocks' steps add.
+// Time from a stop command or lease expiry until the task has exited, plus a margin for clock steps.
 constexpr double kMaxStopDelay = 2.5; // s
-// Where `cancel_s` leaves no more beyond a lease, leases alone cannot end tasks in time. Knowledge of this age will do
-// then: as long as replicas and the state service answer, cancellations are known sooner than that, and orders to stop
-// end the tasks.
+// Lower limit of the accepted age, for a `cancel_s` too short for lease expiry to stop tasks in time. While replicas
+// and the state service respond, cancellations arrive sooner than this and stop commands end the tasks.
 constexpr double kMinAcceptedAge = 5.0; // s
 } // namespace
 
@@ -17,13 +16,14 @@
     : runtime_(runtime), settings_(settings), leadership_(leadership), jobs_(jobs),
       confirmed_by_replica_(settings.replicas.size(), kNever) {}
 
-// Whether this replica has a job table that cancellations are marked in: it leads, or is about to.
-bool Cancellations::collecting() const {
+// Returns whether this replica has a job table in which cancellations are marked.
+bool Cancellations::tracking() const {
   return leadership_.role() == Role::Loading || leadership_.role() == Role::Leading;
 }
 
-// Marks the job as cancelled, now or when it comes into the job table. False: there is no room to remember it.
-bool Cancellations::apply(const std::string &id) {
+// Marks the job as cancelled, or remembers the id until the job is added to the table. Returns false if the id could
+// not be remembered.
+bool Cancellations::mark_cancelled(const std::string &id) {
   if (const JobIndex job_index = jobs_.index(id); job_index.valid()) {
     jobs_.cancel(job_index);
     return true;
@@ -35,9 +35,10 @@
 
 void Cancellations::record(const std::string &id) {
   recorded_here_.push_back({id, runtime_.now()});
-  // The oldest of so many is forgotten without harm: by the time that a message holds the rest, its time is over too.
+  // Dropping the oldest is safe: reports hold fewer ids than this, and it has expired before the rest could be
+  // reported.
   if (recorded_here_.size() > kMaxRecorded) recorded_here_.pop_front();
-  if (collecting() && !apply(id)) dropped_at_ = runtime_.now();
+  if (tracking() && !mark_cancelled(id)) dropped_at_ = runtime_.now();
 }
 
 std::vector<std::string> Cancellations::recent() {
@@ -50,28 +51,28 @@
   return ids;
 }
 
-void Cancellations::confirmed_by_state_service(double asked_at) {
-  confirmed_by_state_service_ = std::max(confirmed_by_state_service_, asked_at);
+void Cancellations::confirmed_by_state_service(double requested_at) {
+  confirmed_by_state_service_ = std::max(confirmed_by_state_service_, requested_at);
   std::erase_if(unmatched_, [this](const auto &entry) { return entry.second < confirmed_by_state_service_; });
 }
 
-void Cancellations::confirmed_by_replica(std::size_t replica, double asked_at, double uptime_s,
+void Cancellations::confirmed_by_replica(std::size_t replica, double requested_at, double uptime_s,
                                          const std::vector<std::string> &ids) {
-  if (!collecting()) return;
-  bool complete = ids.size() < wire::kPeerMaxCancelled; // a full message may have left some out
+  if (!tracking()) return;
+  bool complete = ids.size() < wire::kPeerMaxCancelled; // a full report may omit some
   for (const auto &id : ids)
-    if (!apply(id)) complete = false;
-  // It holds what was recorded since both the start of that process and, by its clock, `cancel_s` ago; so it continues
-  // what is known up to a moment after the later of the two.
-  const double reported_from = std::max(runtime_.now() - uptime_s * (1 - kMaxClockDrift),
-                                        runtime_.now() - settings_.cancel_s * (1 - kMaxClockDrift));
+    if (!mark_cancelled(id)) complete = false;
+  // The report covers what was recorded since the later of the replica's process start and `cancel_s` ago by its clock.
+  // It extends the known time only if it leaves no gap.
+  const double covered_from = std::max(runtime_.now() - uptime_s * (1 - kMaxClockDrift),
+                                       runtime_.now() - settings_.cancel_s * (1 - kMaxClockDrift));
   double &confirmed = confirmed_by_replica_[replica];
-  const bool continues = std::max(confirmed, confirmed_by_state_service_) >= reported_from;
-  if (complete && continues) confirmed = std::max(confirmed, asked_at);
+  const bool continues = std::max(confirmed, confirmed_by_state_service_) >= covered_from;
+  if (complete && continues) confirmed = std::max(confirmed, requested_at);
 }
 
 double Cancellations::known_until() const {
-  double by_replicas = runtime_.now(); // all that this replica itself has recorded
+  double by_replicas = runtime_.now(); // this replica's own records are always known
   for (double confirmed : confirmed_by_replica_)
     by_replicas = std::min(by_replicas, std::max(confirmed, confirmed_by_state_service_));
   if (dropped_at_ > confirmed_by_state_service_) return confirmed_by_state_service_;
--- a/src/core/state/end_record_compaction.cpp
+++ b/src/core/state/end_record_compaction.cpp
@@ -8,7 +8,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kMinWriteBudgetShare = 0.4; // of a second's writes
+constexpr double kMinWriteBudgetShare = 0.4; // of the writes per second
 constexpr std::size_t kOperationsPerMove = 2;
 
 bool contains(const std::vector<std::string> &keys, const std::string &key) {
--- a/src/core/state/end_record_writer.cpp
+++ b/src/core/state/end_record_writer.cpp
@@ -9,12 +9,12 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr std::size_t kManyEnds = 4;
-constexpr std::size_t kEndBytes = 600; // of an end record, about
-constexpr double kReadDeadline = 1.0;  // s
+constexpr std::size_t kBusyQueueLength = 4;
+constexpr std::size_t kEndRecordBytes = 600; // typical
+constexpr double kReadDeadline = 1.0;        // s
 
-// The only record of an answer; null if it has none.
-const wire::KeyValue *only_record(const wire::StoreReply &reply) {
+// Returns the record in the reply to a read, or null if the read failed or found nothing.
+const wire::KeyValue *record_in(const wire::StoreReply &reply) {
   return reply.status == 200 && reply.entries.size() == 1 ? &reply.entries[0] : nullptr;
 }
 } // namespace
@@ -31,39 +31,37 @@
 }
 
 bool EndRecordWriter::busy() const {
-  return queue_.size() > kManyEnds;
+  return queue_.size() > kBusyQueueLength;
 }
 
 void EndRecordWriter::enqueue(JobIndex job_index) {
-  if (!state(job_index).queued) queue_.push_back(job_index);
-  state(job_index).queued = true;
+  if (!end_state(job_index).queued) queue_.push_back(job_index);
+  end_state(job_index).queued = true;
 }
 
-// ---- building ----
-
-void EndRecordWriter::add_to(WriteTransaction &transaction, TransactionRoom &room, bool in_place) {
+void EndRecordWriter::add_to(WriteTransaction &transaction, TransactionCapacity &capacity, bool in_place) {
   const std::size_t operations = in_place ? 1 : 2;
-  for (std::size_t remaining = queue_.size(); remaining > 0 && !room.full(); --remaining) {
+  for (std::size_t remaining = queue_.size(); remaining > 0 && !capacity.full(); --remaining) {
     const JobIndex job_index = queue_.front();
-    if (!jobs_[job_index].finishable()) { // a task of a cancelled job has turned up
+    if (!jobs_[job_index].finishable()) { // a task of a cancelled job was found running
       queue_.pop_front();
-      state(job_index).queued = false;
+      end_state(job_index).queued = false;
       shards_.mark_job_dirty(job_index, false);
-    } else if (!ready(job_index)) {
+    } else if (!ready_to_write(job_index)) {
       queue_.pop_front();
       queue_.push_back(job_index);
-    } else if (room.fits(transaction, operations)) {
+    } else if (capacity.fits(transaction, operations)) {
       queue_.pop_front();
-      state(job_index).queued = false;
+      end_state(job_index).queued = false;
       add_end(job_index, transaction, in_place);
     }
   }
 }
 
-// A job that moves between progress records ends after that, or what it has used would be counted twice.
-bool EndRecordWriter::ready(JobIndex job_index) {
+// A job can't end while it moves between progress records, because its usage would be counted twice.
+bool EndRecordWriter::ready_to_write(JobIndex job_index) {
   if (shards_.job(job_index).moving_from.valid()) return false;
-  if (!state(job_index).needs_resync) return true;
+  if (!end_state(job_index).needs_resync) return true;
   resync(job_index);
   return false;
 }
@@ -74,11 +72,11 @@
   const std::string end_key = wire::end_key(job.spec.id);
   transaction.preconditions.push_back({open_key, job.open_mod_revision});
   transaction.ended_jobs.push_back(job.spec.id);
-  if (job.delegated_here) { // its origin cell records how it ended
+  if (job.delegated_here) { // the origin cell writes the end record
     transaction.writes.push_back({open_key, std::nullopt, 0});
     return jobs_.set_ending(job_index, true);
   }
-  EndState &ending = state(job_index);
+  EndState &ending = end_state(job_index);
   ending.in_place = in_place;
   ending.end = pending_reasons_.end_record(job_index);
   if (ledger_.enabled()) {
@@ -94,7 +92,7 @@
     transaction.writes.push_back({open_key, std::nullopt, 0});
     transaction.writes.push_back({end_key, wire::to_json(ending.end), 0});
   }
-  transaction.approximate_bytes += kEndBytes;
+  transaction.approximate_bytes += kEndRecordBytes;
   jobs_.set_ending(job_index, true);
 }
 
@@ -112,14 +110,12 @@
                 {"wanted_after_s", objectives_.achievable_target(job.spec, job.spec.deadline_s, took_s)}});
 }
 
-// ---- outcomes ----
-
-void EndRecordWriter::recorded(const std::vector<std::string> &ids, std::uint64_t revision) {
+void EndRecordWriter::on_committed(const std::vector<std::string> &ids, std::uint64_t revision) {
   for (const auto &id : ids) {
     const JobIndex job_index = jobs_.index(id);
     if (!job_index.valid()) continue;
     if (!jobs_[job_index].delegated_here) {
-      const EndState &ended = state(job_index);
+      const EndState &ended = end_state(job_index);
       if (ended.in_place) compaction_.enqueue({id, revision, wire::to_json(ended.end)});
       ended_jobs_.remember(id, ended.end);
     }
@@ -127,39 +123,37 @@
   }
 }
 
-void EndRecordWriter::outcome_unknown(const std::vector<std::string> &ids) {
+void EndRecordWriter::on_outcome_unknown(const std::vector<std::string> &ids) {
   for (const auto &id : ids)
-    conflicted(id);
+    on_conflict(id);
 }
 
-void EndRecordWriter::not_applied(const std::vector<std::string> &ids) {
+void EndRecordWriter::on_not_applied(const std::vector<std::string> &ids) {
   for (const auto &id : ids)
     if (const JobIndex job_index = jobs_.index(id); job_index.valid()) jobs_.set_ending(job_index, false);
 }
 
-void EndRecordWriter::refused_for_size(const std::string &id) {
+void EndRecordWriter::on_too_large(const std::string &id) {
   const JobIndex job_index = jobs_.index(id);
   if (!job_index.valid()) return;
   int &size_reductions = shards_.job(job_index).size_reductions;
   size_reductions = std::max(1, size_reductions);
 }
 
-void EndRecordWriter::conflicted(const std::string &id) {
-  if (const JobIndex job_index = jobs_.index(id); job_index.valid()) state(job_index).needs_resync = true;
+void EndRecordWriter::on_conflict(const std::string &id) {
+  if (const JobIndex job_index = jobs_.index(id); job_index.valid()) end_state(job_index).needs_resync = true;
 }
 
 void EndRecordWriter::remove(JobIndex job_index) {
   shards_.remove_job(job_index);
   std::erase(queue_, job_index);
-  state(job_index) = {};
+  end_state(job_index) = {};
   jobs_.remove(job_index);
 }
 
-// ---- resynchronisation ----
-
 void EndRecordWriter::resync(JobIndex job_index) {
-  if (state(job_index).resyncing) return;
-  state(job_index).resyncing = true;
+  if (end_state(job_index).resyncing) return;
+  end_state(job_index).resyncing = true;
   const std::string id = jobs_[job_index].spec.id;
   runtime_.store(StoreGet{wire::open_key(id)}, kReadDeadline,
                  [this, id, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
@@ -171,17 +165,17 @@
   const JobIndex job_index = jobs_.index(id);
   if (!job_index.valid()) return;
   if (reply.status == 404) return on_open_record_gone(job_index);
-  state(job_index).resyncing = false;
-  const wire::KeyValue *record = only_record(reply);
+  end_state(job_index).resyncing = false;
+  const wire::KeyValue *record = record_in(reply);
   if (!record) {
     schedule_.not_before = runtime_.now() + kReadRetryDelay;
     return;
   }
   if (auto end = wire::final_from_json(record->value)) {
     compaction_.enqueue({id, record->mod_revision, wire::to_json(*end)});
-    return finish_ended(job_index, std::move(*end));
+    return remove_ended(job_index, std::move(*end));
   }
-  state(job_index).needs_resync = false;
+  end_state(job_index).needs_resync = false;
   open_records_.load(wire::open_key(id), record->value, record->mod_revision);
 }
 
@@ -197,14 +191,14 @@
 void EndRecordWriter::on_end_record_read(const std::string &id, const wire::StoreReply &reply) {
   const JobIndex job_index = jobs_.index(id);
   if (!job_index.valid()) return;
-  state(job_index).resyncing = false;
-  const wire::KeyValue *record = only_record(reply);
+  end_state(job_index).resyncing = false;
+  const wire::KeyValue *record = record_in(reply);
   auto end = record ? wire::end_from_json(record->value) : std::nullopt;
-  if (end) finish_ended(job_index, std::move(*end));
+  if (end) remove_ended(job_index, std::move(*end));
 }
 
-// The end was written by this leader, in a transaction that had no answer.
-void EndRecordWriter::finish_ended(JobIndex job_index, EndRecord end) {
+// Removes a job whose end this leader wrote in a transaction without a reply.
+void EndRecordWriter::remove_ended(JobIndex job_index, EndRecord end) {
   if (end.usage) ledger_.reduce_to_recorded(job_index, *end.usage);
   ended_jobs_.remember(jobs_[job_index].spec.id, std::move(end));
   remove(job_index);
--- a/src/core/state/period_rollup.cpp
+++ b/src/core/state/period_rollup.cpp
@@ -7,8 +7,8 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kReadDeadline = 1.0; // s
-constexpr double kWrites = 2;         // of one transaction: a shard and a period
+constexpr double kReadDeadline = 1.0;  // s
+constexpr double kWritesPerRollup = 2; // the shard and the period record
 } // namespace
 
 PeriodRollup::PeriodRollup(const StateContext &context, ProgressShards &shards, ProgressWriter &progress_writer,
@@ -20,7 +20,7 @@
 bool PeriodRollup::can_roll_up(ShardIndex shard, const std::string &period) {
   if (period.empty() || excluded_periods_.contains(period)) return false;
   if (shards_[shard].needs_resync || !shards_[shard].rollup_in_doubt.empty()) return false;
-  return state_limits_.leader_writes_available(runtime_.now()) >= kWrites;
+  return state_limits_.leader_writes_available(runtime_.now()) >= kWritesPerRollup;
 }
 
 void PeriodRollup::start_next() {
@@ -31,7 +31,7 @@
   }
 }
 
-// No other transaction is sent until the period's record has been read.
+// Reads the period's record. Blocks other transactions until the reply arrives.
 void PeriodRollup::read_period(ShardIndex shard, const std::string &period) {
   schedule_.in_flight = true;
   runtime_.store(StoreGet{wire::accounts_key(period)}, kReadDeadline,
@@ -49,7 +49,7 @@
   if (auto sums = wire::sums_from_json(reply.entries[0].value))
     return move_sums(shard, period, std::move(*sums), reply.entries[0].mod_revision);
   exclude(period);
-  runtime_.log(LogLevel::Error, "record_rejected", {{"key", wire::accounts_key(period)}, {"then", "left alone"}});
+  runtime_.log(LogLevel::Error, "record_rejected", {{"key", wire::accounts_key(period)}, {"then", "left unchanged"}});
 }
 
 void PeriodRollup::move_sums(ShardIndex shard, const std::string &period, SumsByTeam sums, std::uint64_t mod_revision) {
--- a/src/core/state/progress_loader.cpp
+++ b/src/core/state/progress_loader.cpp
@@ -14,40 +14,40 @@
     : jobs_(context.jobs), ledger_(context.ledger), shards_(shards) {}
 
 bool ProgressLoader::load(const wire::KeyValue &record) {
-  auto read = wire::progress_from_json(record.key, record.value);
-  if (!read) return false;
+  auto parsed = wire::progress_from_json(record.key, record.value);
+  if (!parsed) return false;
   const ShardIndex shard = shards_.add_loaded(record.key, record.mod_revision, record.value.dump().size());
-  ledger_.load_sums(shard, std::move(read->sums));
-  for (const auto &[id, progress] : read->jobs)
+  ledger_.load_sums(shard, std::move(parsed->sums));
+  for (const auto &[id, progress] : parsed->jobs)
     merge(id, progress, shard);
   return true;
 }
 
-// A job that was moving between records stands in two of them: its starts are those of both, its account that of the
-// newer.
+// Merges an entry into the job's loaded progress. A job that was moving between records has two entries: the starts of
+// both count, and the usage account of the newer one.
 void ProgressLoader::merge(const std::string &id, const ProgressRecord &progress, ShardIndex shard) {
-  LoadedJob &known = jobs_read_[{id, progress.delegated_here}];
-  if (progress.at_ms >= known.progress.at_ms) known.shard = shard;
-  append(known.progress.started, progress.started);
-  append(known.progress.finished, progress.finished);
-  append(known.progress.delegations, progress.delegations);
-  known.progress.failed_on = std::max(known.progress.failed_on, progress.failed_on);
-  if (progress.at_ms <= known.progress.at_ms) return;
-  known.progress.usage = progress.usage;
-  known.progress.running_ms = progress.running_ms;
-  known.progress.at_ms = progress.at_ms;
+  LoadedJob &merged = loaded_jobs_[{id, progress.delegated_here}];
+  if (progress.at_ms >= merged.progress.at_ms) merged.shard = shard;
+  append(merged.progress.started, progress.started);
+  append(merged.progress.finished, progress.finished);
+  append(merged.progress.delegations, progress.delegations);
+  merged.progress.failed_on = std::max(merged.progress.failed_on, progress.failed_on);
+  if (progress.at_ms <= merged.progress.at_ms) return;
+  merged.progress.usage = progress.usage;
+  merged.progress.running_ms = progress.running_ms;
+  merged.progress.at_ms = progress.at_ms;
 }
 
 const ProgressLoader::LoadedJob *ProgressLoader::find(const Job &job) const {
-  const auto it = jobs_read_.find({job.spec.id, job.delegated_here ? job.delegated_here->generation : 0});
-  return it == jobs_read_.end() ? nullptr : &it->second;
+  const auto it = loaded_jobs_.find({job.spec.id, job.delegated_here ? job.delegated_here->generation : 0});
+  return it == loaded_jobs_.end() ? nullptr : &it->second;
 }
 
 void ProgressLoader::finish() {
-  for (const auto &[key, job] : jobs_read_) {
+  for (const auto &[key, job] : loaded_jobs_) {
     const auto &[id, generation] = key;
-    const bool settles = ledger_.enabled() && job.progress.at_ms != 0 && generation == 0;
-    if (settles && !jobs_.index(id).valid()) shards_[job.shard].unsettled_jobs.push_back({id, job.progress});
+    const bool unsettled = ledger_.enabled() && job.progress.at_ms != 0 && generation == 0;
+    if (unsettled && !jobs_.index(id).valid()) shards_[job.shard].unsettled_jobs.push_back({id, job.progress});
   }
   clear();
   for (std::size_t i = 0; i < shards_.size(); ++i)
--- a/src/core/state/progress_writer.cpp
+++ b/src/core/state/progress_writer.cpp
@@ -8,9 +8,9 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr std::size_t kEntryBytes = 85;           // of an entry, beside two bits a task
-constexpr std::size_t kMaxRangeChars = 14;        // of one range in a record
-constexpr std::uint32_t kMaxPrerecordedGang = 64; // tasks; larger gangs are recorded when they are placed
+constexpr std::size_t kEntryBytes = 85;           // of an entry, without its two task sets
+constexpr std::size_t kMaxRangeChars = 14;        // of one task range in a record
+constexpr std::uint32_t kMaxPrerecordedGang = 64; // tasks; starts of larger gangs are recorded at placement
 constexpr int kMaxSizeReductions = 8;
 constexpr double kReadDeadline = 1.0; // s
 
@@ -28,8 +28,6 @@
       dependencies_(context.dependencies), failure_attribution_(context.failure_attribution), ledger_(context.ledger),
       shards_(shards), schedule_(schedule) {}
 
-// ---- starts recorded ahead ----
-
 void ProgressWriter::set_prerecorded_tasks(JobIndex job_index, std::uint32_t tasks) {
   JobProgress &progress = shards_.job(job_index);
   progress.prerecorded_tasks = tasks;
@@ -40,8 +38,8 @@
   if (available < (tasks + 1) / 2) jobs_.changed(job_index, true);
 }
 
-// The next tasks in line count as started before they are placed. Too many "started" are safe: after a failover they
-// wait until leases have expired.
+// Marks the next pending tasks as started before they are placed. Marking too many is safe: after a failover they wait
+// until worker leases have expired.
 void ProgressWriter::prerecord_starts(JobIndex job_index) {
   const Job &job = jobs_[job_index];
   if (job.cancelled || !dependencies_.ready(job_index)) return;
@@ -55,8 +53,6 @@
   }
 }
 
-// ---- building ----
-
 ProgressRecord ProgressWriter::progress_record(JobIndex job_index) const {
   const Job &job = jobs_[job_index];
   const JobProgress &progress = shards_.job(job_index);
@@ -72,7 +68,7 @@
   return record;
 }
 
-// Never too few started tasks, never too many finished ones.
+// Limits the size of the task ranges. Rounding may add started tasks and omit finished ones, never the reverse.
 void ProgressWriter::limit_size(ProgressRecord &record, JobIndex job_index) const {
   const int size_reductions = std::min(shards_.job(job_index).size_reductions, kMaxSizeReductions);
   const std::size_t max_chars = shards_.max_task_set_chars() >> size_reductions;
@@ -82,8 +78,8 @@
   record.finished = narrow(std::move(record.finished), max_ranges);
 }
 
-// What this write covers: tasks that are placed or completed from here on wait for the next one.
-void ProgressWriter::cover_task_states(JobIndex job_index) {
+// Notes the state covered by this write. Tasks placed or completed later need another write.
+void ProgressWriter::snapshot_written_state(JobIndex job_index) {
   const Job &job = jobs_[job_index];
   JobProgress &progress = shards_.job(job_index);
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
@@ -100,7 +96,7 @@
   ProgressRecord record = progress_record(job_index);
   ledger_.write_account(job_index, record);
   shards_.job(job_index).entry = wire::to_json(record);
-  cover_task_states(job_index);
+  snapshot_written_state(job_index);
   shards_.job(job_index).dirty = false;
   transaction.progress_jobs.push_back(jobs_[job_index].spec.id);
 }
@@ -117,11 +113,11 @@
 }
 
 void ProgressWriter::add_shards(const std::vector<ShardIndex> &shards, WriteTransaction &transaction,
-                                TransactionRoom &room) {
+                                TransactionCapacity &capacity) {
   for (ShardIndex shard : shards) {
     if (shards_[shard].needs_resync)
       resync(shard);
-    else if (room.fits(transaction, 1))
+    else if (capacity.fits(transaction, 1))
       add_shard(shard, transaction);
   }
 }
@@ -144,37 +140,35 @@
   written.urgent = false;
 }
 
-// ---- outcomes ----
-
-void ProgressWriter::recorded(const WriteTransaction &transaction, std::uint64_t revision) {
+void ProgressWriter::on_committed(const WriteTransaction &transaction, std::uint64_t revision) {
   for (const auto &id : transaction.progress_jobs)
-    if (const JobIndex job_index = jobs_.index(id); job_index.valid()) shards_.copy_recorded(job_index);
+    if (const JobIndex job_index = jobs_.index(id); job_index.valid()) shards_.on_move_copied(job_index);
   for (ShardIndex shard : transaction.shards) {
-    shards_.departures_recorded(shard);
+    shards_.on_departures_written(shard);
     shards_[shard].mod_revision = revision;
-    shards_[shard].rollup_in_doubt.clear(); // whatever was under way before can no longer be applied
+    shards_[shard].rollup_in_doubt.clear(); // earlier writes can no longer be applied
     if (!transaction.rolled_up_period.empty()) ledger_.remove_period(shard, transaction.rolled_up_period);
   }
   for (ShardIndex shard : transaction.deleted_shards) {
-    shards_.departures_recorded(shard);
+    shards_.on_departures_written(shard);
     shards_[shard].mod_revision = 0;
   }
   for (const auto &id : transaction.progress_jobs) {
     const JobIndex job_index = jobs_.index(id);
     if (!job_index.valid()) continue;
-    task_states_recorded(job_index);
-    delegations_recorded(job_index);
+    mark_task_states_recorded(job_index);
+    publish_recorded_delegations(job_index);
   }
 }
 
-void ProgressWriter::task_states_recorded(JobIndex job_index) {
+void ProgressWriter::mark_task_states_recorded(JobIndex job_index) {
   for (TaskRecordState &task : shards_.job(job_index).tasks) {
     if (task.start_in_write) task.start_recorded = true;
     if (task.completion_in_write) task.completion_recorded = true;
   }
 }
 
-void ProgressWriter::delegations_recorded(JobIndex job_index) {
+void ProgressWriter::publish_recorded_delegations(JobIndex job_index) {
   JobProgress &progress = shards_.job(job_index);
   for (std::uint64_t generation : progress.delegations_in_write)
     if (!contains(progress.delegations_recorded, generation))
@@ -184,9 +178,9 @@
   progress.delegations_recorded = progress.delegations_in_write;
 }
 
-// It may have been applied, or may yet be: the revisions are read again, and whichever of the two writes comes second
-// fails on them.
-void ProgressWriter::outcome_unknown(const WriteTransaction &transaction) {
+// The transaction may have been applied or may still be. The revisions are read again, so that of it and the next write
+// the later one fails its precondition.
+void ProgressWriter::on_outcome_unknown(const WriteTransaction &transaction) {
   for (const auto *shards : {&transaction.shards, &transaction.deleted_shards})
     for (ShardIndex shard : *shards) {
       shards_[shard].needs_resync = true;
@@ -194,13 +188,11 @@
     }
 }
 
-void ProgressWriter::conflicted(const std::string &key) {
+void ProgressWriter::on_conflict(const std::string &key) {
   for (std::size_t i = 0; i < shards_.size(); ++i)
     if (ProgressShard &shard = shards_[ShardIndex(i)]; shard.key == key) shard.needs_resync = true;
 }
 
-// ---- resynchronisation ----
-
 void ProgressWriter::resync(ShardIndex shard) {
   if (shards_[shard].resyncing) return;
   shards_[shard].resyncing = true;
@@ -225,8 +217,8 @@
   read.needs_resync = false;
 }
 
-// The record itself says whether the write that moved sums out of it was applied. If it was not, it may yet be, until
-// another write of the record is confirmed.
+// Checks whether the unanswered write that moved a period's sums out of the record was applied. If it was not, it may
+// still be applied until another write of the record is confirmed.
 void ProgressWriter::resolve_rollup(ShardIndex shard, const wire::Json &value) {
   std::string &period = shards_[shard].rollup_in_doubt;
   if (period.empty()) return;
--- a/src/core/state/state_watch.cpp
+++ b/src/core/state/state_watch.cpp
@@ -11,16 +11,16 @@
 namespace {
 constexpr double kListDeadline = 2.0; // s
 constexpr double kRetryDelay = 0.2;   // s
-// A page is audited so often, but no more than one read in so many is spent on it.
+// A page is audited at this interval, or less often if that would be more than one in kReadsPerAudit reads.
 constexpr double kMinAuditInterval = 5.0; // s
 constexpr double kReadsPerAudit = 100;
-constexpr double kWatchHold = 3.0;         // s; short, so that a watch that has died is noticed soon
-constexpr double kWatchAnswerMargin = 1.5; // s, beyond the hold
-constexpr int kWatchTooFarBehind = 410;    // status
+constexpr double kWatchHold = 3.0;         // s; short, to detect a lost watch early
+constexpr double kWatchAnswerMargin = 1.5; // s, in addition to the hold time
+constexpr int kWatchTooFarBehind = 410;    // status: changes since that revision are no longer available
 constexpr std::size_t kMaxLoggedKey = 60;  // characters
 
-// The key after which the next page begins; empty: this was the last one.
-std::string next_page(const wire::StoreReply &reply) {
+// Returns the key after which the next page begins; empty: no more pages.
+std::string next_page_key(const wire::StoreReply &reply) {
   return reply.more && !reply.entries.empty() ? reply.entries.back().key : std::string();
 }
 } // namespace
@@ -55,9 +55,7 @@
   });
 }
 
-// ---- lists ----
-
-// Progress is read before the open records: a job that ends in between is then simply not found open.
+// Read before the open records, so that a job that ends in between is simply not found open.
 void StateWatch::load_progress_records(const std::string &from) {
   runtime_.store(StoreList{std::string(wire::kProgressPrefix), from}, kListDeadline,
                  [this, from, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
@@ -69,16 +67,16 @@
   if (reply.status != 200) return retry_later([this, from] { load_progress_records(from); });
   for (const auto &record : reply.entries) {
     if (state_writer_.load_progress_record(record)) continue;
-    // What it may have said of started tasks is not known, so nothing may be started.
+    // The record may name started tasks, so no task may be started.
     runtime_.log(LogLevel::Error, "record_rejected",
                  {{"key", record.key.substr(0, kMaxLoggedKey)}, {"then", "term ended"}});
     return leadership_.step_down("a progress record cannot be read");
   }
-  if (const std::string next = next_page(reply); !next.empty()) return load_progress_records(next);
+  if (const std::string next = next_page_key(reply); !next.empty()) return load_progress_records(next);
   load_open_records("");
 }
 
-// All open records: before leading, and again whenever the watch has failed.
+// Reads all open records, before the term begins and after the watch has failed.
 void StateWatch::load_open_records(const std::string &from) {
   if (from.empty()) listed_at_ = runtime_.now();
   runtime_.store(StoreList{std::string(wire::kOpenPrefix), from}, kListDeadline,
@@ -94,7 +92,7 @@
     if (!relisting_) state_writer_.load_end_record(record);
     state_writer_.load_open_record(record.key, record.value, record.mod_revision);
   }
-  if (const std::string next = next_page(reply); !next.empty()) return load_open_records(next);
+  if (const std::string next = next_page_key(reply); !next.empty()) return load_open_records(next);
   on_open_records_loaded();
 }
 
@@ -104,36 +102,32 @@
   relisting_ = false;
 }
 
-// ---- watch ----
-
 void StateWatch::watch() {
   if (watching_ || relisting_) return;
   watching_ = true;
   runtime_.store(StoreWatch{std::string(wire::kOpenPrefix), watched_revision_, kWatchHold},
                  kWatchHold + kWatchAnswerMargin,
-                 [this, asked_at = runtime_.now(), epoch = leadership_.epoch()](const wire::StoreReply &reply) {
-                   if (epoch == leadership_.epoch()) on_watch_reply(asked_at, reply);
+                 [this, requested_at = runtime_.now(), epoch = leadership_.epoch()](const wire::StoreReply &reply) {
+                   if (epoch == leadership_.epoch()) on_watch_reply(requested_at, reply);
                  });
 }
 
-void StateWatch::on_watch_reply(double asked_at, const wire::StoreReply &reply) {
+void StateWatch::on_watch_reply(double requested_at, const wire::StoreReply &reply) {
   watching_ = false;
-  if (reply.status == kWatchTooFarBehind || reply.status == 0) { // without an answer, a list may still get one
+  if (reply.status == kWatchTooFarBehind || reply.status == 0) { // 0: no reply; listing may still succeed
     relisting_ = true;
     return load_open_records("");
   }
-  if (reply.status != 200) return; // tried again with the next tick
+  if (reply.status != 200) return; // retried at the next tick
   for (const auto &event : reply.events)
     if (event.value) state_writer_.load_open_record(event.key, *event.value, event.mod_revision);
   watched_revision_ = std::max(watched_revision_, reply.revision);
-  cancellations_.confirmed_by_state_service(asked_at);
+  cancellations_.confirmed_by_state_service(requested_at);
   watch();
 }
 
-// ---- audit ----
-
-// Compares what is open in the state service with what this leader has, a page at a time. Guards against a job that
-// stands still for ever, whatever has been missed; that it finds anything is a defect to be traced.
+// Compares the open records with the job table, one page at a time, so that a missed change can't stall a job
+// forever. Any mismatch is a defect.
 void StateWatch::audit() {
   next_audit_at_ = runtime_.now() + std::max(kMinAuditInterval, kReadsPerAudit / settings_.state_rps);
   auditing_ = true;
@@ -146,7 +140,7 @@
 void StateWatch::on_audit_page(const wire::StoreReply &reply) {
   auditing_ = false;
   if (reply.status != 200) return;
-  const std::string from = std::exchange(audited_until_, next_page(reply));
+  const std::string from = std::exchange(audited_until_, next_page_key(reply));
   audit_records(from, reply);
 }
 
@@ -154,11 +148,11 @@
   std::set<std::string> listed;
   for (const auto &record : reply.entries) {
     listed.insert(record.key);
-    if (record.mod_revision > watched_revision_) continue; // the watch has yet to deliver it
-    const std::string_view missed = state_writer_.audit_open_record(record);
-    if (missed.empty()) continue;
+    if (record.mod_revision > watched_revision_) continue; // the watch has not delivered it yet
+    const std::string_view mismatch = state_writer_.audit_open_record(record);
+    if (mismatch.empty()) continue;
     runtime_.log(LogLevel::Error, "audit_mismatch_found",
-                 {{"key", record.key.substr(0, kMaxLoggedKey)}, {"what", missed}});
+                 {{"key", record.key.substr(0, kMaxLoggedKey)}, {"what", mismatch}});
   }
   for (const auto &key : state_writer_.resync_absent_jobs(from, audited_until_, listed, reply.revision))
     runtime_.log(LogLevel::Error, "audit_mismatch_found",
--- a/src/core/state/state_writer.cpp
+++ b/src/core/state/state_writer.cpp
@@ -10,10 +10,10 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kMaxProgressDelay = 0.8;      // s, of progress that nothing waits for
-constexpr double kMaxProgressDelayBusy = 2.5;  // s, while many jobs end
+constexpr double kMaxProgressDelay = 0.8;      // s, for progress that nothing waits for
+constexpr double kMaxProgressDelayBusy = 2.5;  // s, same while many jobs end
 constexpr double kCommitDeadline = 1.5;        // s
-constexpr double kSingleOperationPeriod = 5.0; // s, after a transaction was refused for its size
+constexpr double kSingleOperationPeriod = 5.0; // s, after a transaction was rejected as too large
 
 std::size_t operation_count(const WriteTransaction &transaction) {
   return transaction.shards.size() + transaction.deleted_shards.size() + transaction.ended_jobs.size() +
@@ -34,8 +34,6 @@
       rollup_(context, shards_, progress_writer_, schedule_,
               [this](WriteTransaction &&transaction) { commit(std::move(transaction)); }) {}
 
-// ---- what is read ----
-
 void StateWriter::load_end_record(const wire::KeyValue &record) {
   auto end = wire::final_from_json(record.value);
   if (!end) return;
@@ -62,8 +60,6 @@
   schedule_.in_flight = false;
 }
 
-// ---- writing ----
-
 void StateWriter::mark_changed(JobIndex job_index, bool ends, bool urgent) {
   if (!ends) return shards_.mark_job_dirty(job_index, urgent);
   shards_.job(job_index).dirty = true;
@@ -88,12 +84,12 @@
   const std::size_t max_operations = single_operation ? 1 : static_cast<std::size_t>(settings_.state_txn_ops);
   const bool in_place = single_operation || (end_records_.busy() && !compaction_.full());
   WriteTransaction transaction(leadership_.term());
-  TransactionRoom room(max_operations, write_budget);
-  // Ends and progress take turns at the front, as either alone may use up the budget.
+  TransactionCapacity capacity(max_operations, write_budget);
+  // Alternates the order of ends and progress, because either alone may use up the budget.
   ends_first_ = !ends_first_;
-  if (ends_first_) end_records_.add_to(transaction, room, in_place);
-  progress_writer_.add_shards(due, transaction, room);
-  if (!ends_first_) end_records_.add_to(transaction, room, in_place);
+  if (ends_first_) end_records_.add_to(transaction, capacity, in_place);
+  progress_writer_.add_shards(due, transaction, capacity);
+  if (!ends_first_) end_records_.add_to(transaction, capacity, in_place);
   if (transaction.writes.empty()) compaction_.add_to(transaction, write_budget, max_operations);
   return transaction;
 }
@@ -108,13 +104,11 @@
                  });
 }
 
-// ---- outcomes ----
-
 void StateWriter::on_commit_reply(const WriteTransaction &transaction, const wire::StoreReply &reply) {
   schedule_.in_flight = false;
   if (reply.status == 200) {
-    progress_writer_.recorded(transaction, reply.revision);
-    end_records_.recorded(transaction.ended_jobs, reply.revision);
+    progress_writer_.on_committed(transaction, reply.revision);
+    end_records_.on_committed(transaction.ended_jobs, reply.revision);
     return;
   }
   if (reply.status == 409 && contains_leader_key(reply.failed))
@@ -142,24 +136,25 @@
 
 void StateWriter::on_conflict(const std::vector<std::string> &keys) {
   for (const auto &key : keys) {
-    progress_writer_.conflicted(key);
-    end_records_.conflicted(wire::record_name(key));
+    progress_writer_.on_conflict(key);
+    end_records_.on_conflict(wire::record_name(key));
   }
 }
 
-// No answer: it may have been applied, or may yet be.
+// There was no reply: the transaction may have been applied or may still be.
 void StateWriter::on_outcome_unknown(const WriteTransaction &transaction) {
-  end_records_.outcome_unknown(transaction.ended_jobs);
-  progress_writer_.outcome_unknown(transaction);
+  end_records_.on_outcome_unknown(transaction.ended_jobs);
+  progress_writer_.on_outcome_unknown(transaction);
   schedule_.not_before = runtime_.now() + kReadRetryDelay;
 }
 
-// Guards against a record that is refused for its size for ever, and others with it: which one it is shows when they
-// are written one by one; that one is made smaller.
+// Prevents one record that is too large from blocking all writes: writes records one by one to find it, then shrinks
+// it.
 void StateWriter::on_refused(const WriteTransaction &transaction) {
   const bool single = operation_count(transaction) == 1;
-  runtime_.log(LogLevel::Error, "record_write_refused",
-               {{"record", describe(transaction)}, {"then", single ? "made smaller" : "one by one"}});
+  runtime_.log(
+      LogLevel::Error, "record_write_refused",
+      {{"record", describe(transaction)}, {"then", single ? "shrink the record" : "write records one by one"}});
   schedule_.not_before = runtime_.now() + kWriteRefusedDelay;
   schedule_.single_operation_until = runtime_.now() + kSingleOperationPeriod;
   if (single) reduce_size(transaction);
@@ -168,7 +163,7 @@
 void StateWriter::reduce_size(const WriteTransaction &transaction) {
   if (!transaction.rolled_up_period.empty()) rollup_.exclude(transaction.rolled_up_period);
   for (const auto &id : transaction.ended_jobs)
-    end_records_.refused_for_size(id);
+    end_records_.on_too_large(id);
   for (ShardIndex shard : transaction.shards)
     shards_.shrink(shard);
 }
@@ -179,9 +174,9 @@
   return fmt::format("{} records", operation_count(transaction));
 }
 
-// Whatever the outcome means, the content is still to be written.
+// Marks the content of a transaction for writing again.
 void StateWriter::requeue(const WriteTransaction &transaction) {
-  end_records_.not_applied(transaction.ended_jobs);
+  end_records_.on_not_applied(transaction.ended_jobs);
   for (const auto *ids : {&transaction.ended_jobs, &transaction.progress_jobs})
     for (const auto &id : *ids)
       if (const JobIndex job_index = jobs_.index(id); job_index.valid())
--- a/src/core/state/usage_ledger.cpp
+++ b/src/core/state/usage_ledger.cpp
@@ -12,13 +12,13 @@
 namespace {
 constexpr double kTickInterval = 0.5; // s
 constexpr double kMsPerHour = 3.6e6;
-constexpr double kCostPerUnit = 1e6; // costs are counted in millionths of the cloud's unit
+constexpr double kCostPerUnit = 1e6; // costs are stored in millionths of the cloud's currency unit
 
 std::int64_t to_ms(double seconds) {
   return static_cast<std::int64_t>(seconds * 1000);
 }
 
-double share(double part, double whole) {
+double fraction(double part, double whole) {
   return whole > 0 ? part / whole : 0.0;
 }
 } // namespace
@@ -33,8 +33,6 @@
   used_.clear();
 }
 
-// ---- sums of shards ----
-
 const std::string &UsageLedger::current_period() {
   const auto &clock = operators_.budgets().clock;
   const double wall = runtime_.wall();
@@ -44,8 +42,8 @@
 }
 
 const SumsByTeam &UsageLedger::sums(ShardIndex shard) const {
-  static const SumsByTeam kNone;
-  return shard.position() < sums_.size() ? sums_[shard.position()] : kNone;
+  static const SumsByTeam kNoSums;
+  return shard.position() < sums_.size() ? sums_[shard.position()] : kNoSums;
 }
 
 void UsageLedger::load_sums(ShardIndex shard, SumsByTeam sums) {
@@ -57,7 +55,8 @@
   if (!usage.none()) sums_at(shard)[{current_period(), team}] += accounts::sums_of(usage, need);
 }
 
-// Names of periods are dates, so the smallest is the oldest. What a change of the clock has left behind counts as past.
+// Period names are dates, so the smallest is the oldest. Periods left over from a change of the accounting clock count
+// as past.
 std::string UsageLedger::oldest_past_period(ShardIndex shard) {
   const auto &sums = this->sums(shard);
   if (sums.empty()) return {};
@@ -69,18 +68,16 @@
   std::erase_if(sums_at(shard), [&](const auto &entry) { return entry.first.first == period; });
 }
 
-// ---- accounts of jobs ----
-
 void UsageLedger::open_account(JobIndex job_index, ShardIndex shard) {
   grown(accounts_, job_index) = {};
   account(job_index).shard = shard;
 }
 
-// The attempts under way when this was written have held that much by then; how they went on is not known.
+// Charges the running time of attempts at the time of the write; their later progress is unknown.
 void UsageLedger::restore_account(JobIndex job_index, const ProgressRecord &written) {
-  Account &restored = account(job_index);
-  restored.usage = written.usage;
-  restored.written_at_ms = written.at_ms;
+  Account &job_account = account(job_index);
+  job_account.usage = written.usage;
+  job_account.written_at_ms = written.at_ms;
   if (!enabled()) return;
   accounts::Usage usage;
   usage[accounts::Unsorted] = written.running_ms;
@@ -91,27 +88,27 @@
   return account.attempts_in_flight * to_ms(runtime_.now()) - account.held_since_ms;
 }
 
-std::int64_t UsageLedger::since_written_ms(const Account &account) const {
+std::int64_t UsageLedger::ms_since_written(const Account &account) const {
   if (account.written_at_ms == 0) return 0;
   return std::max<std::int64_t>(0, to_ms(runtime_.wall()) - account.written_at_ms);
 }
 
-// An unaccounted task, which an earlier leader has recorded as started and which was not seen since, may have held a
-// place all the time since the record. One place at most, so this bounds all attempts of it.
+// Charges each unaccounted task (started according to an earlier leader, not seen since) for the whole time since the
+// last write, as uncertain. A task holds at most one allocation at a time, so this bounds all its attempts.
 void UsageLedger::write_account(JobIndex job_index, ProgressRecord &record) {
   if (!enabled()) return;
-  Account &written = account(job_index);
+  Account &job_account = account(job_index);
   charge(job_index, {});
   if (const std::uint32_t unaccounted = jobs_[job_index].unaccounted; unaccounted > 0) {
     accounts::Usage usage;
-    usage[accounts::Uncertain] = unaccounted * since_written_ms(written);
+    usage[accounts::Uncertain] = unaccounted * ms_since_written(job_account);
     charge(job_index, usage);
   }
-  written.written_at_ms = to_ms(runtime_.wall());
-  written.changed = false;
-  record.usage = written.usage;
-  record.running_ms = held_in_flight_ms(written);
-  record.at_ms = written.written_at_ms;
+  job_account.written_at_ms = to_ms(runtime_.wall());
+  job_account.has_unwritten_charges = false;
+  record.usage = job_account.usage;
+  record.running_ms = held_in_flight_ms(job_account);
+  record.at_ms = job_account.written_at_ms;
 }
 
 accounts::Usage UsageLedger::current_usage(JobIndex job_index) {
@@ -124,11 +121,11 @@
 }
 
 bool UsageLedger::has_unwritten_charges(JobIndex job_index) const {
-  return accounts_[job_index.position()].changed;
+  return accounts_[job_index.position()].has_unwritten_charges;
 }
 
-// Guards against a team's sums that hold more than its jobs: the answer to the write of an end was lost, and a worker
-// showed a task once more before it was known that the write had been carried out.
+// Keeps a team's sums from exceeding its jobs' usage, if a worker reported a task after the write of the job's end and
+// before the lost reply to that write was resolved.
 void UsageLedger::reduce_to_recorded(JobIndex job_index, const accounts::Usage &recorded) {
   const JobSpec &spec = jobs_[job_index].spec;
   accounts::Sums excess = accounts::sums_of(account(job_index).usage - recorded, spec.need);
@@ -145,49 +142,51 @@
 }
 
 void UsageLedger::charge(JobIndex job_index, accounts::Usage usage) {
-  Account &charged = account(job_index);
+  Account &job_account = account(job_index);
   const Job &job = jobs_[job_index];
-  // Guards against a team's sums that hold more than its jobs: a worker may show a task of a cancelled job once more.
+  // Keeps a team's sums from exceeding its jobs' usage, if a worker reports a task while the job's end is being
+  // written.
   if (job.ending) {
-    charged.deferred += usage;
+    job_account.deferred += usage;
     return;
   }
-  usage += std::exchange(charged.deferred, {});
+  usage += std::exchange(job_account.deferred, {});
   if (usage.none()) return;
-  charged.usage += usage;
-  charged.changed = true;
-  charge_to_sums(charged.shard, job.spec.team, usage, job.spec.need);
+  job_account.usage += usage;
+  job_account.has_unwritten_charges = true;
+  charge_to_sums(job_account.shard, job.spec.team, usage, job.spec.need);
 }
 
 void UsageLedger::on(const TaskAllocated &event) {
   if (!enabled()) return;
-  Account &charged = account(event.job);
-  ++charged.attempts_in_flight;
-  charged.held_since_ms += to_ms(runtime_.now());
+  Account &job_account = account(event.job);
+  ++job_account.attempts_in_flight;
+  job_account.held_since_ms += to_ms(runtime_.now());
   accounts::Usage usage;
   if (!event.found) usage[accounts::Attempts] = 1;
-  if (event.unaccounted) usage[accounts::Uncertain] = since_written_ms(charged);
+  if (event.unaccounted) usage[accounts::Uncertain] = ms_since_written(job_account);
   charge(event.job, usage);
   if (event.found) jobs_.changed(event.job, false);
 }
 
 void UsageLedger::on(const TaskReleased &event) {
   if (!enabled()) return;
-  Account &charged = account(event.job);
-  const std::int64_t allocated = to_ms(event.held_since);
-  const std::int64_t released = to_ms(runtime_.now());
-  const std::int64_t running = event.running_since >= 0 ? to_ms(event.running_since) : released;
-  const std::int64_t waiting = event.waiting_since >= 0 ? to_ms(event.waiting_since) : running;
-  assert(allocated <= waiting && waiting <= running && running <= released && charged.attempts_in_flight > 0);
-  --charged.attempts_in_flight;
-  charged.held_since_ms -= allocated;
+  Account &job_account = account(event.job);
+  const std::int64_t allocated_at = to_ms(event.held_since);
+  const std::int64_t released_at = to_ms(runtime_.now());
+  const std::int64_t running_at = event.running_since >= 0 ? to_ms(event.running_since) : released_at;
+  const std::int64_t waiting_at = event.waiting_since >= 0 ? to_ms(event.waiting_since) : running_at;
+  assert(allocated_at <= waiting_at && waiting_at <= running_at && running_at <= released_at &&
+         job_account.attempts_in_flight > 0);
+  --job_account.attempts_in_flight;
+  job_account.held_since_ms -= allocated_at;
   const bool useful = event.done || jobs_[event.job].spec.shape == Shape::Service; // services end by being stopped
   accounts::Usage usage;
-  usage[accounts::Fetch] = waiting - allocated;
-  usage[accounts::Wait] = running - waiting;
-  usage[useful ? accounts::Useful : accounts::Lost] = released - running;
+  usage[accounts::Fetch] = waiting_at - allocated_at;
+  usage[accounts::Wait] = running_at - waiting_at;
+  usage[useful ? accounts::Useful : accounts::Lost] = released_at - running_at;
   usage[accounts::Retries] = useful ? 0 : 1;
-  usage[accounts::Cost] = cost(event, released - allocated);
+  usage[accounts::Cost] = cost(event, released_at - allocated_at);
   charge(event.job, usage);
   jobs_.changed(event.job, false);
 }
@@ -195,24 +194,24 @@
 void UsageLedger::on(const TasksAbandoned &event) {
   if (!enabled()) return;
   accounts::Usage usage;
-  usage[accounts::Uncertain] = event.tasks * since_written_ms(account(event.job));
+  usage[accounts::Uncertain] = event.tasks * ms_since_written(account(event.job));
   charge(event.job, usage);
   jobs_.changed(event.job, false);
 }
 
-// The largest share that a task takes of its machine, by the machine's price.
+// Returns the cost of an allocation: the price of its machine times the largest fraction of a resource that the task
+// takes.
 std::int64_t UsageLedger::cost(const TaskReleased &event, std::int64_t held_ms) const {
   if (event.type < 0) return 0;
   const auto &type = catalog_.type(event.type);
   const auto &need = jobs_[event.job].spec.need;
-  const double largest_share = std::max(
-      {share(need.cpus, type.size.cpus), share(need.memory, type.size.memory), share(need.gpus, type.size.gpus)});
+  const double largest_fraction =
+      std::max({fraction(need.cpus, type.size.cpus), fraction(need.memory, type.size.memory),
+                fraction(need.gpus, type.size.gpus)});
   const double price = event.spot ? type.spot_price : type.price;
-  return std::llround(kCostPerUnit * price * largest_share * static_cast<double>(held_ms) / kMsPerHour);
+  return std::llround(kCostPerUnit * price * largest_fraction * static_cast<double>(held_ms) / kMsPerHour);
 }
 
-// ---- budgets ----
-
 const wire::TeamBudget *UsageLedger::budget(int team) const {
   if (!enabled() || team < 0) return nullptr;
   const auto &budgets = operators_.budgets().teams;
@@ -225,14 +224,14 @@
 }
 
 bool UsageLedger::budget_exhausted(int team) const {
-  const wire::TeamBudget *limited = budget(team);
-  return limited && used(team) >= limited->limit();
+  const wire::TeamBudget *team_budget = budget(team);
+  return team_budget && used(team) >= team_budget->limit();
 }
 
 bool UsageLedger::budget_warning_due(int team) const {
-  const wire::TeamBudget *limited = budget(team);
-  if (!limited) return false;
-  return static_cast<double>(used(team)) >= limited->warn_share * static_cast<double>(limited->limit());
+  const wire::TeamBudget *team_budget = budget(team);
+  if (!team_budget) return false;
+  return static_cast<double>(used(team)) >= team_budget->warn_share * static_cast<double>(team_budget->limit());
 }
 
 void UsageLedger::tick() {
@@ -254,9 +253,9 @@
     }
   jobs_.each([&](JobIndex job_index, const Job &job) {
     if (job.team < 0) return;
-    const Account &open = account(job_index);
+    const Account &job_account = account(job_index);
     accounts::Usage usage;
-    usage[accounts::Useful] = held_in_flight_ms(open) + job.unaccounted * since_written_ms(open);
+    usage[accounts::Useful] = held_in_flight_ms(job_account) + job.unaccounted * ms_since_written(job_account);
     used_[static_cast<std::size_t>(job.team)] += accounts::sums_of(usage, job.spec.need).held();
   });
 }
--- a/src/core/state/usage_settlement.cpp
+++ b/src/core/state/usage_settlement.cpp
@@ -7,7 +7,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kInterval = 0.1;     // s, between two jobs
+constexpr double kInterval = 0.1;     // s, between reads of two jobs
 constexpr double kReadDeadline = 1.0; // s
 } // namespace
 
@@ -36,7 +36,8 @@
                  });
 }
 
-// Not found: its end is being moved at this moment, or nobody knows of it. Any other answer: asked again.
+// If there is no end record, it is being moved right now or was never written. After any other error the read is
+// retried.
 void UsageSettlement::on_end_record_read(ShardIndex shard, const std::string &id, const wire::StoreReply &reply) {
   reading_ = false;
   if (reply.status == 200 && reply.entries.size() == 1)
@@ -53,7 +54,8 @@
   if (end && end->usage)
     ledger_.charge_to_sums(shard, end->team, *end->usage - it->progress.usage, end->need);
   else
-    runtime_.log(LogLevel::Error, "account_gap_found", {{"job", id}, {"then", "counted as far as recorded before"}});
+    runtime_.log(LogLevel::Error, "account_gap_found",
+                 {{"job", id}, {"then", "only usage recorded earlier is counted"}});
   unsettled_jobs.erase(it);
   shards_.mark_dirty(shard, false);
 }
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -1,5 +1,5 @@
-// What a leader knows of cancellations, against a slow plain model that remembers every cancellation of every replica:
-// whatever was recorded before `known_until` has to be marked in the job table, or as soon as its job comes into it.
+// Compares Cancellations with a simple model that remembers every cancellation of every replica: each one recorded
+// before `known_until` must be marked in the job table, or as soon as its job is added to it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,20 +17,20 @@
 
 namespace {
 
-constexpr double kCancel = 40;
-constexpr double kLease = 10;
+constexpr double kCancelS = 40;
+constexpr double kLeaseS = 10;
 constexpr int kOwnReplica = 2; // the one under test; 0 and 1 are the others
 constexpr std::array<double, 2> kClockDrift = {0.0005, -0.0005};
 
 Settings three_replicas(double cancel_s) {
   Settings settings;
   settings.cancel_s = cancel_s;
-  settings.lease_s = kLease;
+  settings.lease_s = kLeaseS;
   settings.replicas = {{"b", "a", ""}, {"c", "a", ""}};
   return settings;
 }
 
-// Cancellations as another replica's process would record and report them.
+// Another replica's process, which records and reports cancellations.
 class SimulatedReplica {
 public:
   SimulatedReplica(double started_at, double clock_drift) : started_at_(started_at), rate_(1 + clock_drift) {}
@@ -42,7 +42,7 @@
   void record(const std::string &id, double now) { recorded_.emplace_back(id, now); }
   double uptime_s(double now) const { return (now - started_at_) * rate_; }
   std::vector<std::string> recent(double now) {
-    std::erase_if(recorded_, [&](const auto &entry) { return (now - entry.second) * rate_ > kCancel; });
+    std::erase_if(recorded_, [&](const auto &entry) { return (now - entry.second) * rate_ > kCancelS; });
     std::vector<std::string> ids;
     for (auto it = recorded_.rbegin(); it != recorded_.rend() && ids.size() < wire::kPeerMaxCancelled; ++it)
       ids.push_back(it->first);
@@ -52,19 +52,19 @@
 private:
   double started_at_;
   double rate_;
-  std::deque<std::pair<std::string, double>> recorded_; // and when, by the true clock
+  std::deque<std::pair<std::string, double>> recorded_; // id and time, by the true clock
 };
 
-// An elected leader that reads its records, and all that replicas and the state service could tell it.
+// An elected leader that is loading its records, with the other replicas and the state service.
 class Model {
 public:
-  explicit Model(unsigned seed, double cancel_s = kCancel) : settings(three_replicas(cancel_s)), rng(seed) {
-    pass(0);
+  explicit Model(unsigned seed, double cancel_s = kCancelS) : settings(three_replicas(cancel_s)), rng(seed) {
+    advance_time(0);
     elect();
   }
   int pick(int count) { return static_cast<int>(rng() % static_cast<unsigned>(count)); }
 
-  // By the answers of a state service that grants everything; the records are read from then on.
+  // Elects the leader by answering every state service request; afterwards it is loading records.
   void elect() {
     MachineType type;
     type.name = "t";
@@ -72,7 +72,7 @@
     leadership.step_down("a new term");
     deliver();
     for (int i = 0; i < 200 && leadership.role() != Role::Loading; ++i) {
-      pass(0.1);
+      advance_time(0.1);
       leadership.tick();
       answer_store_operations();
     }
@@ -80,7 +80,7 @@
     accepted_ids.clear();
     reads_in_flight.clear();
   }
-  void pass(double duration_s) { runtime.begin_batch({now += duration_s, 1.7e9 + now}); }
+  void advance_time(double duration_s) { runtime.begin_batch({now += duration_s, 1.7e9 + now}); }
   void deliver() {
     events.deliver([this](const auto &event) {
       if constexpr (requires { cancellations.on(event); }) cancellations.on(event);
@@ -96,14 +96,14 @@
     deliver();
   }
   void restart(int replica) { replicas[static_cast<std::size_t>(replica)].restart(now); }
-  // A report of now; it may be as old as the question that it answers.
-  void report(std::size_t replica, double asked_at) {
+  // Delivers a report with the present content, in reply to a request sent at `requested_at`.
+  void report(std::size_t replica, double requested_at) {
     const auto ids = replicas[replica].recent(now);
-    cancellations.confirmed_by_replica(replica, asked_at, replicas[replica].uptime_s(now), ids);
+    cancellations.confirmed_by_replica(replica, requested_at, replicas[replica].uptime_s(now), ids);
     deliver();
   }
-  // What the state service was asked now, to be answered at any later time: of what was recorded by then, a part of the
-  // open jobs, with their cancellations, into the job table.
+  // Sends a read that is answered later. Its answer holds a random part of the open jobs, with the cancellations
+  // recorded by now.
   void ask_state_service() {
     std::map<std::string, bool> open;
     for (int i = std::max(0, next_job - 40); i < next_job + 5; ++i)
@@ -112,24 +112,24 @@
   }
   void answer_oldest_read() {
     if (reads_in_flight.empty()) return;
-    const auto [asked_at, open] = std::move(reads_in_flight.front());
+    const auto [requested_at, open] = std::move(reads_in_flight.front());
     reads_in_flight.pop_front();
     for (const auto &[id, at] : recorded_at)
-      if (at <= asked_at) cancel(id);
+      if (at <= requested_at) cancel(id);
     for (const auto &[id, cancelled] : open) {
       accept(id);
       if (cancelled) cancel(id);
     }
-    cancellations.confirmed_by_state_service(asked_at);
+    cancellations.confirmed_by_state_service(requested_at);
     deliver();
   }
-  // A job that is over leaves the table; its cancellation was followed.
+  // Removes an ended job from the table.
   void end_job() {
     if (accepted_ids.empty()) return;
     if (const JobIndex job_index = jobs.index(*accepted_ids.begin()); job_index.valid()) jobs.remove(job_index);
     deliver();
   }
-  // A cancellation that should be known and is not, in words; empty: none.
+  // Describes a cancellation that should be marked and is not; empty: none.
   std::string unmarked_cancellation() const {
     for (const auto &[id, at] : recorded_at) {
       const JobIndex job_index = jobs.index(id);
@@ -175,15 +175,16 @@
   }
 
   std::mt19937 rng;
-  std::map<std::string, double> recorded_at; // by any replica
+  std::map<std::string, double> recorded_at; // by job id, over all replicas
   std::set<std::string> accepted_ids;
-  std::deque<std::pair<double, std::map<std::string, bool>>> reads_in_flight; // when asked, and what will be read
+  // Time of the request, and the jobs in the reply with whether each is cancelled.
+  std::deque<std::pair<double, std::map<std::string, bool>>> reads_in_flight;
   int next_job = 1;
   std::uint64_t revision = 100;
 };
 
-// One step of a random day. `connected`: by replica; `state_service`: whether it answers.
-void random_step(Model &model, std::array<bool, 2> &connected, bool &state_service) {
+// One random step. `link_up`: by replica; `state_service`: whether it responds.
+void random_step(Model &model, std::array<bool, 2> &link_up, bool &state_service) {
   switch (model.pick(12)) {
   case 0:
   case 1:
@@ -191,7 +192,7 @@
     break;
   case 2:
     if (model.pick(60) == 0)
-      for (int i = 0; i < 80; ++i) // more than a message holds
+      for (int i = 0; i < 80; ++i) // more than a report holds
         model.record_at(0);
     break;
   case 3:
@@ -202,19 +203,19 @@
     break;
   case 5:
     if (model.pick(12) == 0) {
-      bool &link = connected[static_cast<std::size_t>(model.pick(2))];
+      bool &link = link_up[static_cast<std::size_t>(model.pick(2))];
       link = !link;
     }
     break;
   case 6:
-    if (model.pick(150) == 0) model.pass(kCancel);
+    if (model.pick(150) == 0) model.advance_time(kCancelS);
     if (model.pick(150) == 0) model.elect();
     break;
   case 7:
     if (state_service) model.ask_state_service();
     break;
   case 8:
-    if (state_service || model.pick(3) == 0) model.answer_oldest_read(); // also late
+    if (state_service || model.pick(3) == 0) model.answer_oldest_read(); // replies may also arrive during an outage
     break;
   case 9:
     model.end_job();
@@ -226,60 +227,60 @@
 
 } // namespace
 
-TEST(KnownUntil, EveryCancellationRecordedBeforeItIsMarked) {
-  double gained_by_reports = 0;
+TEST(CancellationsTest, EveryCancellationBeforeKnownUntilIsMarked) {
+  double gained_from_reports_s = 0;
   for (unsigned seed = 1; seed <= 60; ++seed) {
     Model model(seed);
-    std::array<bool, 2> connected = {true, true};
+    std::array<bool, 2> link_up = {true, true};
     bool state_service = true;
     for (int step = 0; step < 3000; ++step) {
-      model.pass(0.02 * model.pick(8));
-      const double asked_at = model.now; // of this step's reports
-      random_step(model, connected, state_service);
-      if (model.pick(3) == 0) model.pass(0.01 * model.pick(100)); // between a question and its answer
-      for (std::size_t replica = 0; replica < connected.size(); ++replica) {
-        if (!connected[replica] || !model.pick(2)) continue;
+      model.advance_time(0.02 * model.pick(8));
+      const double requested_at = model.now; // of this step's report requests
+      random_step(model, link_up, state_service);
+      if (model.pick(3) == 0) model.advance_time(0.01 * model.pick(100)); // between a request and its reply
+      for (std::size_t replica = 0; replica < link_up.size(); ++replica) {
+        if (!link_up[replica] || !model.pick(2)) continue;
         const double before = model.cancellations.known_until();
-        model.report(replica, asked_at);
-        gained_by_reports += std::clamp(model.cancellations.known_until() - before, 0.0, 5.0);
+        model.report(replica, requested_at);
+        gained_from_reports_s += std::clamp(model.cancellations.known_until() - before, 0.0, 5.0);
       }
       ASSERT_EQ(model.unmarked_cancellation(), "") << "seed " << seed << " step " << step;
     }
   }
-  EXPECT_GT(gained_by_reports, 1000) << "most of it is known by reports of replicas";
+  EXPECT_GT(gained_from_reports_s, 1000) << "most cancellations should become known from replica reports";
 }
 
-// The lease that an answer renews, and the order to stop after it, have to be over within `cancel_s` of what is not
-// known: 40 s, shortened for drift, less a lease of 10 s, lengthened for it, and 2.5 s.
-TEST(KnownUntil, LeasesAreRenewedOnlyWhileWhatIsUnknownWouldEndInTime) {
+// A renewed lease and the stop command after it must end within `cancel_s` of the first unknown cancellation: 40 s
+// shortened for clock drift, less a lease of 10 s lengthened for it, less 2.5 s.
+TEST(CancellationsTest, LeasesAreRenewedWhileUnknownCancellationsWouldStopInTime) {
   Model model(1);
   model.cancellations.confirmed_by_state_service(model.now);
   const double confirmed_at = model.now;
-  model.pass(27.39);
+  model.advance_time(27.39);
   EXPECT_TRUE(model.cancellations.may_renew());
   EXPECT_EQ(model.cancellations.known_until(), confirmed_at);
-  model.pass(0.02);
+  model.advance_time(0.02);
   EXPECT_FALSE(model.cancellations.may_renew());
   model.cancellations.confirmed_by_state_service(model.now);
   EXPECT_TRUE(model.cancellations.may_renew());
 }
 
-// Where `cancel_s` is shorter than a lease, knowledge of the last five seconds is enough.
-TEST(KnownUntil, LeasesAreRenewedForFiveSecondsWhereCancellationsHaveLittleTime) {
+// If `cancel_s` is shorter than a lease, knowledge of the last five seconds is sufficient.
+TEST(CancellationsTest, LeasesAreRenewedForFiveSecondsIfCancelTimeIsShorterThanALease) {
   Model model(1, 8);
   model.cancellations.confirmed_by_state_service(model.now);
-  model.pass(4.99);
+  model.advance_time(4.99);
   EXPECT_TRUE(model.cancellations.may_renew());
-  model.pass(0.02);
+  model.advance_time(0.02);
   EXPECT_FALSE(model.cancellations.may_renew());
 }
 
-// A replica whose process has started since, or that has left some out, cannot speak for the time before.
-TEST(KnownUntil, ReportThatMayHaveAGapConfirmsNothing) {
+// A replica that restarted since, or whose report omits ids, can't confirm the earlier time.
+TEST(CancellationsTest, IncompleteReportConfirmsNothing) {
   Model model(1);
   model.cancellations.confirmed_by_state_service(model.now);
   const double confirmed_at = model.now;
-  model.pass(10);
+  model.advance_time(10);
   model.cancellations.confirmed_by_replica(0, model.now, 5, {});
   model.cancellations.confirmed_by_replica(1, model.now, 100, {});
   EXPECT_EQ(model.cancellations.known_until(), confirmed_at);
--- a/tests/end_record_compaction_test.cpp
+++ b/tests/end_record_compaction_test.cpp
@@ -1,4 +1,4 @@
-// Ends that were written into open records move to records of their own; and what one transaction takes.
+// Tests the move of end records from open/ to end/, and the limits of one transaction.
 #include "loftrouter/core/state/end_record_compaction.hpp"
 
 #include "state_fixture.hpp"
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_F(EndRecordCompactionTest, MoveIsGuardedByTheLeaderKeyAndBothRecords) {
+TEST_F(EndRecordCompactionTest, MoveIsConditionalOnTheLeaderKeyAndBothRecords) {
   enqueue("j-000001");
   compaction.add_to(transaction, full_budget(), 8);
   ASSERT_EQ(transaction.preconditions.size(), 3u);
@@ -37,14 +37,14 @@
   EXPECT_TRUE(compaction.empty());
 }
 
-TEST_F(EndRecordCompactionTest, NothingMovesWithoutMostOfTheWriteBudget) {
+TEST_F(EndRecordCompactionTest, NoMovesWhileTheWriteBudgetIsLow) {
   enqueue("j-000001");
   compaction.add_to(transaction, 0.39 * settings.state_write_rps, 8);
   EXPECT_TRUE(transaction.writes.empty());
   EXPECT_FALSE(compaction.empty());
 }
 
-TEST_F(EndRecordCompactionTest, OneTransactionMovesAsManyAsItTakes) {
+TEST_F(EndRecordCompactionTest, OneTransactionMovesUpToItsOperationLimit) {
   for (int i = 1; i <= 5; ++i)
     enqueue("j-00000" + std::to_string(i));
   compaction.add_to(transaction, full_budget(), 7);
@@ -52,30 +52,30 @@
   EXPECT_EQ(transaction.writes.size(), 6u);
 }
 
-TEST_F(EndRecordCompactionTest, RefusedMoveIsRepeatedUnlessItsRecordsHaveChanged) {
+TEST_F(EndRecordCompactionTest, RejectedMoveIsRetriedUnlessItsRecordsHaveChanged) {
   for (const char *id : {"j-000001", "j-000002", "j-000003"})
     enqueue(id);
   compaction.add_to(transaction, full_budget(), 8);
   compaction.requeue(transaction.compactions, {"open/j-000001", "end/j-000002"});
-  EXPECT_FALSE(compaction.find_end("j-000001")) << "moved already, by a write without an answer";
+  EXPECT_FALSE(compaction.find_end("j-000001")) << "already moved by an unanswered write";
   EXPECT_FALSE(compaction.find_end("j-000002"));
   ASSERT_TRUE(compaction.find_end("j-000003"));
   EXPECT_EQ(*compaction.find_end("j-000003"), wire::Json({{"id", "j-000003"}}));
 }
 
-TEST(TransactionRoom, NothingOvertakesWhatHasNotFitted) {
+TEST(TransactionCapacity, NothingFitsAfterAnItemThatDidNotFit) {
   WriteTransaction transaction(kTerm);
-  TransactionRoom room(2, 10);
-  EXPECT_TRUE(room.fits(transaction, 2));
+  TransactionCapacity capacity(2, 10);
+  EXPECT_TRUE(capacity.fits(transaction, 2));
   transaction.writes.resize(1);
-  EXPECT_FALSE(room.fits(transaction, 2));
-  EXPECT_FALSE(room.fits(transaction, 1));
-  EXPECT_TRUE(room.full());
+  EXPECT_FALSE(capacity.fits(transaction, 2));
+  EXPECT_FALSE(capacity.fits(transaction, 1));
+  EXPECT_TRUE(capacity.full());
 }
 
-TEST(TransactionRoom, TransactionsStayWithinTheWriteBudgetAndTheirSize) {
+TEST(TransactionCapacity, TransactionsStayWithinTheWriteBudgetAndSizeLimit) {
   WriteTransaction transaction(kTerm);
-  EXPECT_FALSE(TransactionRoom(8, 0.9).fits(transaction, 1));
+  EXPECT_FALSE(TransactionCapacity(8, 0.9).fits(transaction, 1));
   transaction.approximate_bytes = 48'001;
-  EXPECT_FALSE(TransactionRoom(8, 10).fits(transaction, 1));
+  EXPECT_FALSE(TransactionCapacity(8, 10).fits(transaction, 1));
 }
--- a/tests/progress_loader_test.cpp
+++ b/tests/progress_loader_test.cpp
@@ -1,4 +1,4 @@
-// What a new leader takes from the progress records of earlier ones.
+// Tests how a new leader loads the progress records of earlier leaders.
 #include "loftrouter/core/state/progress_loader.hpp"
 
 #include "loftrouter/wire/storage_keys.hpp"
@@ -9,11 +9,11 @@
 
 namespace {
 
-wire::KeyValue record_of(const std::string &name, const std::string &id, const ProgressRecord &progress) {
+wire::KeyValue progress_record_with(const std::string &name, const std::string &id, const ProgressRecord &progress) {
   return {wire::progress_key(name), wire::progress_shard({{id, wire::to_json(progress)}}), 7, 0};
 }
 
-ProgressRecord started(Ranges tasks, std::int64_t at_ms) {
+ProgressRecord progress_with_started(Ranges tasks, std::int64_t at_ms) {
   ProgressRecord progress;
   progress.started = std::move(tasks);
   progress.at_ms = at_ms;
@@ -29,10 +29,10 @@
 
 } // namespace
 
-// A job that was moving between records stands in two of them.
+// A job that was moving between records has an entry in both.
 TEST_F(ProgressLoaderTest, JobInTwoRecordsHasTheStartsOfBothAndTheNewerAccount) {
-  ASSERT_TRUE(loader.load(record_of("s0", "j-000001", started({{0, 2}}, 2000))));
-  ASSERT_TRUE(loader.load(record_of("t0", "j-000001", started({{4, 5}}, 1000))));
+  ASSERT_TRUE(loader.load(progress_record_with("s0", "j-000001", progress_with_started({{0, 2}}, 2000))));
+  ASSERT_TRUE(loader.load(progress_record_with("t0", "j-000001", progress_with_started({{4, 5}}, 1000))));
   const auto *loaded = loader.find(jobs[add_job("j-000001", 8)]);
   ASSERT_TRUE(loaded);
   EXPECT_EQ(loaded->progress.started, (Ranges{{0, 2}, {4, 5}}));
@@ -40,21 +40,21 @@
   EXPECT_EQ(shards[loaded->shard].key, "progress/s0");
 }
 
-TEST_F(ProgressLoaderTest, ProgressOfAnEarlierDelegationIsNotThatOfTheJob) {
-  ProgressRecord delegated = started({{0, 1}}, 1000);
+TEST_F(ProgressLoaderTest, ProgressOfAnEarlierDelegationIsNotUsed) {
+  ProgressRecord delegated = progress_with_started({{0, 1}}, 1000);
   delegated.delegated_here = 5;
-  ASSERT_TRUE(loader.load(record_of("s0", "j-000001", delegated)));
+  ASSERT_TRUE(loader.load(progress_record_with("s0", "j-000001", delegated)));
   EXPECT_FALSE(loader.find(jobs[add_job("j-000001")]));
 }
 
-TEST_F(ProgressLoaderTest, RecordOfALaterVersionIsRejected) {
+TEST_F(ProgressLoaderTest, RecordOfANewerVersionIsRejected) {
   EXPECT_FALSE(loader.load({"progress/s0", {{"v", 99}, {"jobs", nlohmann::json::object()}}, 7, 0}));
   EXPECT_EQ(shards.size(), 0u);
 }
 
-TEST_F(ProgressLoaderTest, JobThatIsNotOpenAnyMoreIsUnsettled) {
-  ASSERT_TRUE(loader.load(record_of("s0", "j-000001", started({{0, 1}}, 1000))));
-  ASSERT_TRUE(loader.load(record_of("s1", "j-000002", started({{0, 1}}, 1000))));
+TEST_F(ProgressLoaderTest, JobThatIsNoLongerOpenIsUnsettled) {
+  ASSERT_TRUE(loader.load(progress_record_with("s0", "j-000001", progress_with_started({{0, 1}}, 1000))));
+  ASSERT_TRUE(loader.load(progress_record_with("s1", "j-000002", progress_with_started({{0, 1}}, 1000))));
   add_job("j-000002");
   loader.finish();
   ASSERT_EQ(shards[ShardIndex(0)].unsettled_jobs.size(), 1u);
@@ -62,8 +62,8 @@
   EXPECT_TRUE(shards[ShardIndex(1)].unsettled_jobs.empty());
 }
 
-// Or it would be read at every failover.
-TEST_F(ProgressLoaderTest, RecordWithoutContentIsWrittenNextToBeDeleted) {
+// An empty record that is not deleted would be read at every failover.
+TEST_F(ProgressLoaderTest, EmptyRecordIsMarkedDirtyForDeletion) {
   ASSERT_TRUE(loader.load({"progress/s0", wire::progress_shard({}), 7, 0}));
   loader.finish();
   EXPECT_TRUE(shards.empty(ShardIndex(0)));
--- a/tests/progress_shards_test.cpp
+++ b/tests/progress_shards_test.cpp
@@ -1,4 +1,4 @@
-// Which record holds the progress of which job.
+// Tests the assignment of jobs to progress records, moves between records, and write order.
 #include "loftrouter/core/state/progress_shards.hpp"
 
 #include "state_fixture.hpp"
@@ -13,7 +13,7 @@
 
 class ProgressShardsTest : public test::StateFixture {
 protected:
-  // Assigns a job that earlier leaders have kept in `loaded_from`; invalid: a new one.
+  // Assigns a job that earlier leaders stored in `loaded_from`; invalid: a new job.
   JobIndex assign(const std::string &id, std::uint32_t tasks, ShardIndex loaded_from = {}) {
     const JobIndex job_index = add_job(id, tasks);
     shards.add_job(job_index, loaded_from);
@@ -36,7 +36,7 @@
     EXPECT_LE(shards[ShardIndex(i)].reserved_chars, static_cast<std::size_t>(settings.state_value_kb * 1024));
 }
 
-TEST_F(ProgressShardsTest, RoomOfARemovedJobIsUsedAgain) {
+TEST_F(ProgressShardsTest, SpaceOfARemovedJobIsReused) {
   const JobIndex first = assign("j-000001", kLargeJob);
   const ShardIndex shard = shards.job(first).shard;
   shards.remove_job(first);
@@ -45,8 +45,8 @@
   EXPECT_EQ(shards.job(assign("j-000002", kLargeJob)).shard, shard);
 }
 
-// If a leader ended in between, its successor would not know that the job's tasks were started.
-TEST_F(ProgressShardsTest, JobThatMovesLeavesItsRecordOnlyWhenTheOtherIsWritten) {
+// Otherwise a leader elected in between would not know that the job's tasks were started.
+TEST_F(ProgressShardsTest, MovingJobLeavesItsRecordOnlyAfterTheOtherIsWritten) {
   const ShardIndex loaded = shards.add_loaded("progress/s0", 7, kOversize);
   JobIndex moving;
   for (int i = 1; i < 9 && !moving.valid(); ++i) {
@@ -60,24 +60,24 @@
 
   shards.mark_dirty(loaded, true);
   EXPECT_EQ(shards.due(0), std::vector<ShardIndex>{target});
-  shards.copy_recorded(moving);
+  shards.on_move_copied(moving);
   EXPECT_EQ(shards.due(0).size(), 2u);
-  shards.departures_recorded(loaded);
+  shards.on_departures_written(loaded);
   EXPECT_FALSE(shards.job(moving).moving_from.valid());
 }
 
-TEST_F(ProgressShardsTest, UrgentRecordsAreWrittenFirstAndOthersAfterTheirDelay) {
-  const ShardIndex lazy = shards.add_loaded("progress/s0", 7, 10);
+TEST_F(ProgressShardsTest, UrgentRecordsAreWrittenFirstAndOthersAfterADelay) {
+  const ShardIndex not_urgent = shards.add_loaded("progress/s0", 7, 10);
   const ShardIndex urgent = shards.add_loaded("progress/s1", 7, 10);
-  shards.mark_dirty(lazy, false);
-  pass(0.5);
+  shards.mark_dirty(not_urgent, false);
+  advance_time(0.5);
   shards.mark_dirty(urgent, true);
   EXPECT_EQ(shards.due(0.8), std::vector<ShardIndex>{urgent});
-  pass(0.4);
-  EXPECT_EQ(shards.due(0.8), (std::vector<ShardIndex>{urgent, lazy}));
+  advance_time(0.4);
+  EXPECT_EQ(shards.due(0.8), (std::vector<ShardIndex>{urgent, not_urgent}));
 }
 
-// The state service has refused the record for its size.
+// The state service rejected the record as too large.
 TEST_F(ProgressShardsTest, ShrinkingMovesEverySecondJob) {
   std::vector<JobIndex> jobs_of_shard;
   for (int i = 1; i <= 4; ++i)
--- a/tests/state_fixture.hpp
+++ b/tests/state_fixture.hpp
@@ -1,5 +1,5 @@
-// The parts of the core that the state module is built on, without a state service: what the module would send there is
-// read from its transactions.
+// Test fixture with the dependencies of the state module, but without a state service: tests inspect the transactions
+// that the module would send.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -21,9 +21,11 @@
 
 class StateFixture : public ::testing::Test {
 protected:
-  explicit StateFixture(const Settings &wanted = state_settings()) : settings(wanted) { pass(0); }
+  explicit StateFixture(const Settings &initial_settings = state_settings()) : settings(initial_settings) {
+    advance_time(0);
+  }
 
-  void pass(double duration_s) { runtime.begin_batch({now += duration_s, 1.7e9 + now}); }
+  void advance_time(double duration_s) { runtime.begin_batch({now += duration_s, 1.7e9 + now}); }
 
   core::JobIndex add_job(const std::string &id, std::uint32_t tasks = 1) {
     OpenRecord record;
--- a/tests/state_watch_test.cpp
+++ b/tests/state_watch_test.cpp
@@ -1,4 +1,4 @@
-// How a leader follows the open records of the state service.
+// Tests how a leader watches and audits the open records of the state service.
 #include <gtest/gtest.h>
 
 #include "scenario.hpp"
@@ -6,8 +6,8 @@
 using namespace loftrouter;
 using namespace loftrouter::test;
 
-// Jobs, cancellations and ends that the watch has left out are found by comparing lists with the job table.
-TEST(StateWatch, AuditFindsWhatTheWatchHasLeftOut) {
+// Guards against jobs, cancellations and ends that are lost because the watch omitted their events.
+TEST(StateWatch, AuditFindsEventsOmittedByTheWatch) {
   World world(11, {});
   mixed_load(world, 10);
   world.run(1);
