--- a/include/loftrouter/core/state/cancellations.hpp
+++ b/include/loftrouter/core/state/cancellations.hpp
@@ -31,10 +31,10 @@
   [[nodiscard]] bool recent_is_complete() const { return recorded_here_.size() <= wire::kPeerMaxCancelled; }
 
   // Called when everything stored in the state service at `requested_at` has been merged into the job table.
-  void confirmed_by_state_service(double requested_at);
+  void confirm_from_state_service(double requested_at);
   // Merges another replica's `recent`, the reply to a request sent at `requested_at`. `uptime_s`: how long its process
   // has run.
-  void confirmed_by_replica(std::size_t replica, double requested_at, double uptime_s,
+  void confirm_from_replica(std::size_t replica, double requested_at, double uptime_s,
                             const std::vector<std::string> &ids);
 
   // Returns the time up to which every cancellation is known.
@@ -43,7 +43,7 @@
   [[nodiscard]] double known_until_wall() const { return runtime_.wall() - (runtime_.now() - known_until()); }
   // Returns whether worker leases may be renewed: tasks with a cancellation not yet known here would still stop in
   // time.
-  [[nodiscard]] bool may_renew() const;
+  [[nodiscard]] bool may_renew_leases() const;
 
   void on(const LeaderElected &);
   void on(const JobAccepted &);
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -151,7 +151,7 @@
                       : "no leader is known yet");
   if (leads && !leadership_.active())
     out.push_back("this node leads but starts nothing: its lease could not be renewed");
-  if (leadership_.active() && !cancellations_.may_renew())
+  if (leadership_.active() && !cancellations_.may_renew_leases())
     out.push_back(fmt::format("nothing is started: no news of cancellations since {}",
                               wire::clock_time(cancellations_.known_until_wall())));
   std::uint64_t unaccounted = 0;
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -59,7 +59,7 @@
   if (!leadership_.lease_valid())
     wait = fmt::format("nothing is started: the state service has not answered since {}",
                        wire::clock_time(runtime_.state_service_answered_at_wall()));
-  else if (!cancellations_.may_renew())
+  else if (!cancellations_.may_renew_leases())
     wait = fmt::format("nothing is started: the state service has told of no cancellations since {}",
                        wire::clock_time(cancellations_.known_until_wall()));
   else if (job.pending() && ledger_.budget_exhausted(job.team))
--- a/src/core/connectivity/replicas.cpp
+++ b/src/core/connectivity/replicas.cpp
@@ -111,7 +111,7 @@
   state.term = message.term;
   state.connectivity = message.connectivity;
   state.state_service_usage = {rate_from_tenths(message.store_reads), rate_from_tenths(message.store_writes)};
-  cancellations_.confirmed_by_replica(cmd.replica.position(), state.status_as_of, state.uptime_s, message.cancelled);
+  cancellations_.confirm_from_replica(cmd.replica.position(), state.status_as_of, state.uptime_s, message.cancelled);
   return true;
 }
 
@@ -146,7 +146,7 @@
 }
 
 bool Replicas::may_answer_heartbeats() const {
-  return (leadership_.active() || leads_through_outage()) && cancellations_.may_renew();
+  return (leadership_.active() || leads_through_outage()) && cancellations_.may_renew_leases();
 }
 
 } // namespace loftrouter::core
--- a/src/core/state/cancellations.cpp
+++ b/src/core/state/cancellations.cpp
@@ -51,12 +51,12 @@
   return ids;
 }
 
-void Cancellations::confirmed_by_state_service(double requested_at) {
+void Cancellations::confirm_from_state_service(double requested_at) {
   confirmed_by_state_service_ = std::max(confirmed_by_state_service_, requested_at);
   std::erase_if(unmatched_, [this](const auto &entry) { return entry.second < confirmed_by_state_service_; });
 }
 
-void Cancellations::confirmed_by_replica(std::size_t replica, double requested_at, double uptime_s,
+void Cancellations::confirm_from_replica(std::size_t replica, double requested_at, double uptime_s,
                                          const std::vector<std::string> &ids) {
   if (!tracking()) return;
   bool complete = ids.size() < wire::kPeerMaxCancelled; // a full report may omit some
@@ -79,7 +79,7 @@
   return std::max(confirmed_by_state_service_, by_replicas);
 }
 
-bool Cancellations::may_renew() const {
+bool Cancellations::may_renew_leases() const {
   const double accepted_age =
       settings_.cancel_s * (1 - kMaxClockDrift) - settings_.lease_s * (1 + kMaxClockDrift) - kMaxStopDelay;
   return runtime_.now() - known_until() < std::max(accepted_age, kMinAcceptedAge);
--- a/src/core/state/state_watch.cpp
+++ b/src/core/state/state_watch.cpp
@@ -97,7 +97,7 @@
 }
 
 void StateWatch::on_open_records_loaded() {
-  cancellations_.confirmed_by_state_service(listed_at_);
+  cancellations_.confirm_from_state_service(listed_at_);
   if (!relisting_) return leadership_.begin_term();
   relisting_ = false;
 }
@@ -122,7 +122,7 @@
   for (const auto &event : reply.events)
     if (event.value) state_writer_.load_open_record(event.key, *event.value, event.mod_revision);
   watched_revision_ = std::max(watched_revision_, reply.revision);
-  cancellations_.confirmed_by_state_service(requested_at);
+  cancellations_.confirm_from_state_service(requested_at);
   watch();
 }
 
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -99,7 +99,7 @@
   // Delivers a report with the present content, in reply to a request sent at `requested_at`.
   void report(std::size_t replica, double requested_at) {
     const auto ids = replicas[replica].recent(now);
-    cancellations.confirmed_by_replica(replica, requested_at, replicas[replica].uptime_s(now), ids);
+    cancellations.confirm_from_replica(replica, requested_at, replicas[replica].uptime_s(now), ids);
     deliver();
   }
   // Sends a read that is answered later. Its answer holds a random part of the open jobs, with the cancellations
@@ -120,7 +120,7 @@
       accept(id);
       if (cancelled) cancel(id);
     }
-    cancellations.confirmed_by_state_service(requested_at);
+    cancellations.confirm_from_state_service(requested_at);
     deliver();
   }
   // Removes an ended job from the table.
@@ -254,39 +254,39 @@
 // shortened for clock drift, less a lease of 10 s lengthened for it, less 2.5 s.
 TEST(CancellationsTest, LeasesAreRenewedWhileUnknownCancellationsWouldStopInTime) {
   Model model(1);
-  model.cancellations.confirmed_by_state_service(model.now);
+  model.cancellations.confirm_from_state_service(model.now);
   const double confirmed_at = model.now;
   model.advance_time(27.39);
-  EXPECT_TRUE(model.cancellations.may_renew());
+  EXPECT_TRUE(model.cancellations.may_renew_leases());
   EXPECT_EQ(model.cancellations.known_until(), confirmed_at);
   model.advance_time(0.02);
-  EXPECT_FALSE(model.cancellations.may_renew());
-  model.cancellations.confirmed_by_state_service(model.now);
-  EXPECT_TRUE(model.cancellations.may_renew());
+  EXPECT_FALSE(model.cancellations.may_renew_leases());
+  model.cancellations.confirm_from_state_service(model.now);
+  EXPECT_TRUE(model.cancellations.may_renew_leases());
 }
 
 // If `cancel_s` is shorter than a lease, knowledge of the last five seconds is sufficient.
 TEST(CancellationsTest, LeasesAreRenewedForFiveSecondsIfCancelTimeIsShorterThanALease) {
   Model model(1, 8);
-  model.cancellations.confirmed_by_state_service(model.now);
+  model.cancellations.confirm_from_state_service(model.now);
   model.advance_time(4.99);
-  EXPECT_TRUE(model.cancellations.may_renew());
+  EXPECT_TRUE(model.cancellations.may_renew_leases());
   model.advance_time(0.02);
-  EXPECT_FALSE(model.cancellations.may_renew());
+  EXPECT_FALSE(model.cancellations.may_renew_leases());
 }
 
 // A replica that restarted since, or whose report omits ids, can't confirm the earlier time.
 TEST(CancellationsTest, IncompleteReportConfirmsNothing) {
   Model model(1);
-  model.cancellations.confirmed_by_state_service(model.now);
+  model.cancellations.confirm_from_state_service(model.now);
   const double confirmed_at = model.now;
   model.advance_time(10);
-  model.cancellations.confirmed_by_replica(0, model.now, 5, {});
-  model.cancellations.confirmed_by_replica(1, model.now, 100, {});
+  model.cancellations.confirm_from_replica(0, model.now, 5, {});
+  model.cancellations.confirm_from_replica(1, model.now, 100, {});
   EXPECT_EQ(model.cancellations.known_until(), confirmed_at);
   const std::vector<std::string> full(wire::kPeerMaxCancelled, job_name(1));
-  model.cancellations.confirmed_by_replica(0, model.now, 100, full);
+  model.cancellations.confirm_from_replica(0, model.now, 100, full);
   EXPECT_EQ(model.cancellations.known_until(), confirmed_at);
-  model.cancellations.confirmed_by_replica(0, model.now, 100, {});
+  model.cancellations.confirm_from_replica(0, model.now, 100, {});
   EXPECT_EQ(model.cancellations.known_until(), model.now);
 }
