--- a/src/core/state/progress_shards.cpp
+++ b/src/core/state/progress_shards.cpp
@@ -53,7 +53,7 @@
   return static_cast<std::size_t>(settings_.state_value_kb * 1024 * kMaxShardShare);
 }
 
-// Returns the characters to reserve for a job's entry. With accounting, the second task set needs no space: tasks start
+// Returns the characters to reserve for a job's entry. With accounting, one of the two task sets is short: tasks start
 // in order, so the started ones form a single range.
 std::size_t ProgressShards::entry_chars(const Job &job) const {
   const std::size_t task_set = std::min(task_set_chars(job.spec.tasks), max_task_set_chars());
@@ -115,7 +115,7 @@
   assign(job_index, loaded_from);
 }
 
-// A job in a record that exceeds the present size limit, after that was lowered, may have to move.
+// Assigns the job to the shard that already holds it, unless that no longer fits because the size limit was lowered.
 void ProgressShards::assign(JobIndex job_index, ShardIndex loaded_from) {
   if (loaded_from.valid()) {
     const bool fits = has_space(loaded_from, job_index) || (*this)[loaded_from].jobs.empty();
--- a/src/core/state/state_writer.cpp
+++ b/src/core/state/state_writer.cpp
@@ -148,8 +148,8 @@
   schedule_.not_before = runtime_.now() + kReadRetryDelay;
 }
 
-// Prevents one record that is too large from blocking all writes: writes records one by one to find it, then shrinks
-// it.
+// Keeps a single oversized record from blocking all writes: records are written one by one to find it, then it is
+// shrunk.
 void StateWriter::on_refused(const WriteTransaction &transaction) {
   const bool single = operation_count(transaction) == 1;
   runtime_.log(
