--- a/include/loftrouter/accounts/usage.hpp
+++ b/include/loftrouter/accounts/usage.hpp
@@ -20,12 +20,12 @@
 namespace loftrouter::accounts {
 
 enum Column : std::uint8_t {
-  Useful,    // running, by attempts that completed
-  Fetch,     // from the start sent to running, or to the wait for a gang
-  Wait,      // for the other tasks of a gang
-  Lost,      // running, by attempts that did not complete: failed, stopped, or their machine gone
-  Unsorted,  // held when a leader last wrote that has since ended: how it went on is not known
-  Uncertain, // at most: what may have been held after such a leader's last record
+  Useful,     // running, by attempts that completed
+  Fetch,      // from the start sent to running, or to the wait for a gang
+  Wait,       // for the other tasks of a gang
+  Lost,       // running, by attempts that did not complete: failed, stopped, or their machine gone
+  Unresolved, // held when a leader last wrote that has since ended: how it went on is not known
+  Uncertain,  // at most: what may have been held after such a leader's last record
   Attempts,
   Retries, // attempts that did not complete
   Cost,    // millionths of the cloud's unit: the task's largest share of its machine, by the machine's price
@@ -55,10 +55,10 @@
   bool operator==(const Row &) const = default;
 
   // Whether all columns are 0.
-  [[nodiscard]] bool none() const { return *this == Row{}; }
+  [[nodiscard]] bool all_zero() const { return *this == Row{}; }
   // Time in all, the uncertain part included.
   [[nodiscard]] std::int64_t held() const {
-    return values[Useful] + values[Fetch] + values[Wait] + values[Lost] + values[Unsorted] + values[Uncertain];
+    return values[Useful] + values[Fetch] + values[Wait] + values[Lost] + values[Unresolved] + values[Uncertain];
   }
 };
 using Usage = Row<kUsageColumns>; // ms
@@ -66,7 +66,7 @@
 
 // What the tasks of a job have used, each of which needs `need`.
 Sums sums_of(const Usage &usage, const Resources &need);
-constexpr double kSumsAnHour = 1000.0 * 3'600'000.0; // CPU hours are sums divided by this
+constexpr double kSumsPerHour = 1000.0 * 3'600'000.0; // CPU hours are sums divided by this
 
 // The stored form: numbers to base 36, joined by points, zeros at the end left out.
 template <std::size_t Columns> std::string pack(const Row<Columns> &row);
--- a/include/loftrouter/core/api/status_reporter.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -14,24 +14,23 @@
 #include "loftrouter/core/connectivity/replicas.hpp"
 #include "loftrouter/core/jobs/ended_jobs.hpp"
 #include "loftrouter/core/runtime/dense_index.hpp"
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
 class StatusReporter {
 public:
   StatusReporter(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog,
-                 const Operators &operators, const Leadership &leadership, const Cancellations &cancellations,
+                 const OperatorSettings &operators, const Leadership &leadership, const Cancellations &cancellations,
                  const JobTable &jobs, const EndedJobs &ended, const Dependencies &dependencies,
-                 const FailureAttribution &failure_attribution, const PendingReasons &pending_reasons,
+                 const FailureAttribution &failure_attribution, const JobReasons &job_reasons,
                  const WorkerRegistry &workers, const Scheduler &scheduler, const Quotas &quotas,
                  const Autoscaler &autoscaler, const JobObjectives &objectives, const UsageLedger &ledger,
                  Replicas &replicas)
       : runtime_(runtime), settings_(settings), catalog_(catalog), operators_(operators), leadership_(leadership),
         cancellations_(cancellations), jobs_(jobs), ended_(ended), dependencies_(dependencies),
-        failure_attribution_(failure_attribution), pending_reasons_(pending_reasons), workers_(workers),
-        scheduler_(scheduler), quotas_(quotas), autoscaler_(autoscaler), objectives_(objectives), ledger_(ledger),
-        replicas_(replicas) {}
+        failure_attribution_(failure_attribution), job_reasons_(job_reasons), workers_(workers), scheduler_(scheduler),
+        quotas_(quotas), autoscaler_(autoscaler), objectives_(objectives), ledger_(ledger), replicas_(replicas) {}
 
   // What a user is shown of a job that the state service has just said is open.
   JobView view(const std::string &id, bool cancelled) const;
@@ -42,7 +41,7 @@
 
   void publish_to_replicas();
   void take_digest(const wire::PeerMessage &message);
-  void on(const JobAccepted &event) { grown(told_, event.job) = {}; }
+  void on(const JobAccepted &event) { get_or_create(told_, event.job) = {}; }
   void on(const JobEndLearned &event) { news_.erase(event.id); }
   void on(const TermStarted &);
 
@@ -75,14 +74,14 @@
   Runtime &runtime_;
   const Settings &settings_;
   const InstanceTypeCatalog &catalog_;
-  const Operators &operators_;
+  const OperatorSettings &operators_;
   const Leadership &leadership_;
   const Cancellations &cancellations_;
   const JobTable &jobs_;
   const EndedJobs &ended_;
   const Dependencies &dependencies_;
   const FailureAttribution &failure_attribution_;
-  const PendingReasons &pending_reasons_;
+  const JobReasons &job_reasons_;
   const WorkerRegistry &workers_;
   const Scheduler &scheduler_;
   const Quotas &quotas_;
--- a/include/loftrouter/core/connectivity/replicas.hpp
+++ b/include/loftrouter/core/connectivity/replicas.hpp
@@ -19,7 +19,7 @@
 namespace loftrouter::core {
 
 // What a replica says of its part in serving workers.
-struct HeartbeatServing {
+struct HeartbeatServiceStatus {
   bool leads = false;            // answers heartbeats as the leader
   bool wants_forwarding = false; // and wants other replicas to forward heartbeats to it
   bool can_forward = false;      // does not lead, and has room for workers whose heartbeats it forwards
@@ -35,7 +35,7 @@
   double status_as_of = -1e9;
   double uptime_s = 0;
   bool state_service_lost = false;
-  HeartbeatServing serving;
+  HeartbeatServiceStatus service_status;
   std::uint64_t term = 0; // the highest that it knows of, or its own if it leads
   ConnectivityRecord connectivity;
   StateServiceLimits::Usage state_service_usage;
@@ -69,7 +69,7 @@
   [[nodiscard]] bool ping_due() const { return runtime_.now() >= next_ping_at_; }
   // Pings every replica, and shares the state service's limits out by what they said last.
   void send_pings();
-  void answer_ping(const PeerMessageCommand &cmd, const HeartbeatServing &serving);
+  void answer_ping(const PeerMessageCommand &cmd, const HeartbeatServiceStatus &service_status);
   // Takes a replica's status. False: this does not answer the last ping sent to it, and is ignored.
   [[nodiscard]] bool accept_pong(const PeerMessageCommand &cmd);
   void broadcast(const wire::PeerMessage &message);
@@ -79,12 +79,12 @@
 
   // Whether the leader, or a replica that has sent a ping lately, runs a version without job dependencies. Jobs with
   // dependencies are not accepted until it is gone or silent.
-  [[nodiscard]] bool some_lack_dependencies() const;
+  [[nodiscard]] bool some_replica_lacks_dependencies() const;
 
   // Whether this replica has had no answer from the state service for a while.
   [[nodiscard]] bool state_service_lost() const;
   // Whether no replica reaches the state service. Nobody can be elected then.
-  [[nodiscard]] bool common_outage() const;
+  [[nodiscard]] bool state_service_lost_by_all() const;
   // Whether this replica may renew workers' leases by answering their heartbeats: nobody else leads, and any
   // cancellation it does not know of would still be carried out in time.
   [[nodiscard]] bool may_answer_heartbeats() const;
--- a/include/loftrouter/core/election/leadership.hpp
+++ b/include/loftrouter/core/election/leadership.hpp
@@ -22,7 +22,7 @@
 
 // How long a replica's statement that it cannot reach the state service counts, s. A newly elected leader waits as
 // long before it takes the previous leader to have stopped.
-constexpr double kOutageStatementValidityS = 1.5;
+constexpr double kOutageReportValidityS = 1.5;
 
 // By how much two clocks' rates may differ: four times the bound that the protocol gives.
 constexpr double kMaxClockDrift = 0.002;
--- a/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
@@ -67,10 +67,12 @@
   // Remembers whether the leader wants forwarding, from a replica's status.
   void status_received(const wire::PeerMessage &pong);
   // Heartbeats for which this holds are refused for now: a leader may not keep alive what it cannot vouch for.
-  void refuse_while(std::function<bool(const Heartbeat &)> condition) { refusal_condition_ = std::move(condition); }
+  void set_refusal_condition(std::function<bool(const Heartbeat &)> condition) {
+    refusal_condition_ = std::move(condition);
+  }
 
   // What this replica tells the others of its part in serving workers.
-  [[nodiscard]] HeartbeatServing serving() const;
+  [[nodiscard]] HeartbeatServiceStatus service_status() const;
   [[nodiscard]] HeartbeatLoad load() const;
   // Workers whose heartbeats this replica forwards.
   [[nodiscard]] std::size_t workers_forwarded() const { return forwarder_.workers(); }
--- a/include/loftrouter/core/jobs/dependencies.hpp
+++ b/include/loftrouter/core/jobs/dependencies.hpp
@@ -53,12 +53,12 @@
   std::size_t unresolved_count(JobIndex job_index) const;
   const std::vector<JobIndex> &dependents(JobIndex job_index) const { return node(job_index).dependents; }
   // Id of the job with which it was cancelled; empty: none.
-  const std::string &cancelled_with(JobIndex job_index) const { return node(job_index).cancelled_with; }
+  const std::string &cancelled_dependency(JobIndex job_index) const { return node(job_index).cancelled_dependency; }
 
   // ---- what a job has to meet ----
 
   // The highest of its own and of those that depend on it, directly or through others.
-  Urgency urgency(JobIndex job_index) const;
+  Priority priority(JobIndex job_index) const;
   // Seconds after `ready_wall`: by its own deadline, and so that every job that depends on it can still meet its own.
   std::optional<double> deadline(JobIndex job_index) const;
   // Seconds after `ready_wall`, by its own deadline alone.
@@ -83,7 +83,7 @@
     std::vector<JobIndex> dependents;
     std::size_t unmet = 0; // jobs that it names and that are not known to be done
     double ready_wall = 0;
-    std::string cancelled_with;
+    std::string cancelled_dependency;
   };
   struct Lookup { // of a job that is not open here, and whose end is not known
     std::vector<JobIndex> dependents;
@@ -91,7 +91,7 @@
     double next_at = 0; // monotonic
   };
   struct Requirement { // what a job has to meet, by its own and by all that depend on it
-    Urgency urgency{};
+    Priority priority{};
     std::optional<double> due_wall;
   };
   static constexpr std::size_t kMaxLookups = 8; // in flight
--- a/include/loftrouter/core/jobs/failure_attribution.hpp
+++ b/include/loftrouter/core/jobs/failure_attribution.hpp
@@ -14,13 +14,13 @@
 #include "loftrouter/core/jobs/job_table.hpp"
 #include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/runtime/events.hpp"
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
 class FailureAttribution {
 public:
-  FailureAttribution(Runtime &runtime, Events &events, JobTable &jobs, const Operators &operators)
+  FailureAttribution(Runtime &runtime, Events &events, JobTable &jobs, const OperatorSettings &operators)
       : runtime_(runtime), events_(events), jobs_(jobs), operators_(operators) {}
 
   // It has failed wherever it was tried: more likely a mistake in the job than several faulty machines.
@@ -37,7 +37,7 @@
   void restore(JobIndex job_index, std::uint32_t failed_machine_count);
   void on(const TaskExited &event);
   void on(const JobCancelled &event);
-  void on(const JobFinalized &event) { grown(job_histories_, event.job) = {}; }
+  void on(const JobFinalized &event) { get_or_create(job_histories_, event.job) = {}; }
   void on(const MachineRemoved &event);
   void on(const TermEnded &);
 
@@ -77,7 +77,7 @@
   Runtime &runtime_;
   Events &events_;
   JobTable &jobs_;
-  const Operators &operators_;
+  const OperatorSettings &operators_;
   std::vector<JobHistory> job_histories_;         // by job
   std::vector<MachineHistory> machine_histories_; // by machine
 };
--- a/include/loftrouter/core/jobs/pending_reasons.hpp
+++ b/include/loftrouter/core/jobs/job_reasons.hpp
@@ -12,17 +12,17 @@
 #include "loftrouter/core/jobs/job_objectives.hpp"
 #include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/runtime/events.hpp"
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
 // Why a job is cancelled that waits for the job of this id, for users.
 std::string dependency_cancelled_reason(std::string_view dependency_id);
 
-class PendingReasons {
+class JobReasons {
 public:
-  PendingReasons(Runtime &runtime, const JobTable &jobs, const Dependencies &dependencies,
-                 const FailureAttribution &failure_attribution, const JobObjectives &objectives)
+  JobReasons(Runtime &runtime, const JobTable &jobs, const Dependencies &dependencies,
+             const FailureAttribution &failure_attribution, const JobObjectives &objectives)
       : runtime_(runtime), jobs_(jobs), dependencies_(dependencies), failure_attribution_(failure_attribution),
         objectives_(objectives) {}
 
@@ -31,7 +31,7 @@
   // Of a job that ends now.
   EndRecord end_record(JobIndex job_index) const;
 
-  void on(const JobAccepted &event) { grown(last_events_, event.job).clear(); }
+  void on(const JobAccepted &event) { get_or_create(last_events_, event.job).clear(); }
   void on(const TaskRetried &event);
   void on(const TaskLost &event);
   void on(const TaskPreempted &event);
--- a/include/loftrouter/core/jobs/job_table.hpp
+++ b/include/loftrouter/core/jobs/job_table.hpp
@@ -55,10 +55,10 @@
   std::uint32_t placed = 0;
   std::uint32_t unaccounted = 0;
   std::uint32_t delegated = 0;
-  std::vector<int> zone_used; // placed tasks, by zone
+  std::vector<int> placed_by_zone; // placed tasks, by zone
 
   std::uint64_t gang_attempt = 0; // the current attempt of a gang
-  bool gang_closed = false;       // that attempt takes no replacements any more
+  bool gang_started = false;      // that attempt takes no replacements any more
 
   std::vector<DelegationRecord> delegations;      // to other cells
   std::uint32_t delegated_running = 0;            // of the delegated tasks, by the last report
@@ -77,7 +77,7 @@
   // ---- look-ups ----
 
   std::size_t index_limit() const { return jobs_.size(); } // indices are below this
-  std::size_t open() const { return index_.size(); }       // number of jobs
+  std::size_t open_count() const { return index_.size(); } // number of jobs
   // The job at this index, or null.
   const Job *find(JobIndex job_index) const { return jobs_[job_index.position()].get(); }
   // There has to be one.
@@ -106,9 +106,9 @@
   [[nodiscard]] bool update_mod_revision(JobIndex job_index, std::uint64_t mod_revision);
   void set_ending(JobIndex job_index, bool ending);
   void pause(JobIndex job_index, bool paused);
-  void mark_ready(JobIndex job_index);            // every job that it waited for is done
-  void confirm_end_by_origin(JobIndex job_index); // delegated here: the origin cell knows how it ended
-  void changed(JobIndex job_index, bool urgent);  // its progress record has to follow
+  void mark_ready(JobIndex job_index);                   // every job that it waited for is done
+  void confirm_end_by_origin(JobIndex job_index);        // delegated here: the origin cell knows how it ended
+  void publish_changed(JobIndex job_index, bool urgent); // its progress record has to follow
 
   // ---- tasks ----
 
@@ -125,7 +125,7 @@
   // `fresh`: a number that no attempt of an earlier leader reached.
   std::uint64_t next_gang_attempt(JobIndex job_index, std::uint64_t fresh);
   void adopt_gang_attempt(JobIndex job_index, std::uint64_t attempt);
-  void close_gang(JobIndex job_index, bool closed);
+  void set_gang_started(JobIndex job_index, bool closed);
 
   // ---- delegations to other cells ----
   // Their tasks can't be placed here until the delegation has expired or is removed; those that are done at the remote
--- a/include/loftrouter/core/runtime/commands.hpp
+++ b/include/loftrouter/core/runtime/commands.hpp
@@ -51,11 +51,11 @@
 };
 struct HeartbeatCommand {
   RequestId req;
-  Heartbeat report;
+  Heartbeat heartbeat;
 };
 struct AdminCommand {
   RequestId req;
-  wire::AdminRequest ask;
+  wire::AdminRequest request;
 };
 
 // ---- replies to I/O requests ----
--- a/include/loftrouter/core/runtime/effects.hpp
+++ b/include/loftrouter/core/runtime/effects.hpp
@@ -93,7 +93,7 @@
   std::uint64_t fencing_token = 0;
   std::uint64_t incarnation = 0;
   std::string machine;
-  std::vector<TaskCommand> orders;
+  std::vector<TaskCommand> commands;
 };
 struct PeerSend {
   ReplicaIndex replica; // none: on `link`
--- a/include/loftrouter/core/runtime/events.hpp
+++ b/include/loftrouter/core/runtime/events.hpp
@@ -45,8 +45,8 @@
 // Its state differs from its record.
 struct JobChanged {
   JobIndex job;
-  bool ends;   // it can be finalized
-  bool urgent; // something waits for the record
+  bool can_finalize; // it can be finalized
+  bool urgent;       // something waits for the record
 };
 // It has failed on every machine where it was tried.
 struct JobSuspected {
@@ -70,7 +70,7 @@
   JobIndex job;
   std::uint32_t index;
   MachineIndex machine;
-  bool found;
+  bool adopted;
   bool unaccounted; // it was waited for since this leader's election
 };
 // The task no longer has an allocation.
@@ -90,7 +90,7 @@
   JobIndex job;
   std::uint32_t index;
   MachineIndex machine;
-  double after_s; // since it was allocated
+  double startup_s; // since it was allocated
 };
 // It has ended, by itself or by a command, and its machine has reported so.
 struct TaskExited {
@@ -115,7 +115,7 @@
 };
 struct TaskPreempted {
   JobIndex job;
-  std::string by; // id of the job that takes its place
+  std::string preempting_job; // id of the job that takes its place
 };
 // A budget is used up; the tasks have had time to save their progress.
 struct TasksStoppedByBudget {
--- a/include/loftrouter/core/scheduling/placement.hpp
+++ b/include/loftrouter/core/scheduling/placement.hpp
@@ -21,7 +21,7 @@
   int zone = 0;
   bool spot = false;
   bool reserved_for_large = false; // wanted whole by a job class that fits nowhere else
-  Resources small_work_room;       // of a reserved one: what small work may still take without being in the way
+  Resources small_task_headroom;   // of a reserved one: what small work may still take without being in the way
   JobIndex nominated_for;          // being emptied for this job (`PlacementJob::index`): takes nothing else
   double price_premium = 0;        // 0: a CPU is as cheap here as anywhere; towards 1: much more expensive
   std::vector<int> images;         // cached or being fetched
@@ -39,8 +39,8 @@
   bool spot = false;       // may use spot machines
   bool gang = false;       // all of `pending` or nothing
   bool one_zone = false;
-  int max_per_zone = -1;      // most tasks in a zone (spread), or -1
-  std::vector<int> zone_used; // tasks of the job on machines, by zone
+  int max_per_zone = -1;           // most tasks in a zone (spread), or -1
+  std::vector<int> placed_by_zone; // tasks of the job on machines, by zone
   std::vector<MachineIndex> avoided_machines;
   bool small = false;           // low urgency and spot-tolerant: keeps off reserved machines
   double max_price_premium = 1; // keeps off on-demand machines that are more expensive
@@ -50,7 +50,7 @@
   std::uint32_t limit = 0;   // most of them that may be placed now
 
   // How it ranks.
-  Urgency urgency = Urgency::Normal;
+  Priority priority = Priority::Normal;
   bool guaranteed = false;     // within its team's guarantee
   bool delegated_here = false; // another cell's: after all of this cell's own work
   double wait_s = 0;
--- a/include/loftrouter/core/state/state_context.hpp
+++ b/include/loftrouter/core/state/state_context.hpp
@@ -1,11 +1,11 @@
-// The parts of the core that the state module is built on. Passed to the constructors of the module's classes, each of
-// which keeps references to those that it needs; every part outlives them.
+// Dependencies of the state module, passed to the constructors of its classes. Everything referred to outlives those
+// classes; each keeps references to what it needs.
 #pragma once
 
 #include "loftrouter/core/election/leadership.hpp"
 #include "loftrouter/core/jobs/dependencies.hpp"
 #include "loftrouter/core/jobs/failure_attribution.hpp"
-#include "loftrouter/core/jobs/pending_reasons.hpp"
+#include "loftrouter/core/jobs/job_reasons.hpp"
 #include "loftrouter/core/runtime/events.hpp"
 #include "loftrouter/core/runtime/state_service_limits.hpp"
 #include "loftrouter/core/state/usage_ledger.hpp"
@@ -22,7 +22,7 @@
   EndedJobs &ended_jobs;
   const Dependencies &dependencies;
   FailureAttribution &failure_attribution;
-  const PendingReasons &pending_reasons;
+  const JobReasons &job_reasons;
   const JobObjectives &objectives;
   UsageLedger &ledger;
 };
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -70,9 +70,9 @@
         }) {}
 
   void run() {
-    core_.log_up_to(spdlog::should_log(spdlog::level::debug)  ? core::LogLevel::Debug
-                    : spdlog::should_log(spdlog::level::info) ? core::LogLevel::Info
-                                                              : core::LogLevel::Error);
+    core_.set_log_level(spdlog::should_log(spdlog::level::debug)  ? core::LogLevel::Debug
+                        : spdlog::should_log(spdlog::level::info) ? core::LogLevel::Info
+                                                                  : core::LogLevel::Error);
     tick_.once(0);
     loop_.run();
   }
@@ -165,7 +165,8 @@
       cloud_.send(op);
     for (const auto &w : effects.workers)
       if (auto to = net::parse_address(w.address))
-        outbound_requests_.post(*to, "/orders", wire::encode_direct_commands(w.fencing_token, w.incarnation, w.orders));
+        outbound_requests_.post(*to, "/orders",
+                                wire::encode_direct_commands(w.fencing_token, w.incarnation, w.commands));
     bool prompt = false;
     for (const auto &p : effects.peers) {
       auto frame = wire::encode_peer(p.message);
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -39,7 +39,7 @@
 
 void AdministrationApiHandler::take(AdminCommand &&cmd) {
   using Kind = wire::AdminRequest::Kind;
-  const auto &ask = cmd.ask;
+  const auto &ask = cmd.request;
   switch (ask.kind) {
   case Kind::Status:
     return status(cmd.req, ask);
@@ -73,8 +73,9 @@
   for (const ReplicaIndex i : replicas_.indices()) {
     const auto &x = replicas_[i];
     const auto word = connectivity_.connectivity_of(i);
-    status.replicas.push_back({replicas_.name(i), ago(x.status_as_of), x.state_service_lost, x.serving.can_forward,
-                               leads ? workers_.available_count(i) : 0, word ? word->record : ConnectivityRecord{},
+    status.replicas.push_back({replicas_.name(i), ago(x.status_as_of), x.state_service_lost,
+                               x.service_status.can_forward, leads ? workers_.available_count(i) : 0,
+                               word ? word->record : ConnectivityRecord{},
                                !word                  ? "nothing"
                                : word->over_peer_link ? "link"
                                                       : "state service",
@@ -100,7 +101,7 @@
     k.cpus += machine.size.cpus;
     k.used += machine.used.cpus;
   });
-  for (const auto &kind : autoscaler_.refused_kinds())
+  for (const auto &kind : autoscaler_.kinds_without_capacity())
     kinds[kind].refused = true;
   for (auto &[key, k] : kinds) {
     const auto [type, zone, spot] = key;
@@ -143,7 +144,7 @@
     out.push_back(runtime_.state_service_answered_at_wall() > 0
                       ? fmt::format("this node gets no answer from the state service since {}{}",
                                     wire::clock_time(runtime_.state_service_answered_at_wall()),
-                                    replicas_.common_outage() ? ", nor do its siblings" : "")
+                                    replicas_.state_service_lost_by_all() ? ", nor do its siblings" : "")
                       : "this node has had no answer from the state service yet");
   if (status.leader.empty())
     out.push_back(leadership_.leaderless_since_wall() > 0
@@ -151,7 +152,7 @@
                       : "no leader is known yet");
   if (leads && !leadership_.active())
     out.push_back("this node leads but starts nothing: its lease could not be renewed");
-  if (leadership_.active() && !cancellations_.may_renew())
+  if (leadership_.active() && !cancellations_.may_renew_leases())
     out.push_back(fmt::format("nothing is started: no news of cancellations since {}",
                               wire::clock_time(cancellations_.known_until_wall())));
   std::uint64_t unaccounted = 0;
@@ -178,7 +179,7 @@
     if (ledger_.budget_warning_due(t))
       out.push_back(fmt::format("team {} has used {:.1f} of its {:g} CPU hours of this period{}",
                                 settings_.teams[static_cast<std::size_t>(t)].name,
-                                static_cast<double>(ledger_.used(t)) / accounts::kSumsAnHour,
+                                static_cast<double>(ledger_.used(t)) / accounts::kSumsPerHour,
                                 ledger_.budget(t)->cpu_hours,
                                 ledger_.budget_exhausted(t) ? ": nothing new of it is started" : ""));
   if (suspects) out.push_back(fmt::format("jobs that fail on every machine: {}; see /admin/v1/jobs", suspects));
--- a/src/core/api/event_log.cpp
+++ b/src/core/api/event_log.cpp
@@ -9,13 +9,13 @@
     return "done";
   case ExitCause::Stopped:
     return "stopped";
-  case ExitCause::Peers:
+  case ExitCause::GangPeerLost:
     return "peers";
-  case ExitCause::Alone:
+  case ExitCause::GangIncomplete:
     return "alone";
   case ExitCause::Error:
     return "error";
-  case ExitCause::NoRoom:
+  case ExitCause::InsufficientResources:
     return "no_room";
   case ExitCause::Busy:
     return "busy";
@@ -35,7 +35,7 @@
   std::uint64_t unaccounted = 0;
   jobs_.each([&](JobIndex, const Job &job) { unaccounted += job.unaccounted; });
   runtime_.log(LogLevel::Info, "leadership_acquired",
-               {{"term", event.term}, {"jobs_open", jobs_.open()}, {"tasks_unaccounted", unaccounted}});
+               {{"term", event.term}, {"jobs_open", jobs_.open_count()}, {"tasks_unaccounted", unaccounted}});
 }
 
 void EventLog::on(const TermEnded &event) {
@@ -53,7 +53,7 @@
                {{"job", jobs_[event.job].spec.id},
                 {"task", event.index},
                 {"machine", workers_[event.machine].name},
-                {"after_s", event.after_s}});
+                {"after_s", event.startup_s}});
 }
 
 void EventLog::on(const TaskExited &event) {
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/format.h>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -41,7 +41,7 @@
 // Why the job's tasks wait, or what last happened to them, in words for its owner.
 std::string StatusReporter::why(JobIndex job_index, const Supplies &supply) const {
   const Job &job = jobs_[job_index];
-  if (const auto &with = dependencies_.cancelled_with(job_index); !with.empty())
+  if (const auto &with = dependencies_.cancelled_dependency(job_index); !with.empty())
     return dependency_cancelled_reason(with);
   if (job.cancelled) return "stopped: cancelled by its user";
   if (!dependencies_.ready(job_index)) return why_not_ready(job_index);
@@ -54,12 +54,12 @@
                        failure_attribution_.failed_machine_count(job_index),
                        std::max(0.0, failure_attribution_.retry_at(job_index) - runtime_.now()));
   }
-  const std::string &last = pending_reasons_.last_event(job_index);
+  const std::string &last = job_reasons_.last_event(job_index);
   std::string wait;
   if (!leadership_.lease_valid())
     wait = fmt::format("nothing is started: the state service has not answered since {}",
                        wire::clock_time(runtime_.state_service_answered_at_wall()));
-  else if (!cancellations_.may_renew())
+  else if (!cancellations_.may_renew_leases())
     wait = fmt::format("nothing is started: the state service has told of no cancellations since {}",
                        wire::clock_time(cancellations_.known_until_wall()));
   else if (job.pending() && ledger_.budget_exhausted(job.team))
@@ -77,7 +77,7 @@
   if (job.delegated) {
     std::string cells;
     for (const auto &l : job.delegations)
-      if (!l.lapsed) cells += (cells.empty() ? "" : " and ") + l.cell;
+      if (!l.expired) cells += (cells.empty() ? "" : " and ") + l.cell;
     const auto where =
         fmt::format("{} of it {} in cell {}", plural(job.delegated, "task"), job.delegated == 1 ? "is" : "are", cells);
     wait = wait.empty() ? where : wait + "; " + where;
@@ -107,19 +107,19 @@
 
 std::string StatusReporter::why_limited(const Job &job) const {
   if (job.team < 0) return "";
-  const Team &here = quotas_.here(job.team);
-  if (here.cpus_max <= 0) return "";
+  const Team &local_quota = quotas_.local_quota(job.team);
+  if (local_quota.cpus_max <= 0) return "";
   const bool shared = quotas_.cells().size() > 1;
   const std::string limit =
-      fmt::format("{} of {:g} CPUs{}", shared ? "share" : "limit", here.cpus_max, shared ? " in this cell" : "");
+      fmt::format("{} of {:g} CPUs{}", shared ? "share" : "limit", local_quota.cpus_max, shared ? " in this cell" : "");
   const double at_once = job.spec.need.cpus * (job.spec.shape == Shape::Array ? 1 : job.spec.tasks);
-  if (at_once > here.cpus_max) {
+  if (at_once > local_quota.cpus_max) {
     const double largest = quotas_.largest_share(job.team);
     const bool nowhere = shared && at_once > largest;
     return fmt::format("its {:g} CPUs at once are more than team {}'s {}{}", at_once, job.spec.team, limit,
                        nowhere ? fmt::format("; no cell has a larger share than {:g}", largest) : "");
   }
-  if (quotas_.room()[static_cast<std::size_t>(job.team)].cpus >= job.spec.need.cpus) return "";
+  if (quotas_.headroom()[static_cast<std::size_t>(job.team)].cpus >= job.spec.need.cpus) return "";
   return fmt::format("team {} uses all of its {}", job.spec.team, limit);
 }
 
@@ -127,7 +127,7 @@
   const Job &n = jobs_[job_index];
   int up = 0, starting = 0;
   bool refused = true;
-  PlacementJob job = scheduler_.queue().job(job_index);
+  PlacementJob job = scheduler_.queue().placement_job(job_index);
   job.avoided_machines.clear();
   const auto &types = catalog_.types();
   for (std::size_t t = 0; t < types.size(); ++t)
@@ -143,7 +143,7 @@
           up += s->second.up;
           starting += s->second.starting;
         }
-        refused &= autoscaler_.refused(kind);
+        refused &= autoscaler_.lacks_capacity(kind);
       }
   const std::string what = fmt::format("{:g} CPUs and {:g} GB{}", n.spec.need.cpus, n.spec.need.memory,
                                        n.spec.zone ? " in " + *n.spec.zone : "");
@@ -268,22 +268,22 @@
     const JobIndex job_index((cursor_ + k) % n);
     const Job *job = jobs_.find(job_index);
     if (!job || job->cancelled) continue;
-    const bool changed =
-        grown(told_, job_index).done != job->done || grown(told_, job_index).running != running[job_index.position()];
+    const bool changed = get_or_create(told_, job_index).done != job->done ||
+                         get_or_create(told_, job_index).running != running[job_index.position()];
     (changed ? first : rest).push_back(job_index);
   }
   const auto supply = supplies();
   wire::PeerMessage message;
   message.kind = wire::PeerMessage::Kind::Digest;
   message.term = leadership_.term();
-  std::size_t room = wire::kPeerMaxBody - 64;
+  std::size_t headroom = wire::kPeerMaxBody - 64;
   for (const auto *list : {&first, &rest})
     for (JobIndex job_index : *list) {
-      if (message.jobs.size() >= wire::kPeerMaxDigestJobs || room < 256) break;
+      if (message.jobs.size() >= wire::kPeerMaxDigestJobs || headroom < 256) break;
       wire::PeerMessage::JobDigest news{jobs_[job_index].spec.id, jobs_[job_index].done, running[job_index.position()],
                                         foreseen_late(job_index), why(job_index, supply)};
-      grown(told_, job_index) = {news.done, news.running};
-      room -= std::min(room, wire::job_digest_size(news));
+      get_or_create(told_, job_index) = {news.done, news.running};
+      headroom -= std::min(headroom, wire::job_digest_size(news));
       if (list == &rest) cursor_ = job_index.position() + 1;
       message.jobs.push_back(std::move(news));
     }
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -173,7 +173,8 @@
   std::vector<JobIndex> order;
   context_.jobs.each([&order](JobIndex job_index, const Job &) { order.push_back(job_index); });
   const auto rank = [this](JobIndex job_index) {
-    return std::pair(-static_cast<int>(context_.dependencies.urgency(job_index)), context_.jobs[job_index].submit_wall);
+    return std::pair(-static_cast<int>(context_.dependencies.priority(job_index)),
+                     context_.jobs[job_index].submit_wall);
   };
   std::sort(order.begin(), order.end(), [&rank](JobIndex left, JobIndex right) { return rank(left) < rank(right); });
   return order;
@@ -207,7 +208,7 @@
   auto placement = placement_of(job_index);
   if (!placement) return;
   const PlacementQueue &queue = context_.scheduler.queue();
-  if (!queue.deferrable(job_index) || queue.passed_over(job_index))
+  if (!queue.deferrable(job_index) || queue.starved(job_index))
     plan_.waiting_cpus += placement->pending * placement->need.cpus;
   Demand demand = demand_of(job_index, std::move(*placement));
   // What is on its way takes them first. Tasks that must be in one zone count on that of the place that is chosen.
@@ -222,7 +223,7 @@
 // Nothing if no machines are to be rented for it.
 std::optional<PlacementJob> Planning::placement_of(JobIndex job_index) const {
   const Job &job = context_.jobs[job_index];
-  PlacementJob placement = context_.scheduler.queue().job(job_index);
+  PlacementJob placement = context_.scheduler.queue().placement_job(job_index);
   // What will be able to start within a boot: machines for it are on their way by then.
   const double starts_in_s = starts_in_s_[job_index.position()];
   const bool starts_soon = starts_in_s > 0 && starts_in_s <= max_boot_s_;
@@ -247,7 +248,7 @@
   demand.target_s = context_.objectives.achievable_target(spec, context_.dependencies.deadline(job_index),
                                                           context_.scheduler.queue().age_s(job_index));
   demand.left_s = demand.target_s - job.wait_s;
-  demand.low = job.urgency == Urgency::Low;
+  demand.low = job.priority == Priority::Low;
   demand.strict = job.gang && job.wait_s > context_.operators.tunables().reserve_after_s;
   demand.in_zone = demand.strict && job.one_zone;
   if (demand.low && !demand.strict)
@@ -315,7 +316,7 @@
     for (bool spot : {true, false}) {
       if (spot && !demand.job.spot) continue;
       const MachineKind kind{type_index, zone, spot};
-      if (scale_out_.refused(kind) || scale_out_.in_flight(kind)) continue;
+      if (scale_out_.lacks_capacity(kind) || scale_out_.in_flight(kind)) continue;
       const double price = spot ? type.spot_price : type.price;
       const double missing = shortage(demand, zone, horizon_s(demand, type, price / tasks, cheapest));
       if (missing < kMinShortage) continue;
--- a/src/core/autoscaling/scale_in.cpp
+++ b/src/core/autoscaling/scale_in.cpp
@@ -75,7 +75,7 @@
   if (machine.heartbeat.received()) return false;
   const double now = context_.runtime.now();
   return now - machine.known_since > kBootGiveUpMargin &&
-         now - machine.rented_at > kBootGiveUp * boot_s + kBootGiveUpMargin;
+         now - machine.launched_at > kBootGiveUp * boot_s + kBootGiveUpMargin;
 }
 
 // Many machines lost at once point at the network rather than at them.
@@ -95,7 +95,7 @@
 bool ScaleIn::idle_too_long(const Machine &machine, double boot_s) const {
   if (!machine.available() || !machine.allocations.empty() || machine.idle_since < 0) return false;
   const double now = context_.runtime.now();
-  const bool charged = now - machine.rented_at >= kMinimumCharge - kChargeMargin;
+  const bool charged = now - machine.launched_at >= kMinimumCharge - kChargeMargin;
   if (!charged && !machine.admin_state) return false;
   return now - std::max(machine.idle_since, placing_stopped_until_) > idle_hold_s(machine, boot_s);
 }
@@ -107,7 +107,7 @@
   double hold_s = boot_s * (reserved ? kReservedHoldBoots : context_.operators.tunables().idle_boots);
   if (!reserved && machine.type >= 0 && machine.size.cpus > 0) { // expensive ones are held for less
     const double price = InstanceTypeCatalog::cpu_price(context_.catalog.type(machine.type), machine.spot);
-    hold_s *= std::min(1.0, context_.catalog.cheapest_cpu() / price);
+    hold_s *= std::min(1.0, context_.catalog.cheapest_cpu_price() / price);
   }
   return machine.draining() ? std::min(hold_s, kDrainingHold) : hold_s;
 }
@@ -132,7 +132,7 @@
     // Most expensive first. Of the same price those go on draining that have begun, then those with least on them.
     auto rank() const { return std::tuple(-price, !machine->draining(), used_share); }
   };
-  const double cheapest_cpu = context_.catalog.cheapest_cpu();
+  const double cheapest_cpu_price = context_.catalog.cheapest_cpu_price();
   const auto &reservations = context_.scheduler.large_task_reservations();
   std::vector<Candidate> candidates;
   double used_cpus = waiting_cpus;
@@ -149,8 +149,8 @@
       size_cpus -= allocation.need.cpus;
     }
     const double price = InstanceTypeCatalog::cpu_price(context_.catalog.type(machine.type), machine.spot);
-    const bool charged = context_.runtime.now() - machine.rented_at >= kMinimumCharge;
-    if (charged && price >= kExpensiveRatio * cheapest_cpu)
+    const bool charged = context_.runtime.now() - machine.launched_at >= kMinimumCharge;
+    if (charged && price >= kExpensiveRatio * cheapest_cpu_price)
       candidates.push_back({price, machine.used.cpus / std::max(0.01, machine.size.cpus), machine_index, &machine});
     else
       context_.workers.set_draining(machine_index, false);
--- a/src/core/connectivity/replicas.cpp
+++ b/src/core/connectivity/replicas.cpp
@@ -53,7 +53,7 @@
     const bool recent = runtime_.now() - state.status_as_of < kRecentS;
     usages.push_back(recent ? std::optional(state.state_service_usage) : std::nullopt);
   }
-  state_limits_.share(runtime_.now(), kPingIntervalS, usages);
+  state_limits_.rebalance(runtime_.now(), kPingIntervalS, usages);
 }
 
 void Replicas::send_pings() {
@@ -73,7 +73,7 @@
   }
 }
 
-void Replicas::answer_ping(const PeerMessageCommand &cmd, const HeartbeatServing &serving) {
+void Replicas::answer_ping(const PeerMessageCommand &cmd, const HeartbeatServiceStatus &service_status) {
   if (const ReplicaIndex replica = by_sender(cmd.message.sender); replica.valid()) {
     ReplicaState &state = states_[replica.position()];
     state.ping_received_at = runtime_.now();
@@ -83,16 +83,16 @@
   wire::PeerMessage message;
   message.kind = wire::PeerMessage::Kind::Pong;
   message.nonce = cmd.message.nonce;
-  message.term = serving.leads ? leadership_.term() : leadership_.highest_term();
+  message.term = service_status.leads ? leadership_.term() : leadership_.highest_term();
   message.cancelled = cancellations_.recent();
   // With more cancellations than a frame holds, this replica does not count as cut off: a leader of the earlier
   // version goes by this flag alone when it renews leases.
   message.cut_off = state_service_lost() && cancellations_.recent_is_complete();
   message.connectivity = own_connectivity_;
   message.sender = own_sender_number_;
-  message.leads = serving.leads;
-  message.spreads = serving.wants_forwarding;
-  message.forwards_heartbeats = serving.can_forward;
+  message.leads = service_status.leads;
+  message.spreads = service_status.wants_forwarding;
+  message.forwards_heartbeats = service_status.can_forward;
   message.store_reads = rate_in_tenths(state_limits_.usage().reads_per_s);
   message.store_writes = rate_in_tenths(state_limits_.usage().writes_per_s);
   message.uptime_ms = static_cast<std::uint32_t>(std::min(kMaxUptimeMs, runtime_.uptime_s() * 1000));
@@ -107,11 +107,11 @@
   state.status_as_of = state.ping_sent_at;             // the status cannot be older than the ping
   state.uptime_s = message.uptime_ms / 1000.0;
   state.state_service_lost = message.cut_off;
-  state.serving = {message.leads, message.spreads, message.forwards_heartbeats};
+  state.service_status = {message.leads, message.spreads, message.forwards_heartbeats};
   state.term = message.term;
   state.connectivity = message.connectivity;
   state.state_service_usage = {rate_from_tenths(message.store_reads), rate_from_tenths(message.store_writes)};
-  cancellations_.confirmed_by_replica(cmd.replica.position(), state.status_as_of, state.uptime_s, message.cancelled);
+  cancellations_.confirm_from_replica(cmd.replica.position(), state.status_as_of, state.uptime_s, message.cancelled);
   return true;
 }
 
@@ -120,7 +120,7 @@
     runtime_.send({replica, 0, message});
 }
 
-bool Replicas::some_lack_dependencies() const {
+bool Replicas::some_replica_lacks_dependencies() const {
   if (leadership_.leader_supports_dependencies() == std::optional(false)) return true;
   return std::any_of(states_.begin(), states_.end(), [this](const ReplicaState &state) {
     return runtime_.now() - state.ping_received_at < kRecentS && !state.supports_dependencies;
@@ -133,20 +133,20 @@
   return runtime_.now() - runtime_.state_service_answered_at() > kStateServiceLostAfterS;
 }
 
-bool Replicas::common_outage() const {
+bool Replicas::state_service_lost_by_all() const {
   if (!state_service_lost() || states_.empty()) return false;
   return std::all_of(states_.begin(), states_.end(), [this](const ReplicaState &state) {
-    return state.state_service_lost && runtime_.now() - state.status_as_of <= kOutageStatementValidityS;
+    return state.state_service_lost && runtime_.now() - state.status_as_of <= kOutageReportValidityS;
   });
 }
 
 bool Replicas::leads_through_outage() const {
   return leadership_.leading() && !leadership_.lease_valid() && leadership_.highest_term() <= leadership_.term() &&
-         common_outage();
+         state_service_lost_by_all();
 }
 
 bool Replicas::may_answer_heartbeats() const {
-  return (leadership_.active() || leads_through_outage()) && cancellations_.may_renew();
+  return (leadership_.active() || leads_through_outage()) && cancellations_.may_renew_leases();
 }
 
 } // namespace loftrouter::core
--- a/src/core/connectivity/step_down_policy.cpp
+++ b/src/core/connectivity/step_down_policy.cpp
@@ -75,7 +75,7 @@
     if (reachable || (self.several_workers && !self.young_term)) return "no worker reaches this replica";
   }
   if (self.few_reach_here && direct && record.machines > 2 * self.workers_here + kMinWorkers &&
-      !replicas_[replica].serving.can_forward)
+      !replicas_[replica].service_status.can_forward)
     return fmt::format("only {} of {} workers reach this replica", self.workers_here, self.workers_known);
   if (self.provider_lost && record.cloud == ProviderHealth::Healthy)
     return "the cloud provider does not answer this replica";
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -11,7 +11,7 @@
       leadership_(runtime_, events_, settings_, catalog_), jobs_(runtime_, events_, settings_), ended_(events_),
       dependencies_(runtime_, settings_, state_limits_, leadership_, jobs_, ended_),
       failure_attribution_(runtime_, events_, jobs_, operators_),
-      pending_reasons_(runtime_, jobs_, dependencies_, failure_attribution_, objectives_),
+      job_reasons_(runtime_, jobs_, dependencies_, failure_attribution_, objectives_),
       ledger_(runtime_, settings_, catalog_, jobs_, operators_),
       state_writer_({.runtime = runtime_,
                      .events = events_,
@@ -22,7 +22,7 @@
                      .ended_jobs = ended_,
                      .dependencies = dependencies_,
                      .failure_attribution = failure_attribution_,
-                     .pending_reasons = pending_reasons_,
+                     .job_reasons = job_reasons_,
                      .objectives = objectives_,
                      .ledger = ledger_}),
       cancellations_(runtime_, settings_, leadership_, jobs_),
@@ -47,15 +47,15 @@
                          state_limits_),
       service_levels_(runtime_, jobs_, ended_, dependencies_),
       status_reporter_(runtime_, settings_, catalog_, operators_, leadership_, cancellations_, jobs_, ended_,
-                       dependencies_, failure_attribution_, pending_reasons_, workers_, scheduler_, quotas_,
-                       autoscaler_, objectives_, ledger_, replicas_),
+                       dependencies_, failure_attribution_, job_reasons_, workers_, scheduler_, quotas_, autoscaler_,
+                       objectives_, ledger_, replicas_),
       users_(runtime_, settings_, catalog_, state_limits_, leadership_, jobs_, ended_, replicas_, cancellations_,
              quotas_, status_reporter_),
       administration_(runtime_, settings_, catalog_, operators_, state_limits_, leadership_, cancellations_, jobs_,
                       dependencies_, failure_attribution_, workers_, autoscaler_, replicas_, connectivity_, federation_,
                       heartbeats_, service_levels_, status_reporter_, ledger_, configuration_api_),
       event_log_(runtime_, jobs_, workers_) {
-  heartbeats_.refuse_while([this](const Heartbeat &heartbeat) { return federation_.unsure_of(heartbeat); });
+  heartbeats_.set_refusal_condition([this](const Heartbeat &heartbeat) { return federation_.unsure_of(heartbeat); });
 }
 
 Effects Core::apply(std::vector<Command> batch, Now at) {
@@ -89,7 +89,7 @@
     };
     hand(event_log_, configuration_, operators_, quotas_, quota_changes_, quota_exchange_, cancellations_,
          dependencies_, failure_attribution_, workers_, failure_detector_, ledger_, state_writer_, watch_, heartbeats_,
-         scheduler_, autoscaler_, federation_, service_levels_, pending_reasons_, status_reporter_, users_, jobs_);
+         scheduler_, autoscaler_, federation_, service_levels_, job_reasons_, status_reporter_, users_, jobs_);
   });
 }
 
@@ -148,8 +148,8 @@
 }
 
 void Core::on(HealthCheckCommand &&cmd) {
-  if (catalog_.known() &&
-      (runtime_.now() - runtime_.state_service_answered_at() < 3.0 || replicas_.common_outage() || users_.can_answer()))
+  if (catalog_.known() && (runtime_.now() - runtime_.state_service_answered_at() < 3.0 ||
+                           replicas_.state_service_lost_by_all() || users_.can_answer()))
     runtime_.reply(cmd.req, 200, "");
   else
     runtime_.refuse(cmd.req, catalog_.known() ? "state service out of reach" : "starting up");
@@ -170,7 +170,7 @@
 void Core::answer(std::optional<AcceptedHeartbeat> report) {
   if (!report) return;
   deliver();
-  scheduler_.place_on(report->machine);
+  scheduler_.place_on_machine(report->machine);
   heartbeats_.respond(std::move(*report));
 }
 
@@ -194,7 +194,7 @@
   case Kind::UserResponse:
     return users_.take_told(m);
   case Kind::Ping:
-    return replicas_.answer_ping(cmd, heartbeats_.serving());
+    return replicas_.answer_ping(cmd, heartbeats_.service_status());
   case Kind::Pong:
     if (replicas_.accept_pong(cmd)) heartbeats_.status_received(m);
   }
--- a/src/core/election/leadership.cpp
+++ b/src/core/election/leadership.cpp
@@ -155,7 +155,7 @@
   // By now the last leader's lease has expired by its own clock too, and this replica no longer states that it cannot
   // reach the state service: its last such statement may have kept that leader answering for as long as it counts.
   // Every worker that the last leader kept alive has reported here or is dead by this time.
-  const double unaccounted_until = runtime_.now() + kOutageStatementValidityS * (1 + kMaxClockDrift) +
+  const double unaccounted_until = runtime_.now() + kOutageReportValidityS * (1 + kMaxClockDrift) +
                                    settings_.lease_s * (1 + kMaxClockDrift) + kUnaccountedMarginS;
   events_.publish(LeaderElected{term_, unaccounted_until});
 }
--- a/src/core/heartbeats/heartbeat_handler.cpp
+++ b/src/core/heartbeats/heartbeat_handler.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -50,7 +50,7 @@
   for (const ReplicaIndex replica : replicas_.indices()) {
     const ReplicaState &state = replicas_[replica];
     const bool fresh = runtime_.now() - state.status_as_of < kStatusValidityS;
-    if (state.serving.leads && state.term >= leadership_.highest_term() && fresh) return replica;
+    if (state.service_status.leads && state.term >= leadership_.highest_term() && fresh) return replica;
   }
   return {};
 }
@@ -58,7 +58,7 @@
 ReplicaIndex HeartbeatHandler::forwarding_target() const {
   if (leadership_.role() != Role::Follower || forwarder_.suspended(runtime_.now())) return {};
   const ReplicaIndex replica = leader();
-  return replica.valid() && replicas_[replica].serving.wants_forwarding ? replica : ReplicaIndex();
+  return replica.valid() && replicas_[replica].service_status.wants_forwarding ? replica : ReplicaIndex();
 }
 
 std::string_view HeartbeatHandler::leader_name() const {
@@ -67,12 +67,12 @@
   return fresh ? std::string_view(leadership_.leader_name()) : std::string_view();
 }
 
-HeartbeatServing HeartbeatHandler::serving() const {
-  HeartbeatServing serving;
-  serving.leads = leadership_.leading() && replicas_.may_answer_heartbeats();
-  serving.wants_forwarding = serving.leads && balancer_.forwarding_wanted();
-  serving.can_forward = forwarding_target().valid() && forwarder_.has_room();
-  return serving;
+HeartbeatServiceStatus HeartbeatHandler::service_status() const {
+  HeartbeatServiceStatus service_status;
+  service_status.leads = leadership_.leading() && replicas_.may_answer_heartbeats();
+  service_status.wants_forwarding = service_status.leads && balancer_.forwarding_wanted();
+  service_status.can_forward = forwarding_target().valid() && forwarder_.has_room();
+  return service_status;
 }
 
 void HeartbeatHandler::status_received(const wire::PeerMessage &pong) {
@@ -117,13 +117,13 @@
 }
 
 std::optional<AcceptedHeartbeat> HeartbeatHandler::handle(HeartbeatCommand &&cmd) {
-  if (newer_than_known(cmd.report)) connectivity_.direct_heartbeat_received(cmd.report.zone);
+  if (newer_than_known(cmd.heartbeat)) connectivity_.direct_heartbeat_received(cmd.heartbeat.zone);
   if (forwarding_target().valid()) {
     forward(std::move(cmd));
     return std::nullopt;
   }
-  if (leadership_.role() == Role::Follower) forwarder_.forget(cmd.report.machine);
-  return accept({.request = cmd.req}, cmd.report);
+  if (leadership_.role() == Role::Follower) forwarder_.forget(cmd.heartbeat.machine);
+  return accept({.request = cmd.req}, cmd.heartbeat);
 }
 
 std::optional<AcceptedHeartbeat> HeartbeatHandler::handle_forwarded(const PeerMessageCommand &cmd) {
@@ -218,10 +218,10 @@
 // ---- forwarding ----
 
 void HeartbeatHandler::forward(HeartbeatCommand &&cmd) {
-  leadership_.observe_term(cmd.report.fencing_token, kHigherTermSeen);
+  leadership_.observe_term(cmd.heartbeat.fencing_token, kHigherTermSeen);
   const ReplicaIndex target = forwarding_target(); // may have changed with the term
   const auto number =
-      target.valid() ? forwarder_.add(cmd.req, cmd.report.machine, runtime_.now()) : std::optional<std::uint64_t>();
+      target.valid() ? forwarder_.add(cmd.req, cmd.heartbeat.machine, runtime_.now()) : std::optional<std::uint64_t>();
   if (!number) return redirect_to_leader(cmd.req);
   balancer_.count_direct();
   wire::PeerMessage message;
@@ -229,7 +229,7 @@
   message.nonce = *number;
   message.term = leadership_.highest_term();
   message.sender = replicas_.own_sender_number();
-  message.heartbeat = std::move(cmd.report);
+  message.heartbeat = std::move(cmd.heartbeat);
   runtime_.send({target, 0, std::move(message)});
 }
 
@@ -257,7 +257,7 @@
   const auto exited = [](const TaskStatus &task) { return task.phase == TaskPhase::Exited; };
   if (std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), exited)) return false;
   if (!machine.valid()) return heartbeat.tasks.empty();
-  const double redirected_s = runtime_.now() - grown(redirected_at_, machine, -1e9);
+  const double redirected_s = runtime_.now() - get_or_create(redirected_at_, machine, -1e9);
   const double last_response_s = runtime_.now() - workers_[machine].heartbeat.last_accepted_at;
   return redirected_s >= kMinRedirectIntervalS && last_response_s <= 2 * settings_.heartbeat_interval_s;
 }
@@ -267,7 +267,7 @@
   std::size_t fewest_workers = 0;
   for (const ReplicaIndex replica : replicas_.indices()) {
     const ReplicaState &state = replicas_[replica];
-    if (!state.serving.can_forward || runtime_.now() - state.status_as_of > kStatusValidityS) continue;
+    if (!state.service_status.can_forward || runtime_.now() - state.status_as_of > kStatusValidityS) continue;
     const std::size_t workers = workers_.available_count(replica);
     if (best.valid() && workers >= fewest_workers) continue;
     best = replica;
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 #include "loftrouter/wire/storage_keys.hpp"
 
 namespace loftrouter::core {
@@ -23,7 +23,7 @@
 
 bool Dependencies::ready(JobIndex job_index) const {
   const Node &job = node(job_index);
-  return job.known && job.unmet == 0 && job.cancelled_with.empty();
+  return job.known && job.unmet == 0 && job.cancelled_dependency.empty();
 }
 
 std::size_t Dependencies::unresolved_count(JobIndex job_index) const {
@@ -37,7 +37,7 @@
   const JobIndex job_index = event.job;
   if (!jobs_.find(job_index)) return;
   const Job &job = jobs_[job_index];
-  Node &added = grown(nodes_, job_index);
+  Node &added = get_or_create(nodes_, job_index);
   added = {};
   added.known = true;
   added.id = job.spec.id;
@@ -51,8 +51,8 @@
     for (JobIndex dependent : dependents)
       add_edge(dependent, job_index);
   }
-  added.unmet = job.spec.waits_for.size();
-  for (const auto &id : job.spec.waits_for) {
+  added.unmet = job.spec.dependencies.size();
+  for (const auto &id : job.spec.dependencies) {
     if (const auto *end = ended_.find(id))
       resolve({job_index}, id, *end);
     else if (const auto it = index_.find(id); it != index_.end())
@@ -89,7 +89,7 @@
 // What it waits for can no longer be done. Its own dependents follow when the event of its cancellation is delivered.
 void Dependencies::dependency_cancelled(JobIndex job_index, const std::string &dependency_id) {
   Node &job = node(job_index);
-  if (job.cancelled_with.empty()) job.cancelled_with = dependency_id;
+  if (job.cancelled_dependency.empty()) job.cancelled_dependency = dependency_id;
   outdated_ = true;
   if (jobs_.find(job_index)) jobs_.cancel(job_index); // it may have ended by the same write
 }
--- a/src/core/jobs/job_table.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -4,7 +4,7 @@
 #include <cassert>
 #include <utility>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -119,7 +119,7 @@
             [&](std::uint32_t task_index) { set_state(job_index, task_index, TaskState::Done); });
   for (const auto &delegation : progress.delegations) {
     job.delegations.push_back(delegation);
-    if (delegation.lapsed) continue;
+    if (delegation.expired) continue;
     each_task(delegation.tasks, job.spec.tasks, [&](std::uint32_t task_index) {
       if (job.tasks[task_index].state != TaskState::Done) set_state(job_index, task_index, TaskState::Delegated);
     });
@@ -138,7 +138,7 @@
   if (job.cancelled) return;
   job.cancelled = true;
   events_.publish(JobCancelled{job_index});
-  if (job.finishable()) changed(job_index, true);
+  if (job.finishable()) publish_changed(job_index, true);
 }
 
 bool JobTable::update_mod_revision(JobIndex job_index, std::uint64_t mod_revision) {
@@ -159,15 +159,15 @@
 
 void JobTable::mark_ready(JobIndex job_index) {
   ++arrivals_;
-  changed(job_index, true);
+  publish_changed(job_index, true);
 }
 
 void JobTable::confirm_end_by_origin(JobIndex job_index) {
   at(job_index).origin_confirmed_end = true;
-  changed(job_index, true);
+  publish_changed(job_index, true);
 }
 
-void JobTable::changed(JobIndex job_index, bool urgent) {
+void JobTable::publish_changed(JobIndex job_index, bool urgent) {
   events_.publish(JobChanged{job_index, at(job_index).finishable(), urgent});
 }
 
@@ -183,11 +183,11 @@
                          int zone) {
   Job &job = at(job_index);
   Task &task = job.tasks[task_index];
-  if (task.state == TaskState::Placed) --grown(job.zone_used, task.zone);
+  if (task.state == TaskState::Placed) --get_or_create(job.placed_by_zone, task.zone);
   if (std::uint32_t *count = count_of(job, task.state)) --*count;
   task = {state, machine, zone};
   if (std::uint32_t *count = count_of(job, state)) ++*count;
-  if (state == TaskState::Placed) ++grown(job.zone_used, zone);
+  if (state == TaskState::Placed) ++get_or_create(job.placed_by_zone, zone);
   if (state == TaskState::Pending) ++arrivals_;
   assert(job.done + job.placed + job.unaccounted + job.delegated <= job.spec.tasks);
 }
@@ -202,14 +202,14 @@
 
 void JobTable::finish(JobIndex job_index, std::uint32_t task_index) {
   set_state(job_index, task_index, TaskState::Done);
-  changed(job_index, at(job_index).finishable());
+  publish_changed(job_index, at(job_index).finishable());
 }
 
 void JobTable::release(JobIndex job_index, std::uint32_t task_index, MachineIndex machine, bool unaccounted) {
   const Task &task = at(job_index).tasks[task_index];
   if (task.state == TaskState::Placed && task.machine == machine)
     set_state(job_index, task_index, unaccounted ? TaskState::Unaccounted : TaskState::Pending);
-  if (at(job_index).finishable()) changed(job_index, true);
+  if (at(job_index).finishable()) publish_changed(job_index, true);
 }
 
 std::vector<JobIndex> JobTable::expire_unaccounted() {
@@ -221,7 +221,7 @@
     events_.publish(TasksAbandoned{job_index, job.unaccounted});
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
       if (job.tasks[i].state == TaskState::Unaccounted) set_state(job_index, i, TaskState::Pending);
-    if (job.finishable()) changed(job_index, true);
+    if (job.finishable()) publish_changed(job_index, true);
     concerned.push_back(job_index);
   });
   return concerned;
@@ -233,7 +233,7 @@
   Job &job = at(job_index);
   assert(job.placed == 0);
   job.gang_attempt = std::max(job.gang_attempt + 1, fresh);
-  job.gang_closed = false;
+  job.gang_started = false;
   return job.gang_attempt;
 }
 
@@ -242,8 +242,8 @@
   job.gang_attempt = std::max(job.gang_attempt, attempt);
 }
 
-void JobTable::close_gang(JobIndex job_index, bool closed) {
-  at(job_index).gang_closed = closed;
+void JobTable::set_gang_started(JobIndex job_index, bool closed) {
+  at(job_index).gang_started = closed;
 }
 
 // ---- delegations to other cells ----
@@ -255,7 +255,7 @@
     set_state(job_index, task_index, TaskState::Delegated);
   });
   job.delegations.push_back(std::move(delegation));
-  changed(job_index, true);
+  publish_changed(job_index, true);
 }
 
 void JobTable::charge_delegation(JobIndex job_index, std::uint64_t generation, const accounts::Usage &charged) {
@@ -273,10 +273,10 @@
 void JobTable::expire_delegation(JobIndex job_index, std::uint64_t generation) {
   for (auto &delegation : at(job_index).delegations) {
     if (delegation.generation != generation) continue;
-    const bool had_lapsed = std::exchange(delegation.lapsed, true);
+    const bool had_lapsed = std::exchange(delegation.expired, true);
     if (!had_lapsed) free_delegated(job_index, delegation.tasks);
   }
-  changed(job_index, true);
+  publish_changed(job_index, true);
 }
 
 void JobTable::remove_delegation(JobIndex job_index, std::uint64_t generation) {
@@ -284,9 +284,9 @@
   const auto it = std::find_if(delegations.begin(), delegations.end(),
                                [generation](const auto &delegation) { return delegation.generation == generation; });
   if (it == delegations.end()) return;
-  if (!it->lapsed) free_delegated(job_index, it->tasks);
+  if (!it->expired) free_delegated(job_index, it->tasks);
   delegations.erase(it);
-  changed(job_index, true);
+  publish_changed(job_index, true);
 }
 
 } // namespace loftrouter::core
--- a/src/core/scheduling/placement.cpp
+++ b/src/core/scheduling/placement.cpp
@@ -6,7 +6,7 @@
 #include <numeric>
 #include <utility>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -34,7 +34,7 @@
 
 bool has_room(const PlacementJob &job, const PlacementMachine &machine) {
   if (!job.need.fits(machine.free)) return false;
-  return !machine.reserved_for_large || !job.small || job.need.fits(machine.small_work_room);
+  return !machine.reserved_for_large || !job.small || job.need.fits(machine.small_task_headroom);
 }
 
 double fit_score(const PlacementJob &job, const PlacementMachine &machine) {
@@ -148,7 +148,7 @@
 int Round::rank(std::size_t job) const {
   const PlacementJob &ranked = *jobs_[job];
   if (ranked.delegated_here) return -1;
-  return (waits_long(ranked) ? 100 : 0) + static_cast<int>(ranked.urgency) * 2 + (ranked.guaranteed ? 1 : 0);
+  return (waits_long(ranked) ? 100 : 0) + static_cast<int>(ranked.priority) * 2 + (ranked.guaranteed ? 1 : 0);
 }
 
 // The most pressing rank is planned first; within it the best plan goes first.
@@ -228,8 +228,8 @@
 // In the zone of the tasks that it has already, or in the one that takes most.
 Plan Round::one_zone_plan(const PlacementJob &job, std::uint32_t tasks) {
   int used_zone = -1;
-  for (std::size_t zone = 0; zone < job.zone_used.size(); ++zone)
-    if (job.zone_used[zone] > 0) used_zone = static_cast<int>(zone);
+  for (std::size_t zone = 0; zone < job.placed_by_zone.size(); ++zone)
+    if (job.placed_by_zone[zone] > 0) used_zone = static_cast<int>(zone);
   if (used_zone >= 0) return greedy_plan(job, tasks, used_zone);
   Plan best;
   for (int zone : zones_) {
@@ -245,8 +245,8 @@
 Plan Round::greedy_plan(const PlacementJob &job, std::uint32_t tasks, int only_zone) {
   Plan plan;
   const bool spread = job.max_per_zone >= 0;
-  std::vector<int> zone_used;
-  if (spread) zone_used = job.zone_used;
+  std::vector<int> placed_by_zone;
+  if (spread) placed_by_zone = job.placed_by_zone;
   std::vector<std::pair<double, int>> heap; // score, -position
   for (int position : open_machines_) {
     const PlacementMachine &candidate = machine(position);
@@ -259,9 +259,9 @@
     const auto [score, negative_position] = heap.back();
     heap.pop_back();
     PlacementMachine &best = machine(-negative_position);
-    if (spread && grown(zone_used, best.zone) >= job.max_per_zone) continue; // and stays so
+    if (spread && get_or_create(placed_by_zone, best.zone) >= job.max_per_zone) continue; // and stays so
     occupy(job, best, 1);
-    if (spread) ++grown(zone_used, best.zone);
+    if (spread) ++get_or_create(placed_by_zone, best.zone);
     if (plan.machines.empty()) plan.first_score = score;
     plan.machines.push_back(-negative_position);
     plan.score += score;
@@ -277,7 +277,7 @@
 
 void Round::occupy(const PlacementJob &job, PlacementMachine &machine, double times) const {
   machine.free.add(job.need, -times);
-  if (machine.reserved_for_large && job.small) machine.small_work_room.add(job.need, -times);
+  if (machine.reserved_for_large && job.small) machine.small_task_headroom.add(job.need, -times);
 }
 
 // ---- drafts ----
--- a/src/core/scheduling/placement_queue.cpp
+++ b/src/core/scheduling/placement_queue.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -18,13 +18,13 @@
 
 bool PlacementQueue::deferrable(JobIndex job_index) const {
   const JobSpec &spec = context_.jobs[job_index].spec;
-  const bool in_pipeline = !context_.dependencies.dependents(job_index).empty() || !spec.waits_for.empty();
+  const bool in_pipeline = !context_.dependencies.dependents(job_index).empty() || !spec.dependencies.empty();
   if (in_pipeline) return false; // others wait with it
-  return context_.objectives.deferrable(spec, context_.dependencies.urgency(job_index),
+  return context_.objectives.deferrable(spec, context_.dependencies.priority(job_index),
                                         context_.dependencies.deadline(job_index), age_s(job_index));
 }
 
-bool PlacementQueue::passed_over(JobIndex job_index) const {
+bool PlacementQueue::starved(JobIndex job_index) const {
   if (job_index.position() >= waits_.size()) return false;
   const Wait &wait = waits_[job_index.position()];
   return wait.serial == context_.jobs[job_index].serial && wait.last_seen_at - wait.since > kPassedOver;
@@ -45,13 +45,13 @@
 void PlacementQueue::note_waiting(JobIndex job_index, double round_interval_s) {
   const double now = context_.runtime.now();
   const std::uint64_t serial = context_.jobs[job_index].serial;
-  Wait &wait = grown(waits_, job_index);
+  Wait &wait = get_or_create(waits_, job_index);
   if (wait.serial != serial || now - wait.last_seen_at > kMissedRounds * round_interval_s) wait = {serial, now, now};
   wait.last_seen_at = now;
 }
 
 void PlacementQueue::note_placed(JobIndex job_index) {
-  grown(waits_, job_index).since = context_.runtime.now();
+  get_or_create(waits_, job_index).since = context_.runtime.now();
 }
 
 // ---- what a job may place ----
@@ -78,15 +78,15 @@
   out.gang = spec.shape == Shape::Gang;
   out.one_zone = spec.one_zone;
   if (spec.spread) out.max_per_zone = static_cast<int>((spec.tasks + 1) / 2);
-  out.zone_used = job.zone_used;
+  out.placed_by_zone = job.placed_by_zone;
   out.avoided_machines = context_.failure_attribution.avoided_machines(job_index);
-  out.small = is_small(spec, spec.urgency); // whatever it is wanted for
+  out.small = is_small(spec, spec.priority); // whatever it is wanted for
   // Work that nobody wants at a certain time waits for cheap places, of which it may have what others leave.
   if (deferrable(job_index)) out.max_price_premium = 1 - 1 / kExpensiveRatio;
   out.pending = job.pending();
   if (suspected && !out.gang) out.pending = std::min(out.pending, 1U); // one try at a time
   out.limit = held_back(job, job_index) ? 0 : out.pending;
-  out.urgency = context_.dependencies.urgency(job_index);
+  out.priority = context_.dependencies.priority(job_index);
   out.delegated_here = job.delegated_here.has_value();
   out.wait_s = std::max(0.0, age_s(job_index));
   // A suspected job reserves nothing, nor does another cell's.
@@ -108,7 +108,7 @@
   // Where unaccounted tasks are is not known, so neither are their zones; a gang may still run elsewhere.
   const bool gang = job.spec.shape == Shape::Gang;
   if (job.unaccounted > 0 && (job.spec.one_zone || job.spec.spread || gang)) return true;
-  return gang && job.placed > 0 && job.gang_closed; // the old attempt has to be gone first
+  return gang && job.placed > 0 && job.gang_started; // the old attempt has to be gone first
 }
 
 // The last of its tasks starts once the others have had their turn on the fleet.
@@ -125,7 +125,7 @@
 // machine is up for run. What is rented does not follow: places that are there anyhow cost nothing.
 PlacementJob PlacementQueue::candidate(JobIndex job_index) const {
   PlacementJob out = job(job_index);
-  if (!passed_over(job_index)) return out;
+  if (!starved(job_index)) return out;
   out.max_price_premium = 1;
   out.small = false;
   return out;
--- a/src/core/workers/allocations.cpp
+++ b/src/core/workers/allocations.cpp
@@ -125,12 +125,12 @@
     if (!leadership_.active() || machine->lost() || worker.worker_address.empty()) continue;
     WorkerCall call{worker.worker_address, leadership_.term(), worker.incarnation, machine->name, {}};
     for (const auto &allocation : machine->allocations) {
-      if (call.orders.size() >= kMaxStops) break;
+      if (call.commands.size() >= kMaxStops) break;
       if (!allocation.stop_requested() || !allocation.sent() || allocation.phase == TaskPhase::Exited) continue;
-      call.orders.push_back(
+      call.commands.push_back(
           {TaskCommand::Verb::Stop, allocation.job_id, allocation.index, allocation.attempt, *allocation.stop_grace_s});
     }
-    if (!call.orders.empty()) runtime_.call(std::move(call));
+    if (!call.commands.empty()) runtime_.call(std::move(call));
   }
 }
 
@@ -140,8 +140,8 @@
   const Job &job = jobs_[job_index];
   if (job.spec.shape != Shape::Gang || job.placed == 0) return;
   const bool complete = job.placed + job.done + job.unaccounted >= job.spec.tasks;
-  const bool started = job.gang_closed || gang_has_started(job_index);
-  jobs_.close_gang(job_index, started);
+  const bool started = job.gang_started || gang_has_started(job_index);
+  jobs_.set_gang_started(job_index, started);
   if (started && !complete) stop_job(job_index, job.spec.save_s + 1);
 }
 
--- a/src/wire/admin_jobs.cpp
+++ b/src/wire/admin_jobs.cpp
@@ -27,7 +27,7 @@
 }
 
 double hours(std::int64_t sum) {
-  return static_cast<double>(sum) / accounts::kSumsAnHour;
+  return static_cast<double>(sum) / accounts::kSumsPerHour;
 }
 
 // CPU hours by what they went to; `held` is their sum.
@@ -37,7 +37,7 @@
           {"fetch", hours(sums[accounts::Fetch])},
           {"gang_wait", hours(sums[accounts::Wait])},
           {"lost", hours(sums[accounts::Lost])},
-          {"unsorted", hours(sums[accounts::Unsorted])},
+          {"unsorted", hours(sums[accounts::Unresolved])},
           {"uncertain", hours(sums[accounts::Uncertain])}};
 }
 
--- a/tests/state_fixture.hpp
+++ b/tests/state_fixture.hpp
@@ -1,5 +1,5 @@
-// The parts of the core that the state module is built on, without a state service: what the module would send there is
-// read from its transactions.
+// Test fixture with the dependencies of the state module, but without a state service: tests inspect the transactions
+// that the module would send.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -21,9 +21,11 @@
 
 class StateFixture : public ::testing::Test {
 protected:
-  explicit StateFixture(const Settings &wanted = state_settings()) : settings(wanted) { pass(0); }
+  explicit StateFixture(const Settings &initial_settings = state_settings()) : settings(initial_settings) {
+    advance_time(0);
+  }
 
-  void pass(double duration_s) { runtime.begin_batch({now += duration_s, 1.7e9 + now}); }
+  void advance_time(double duration_s) { runtime.begin_batch({now += duration_s, 1.7e9 + now}); }
 
   core::JobIndex add_job(const std::string &id, std::uint32_t tasks = 1) {
     OpenRecord record;
@@ -42,14 +44,14 @@
   core::JobObjectives objectives{settings};
   core::InstanceTypeCatalog catalog{settings.zones};
   core::Configuration configuration{runtime, events, settings};
-  core::Operators operators{runtime, events, configuration};
+  core::OperatorSettings operators{runtime, events, configuration};
   core::StateServiceLimits state_limits{settings};
   core::Leadership leadership{runtime, events, settings, catalog};
   core::JobTable jobs{runtime, events, settings};
   core::EndedJobs ended_jobs{events};
   core::Dependencies dependencies{runtime, settings, state_limits, leadership, jobs, ended_jobs};
   core::FailureAttribution failure_attribution{runtime, events, jobs, operators};
-  core::PendingReasons pending_reasons{runtime, jobs, dependencies, failure_attribution, objectives};
+  core::JobReasons job_reasons{runtime, jobs, dependencies, failure_attribution, objectives};
   core::UsageLedger ledger{runtime, settings, catalog, jobs, operators};
   const core::StateContext context{.runtime = runtime,
                                    .events = events,
@@ -60,7 +62,7 @@
                                    .ended_jobs = ended_jobs,
                                    .dependencies = dependencies,
                                    .failure_attribution = failure_attribution,
-                                   .pending_reasons = pending_reasons,
+                                   .job_reasons = job_reasons,
                                    .objectives = objectives,
                                    .ledger = ledger};
 };
