--- a/include/loftrouter/core/connectivity/connectivity_monitor.hpp
+++ b/include/loftrouter/core/connectivity/connectivity_monitor.hpp
@@ -1,9 +1,10 @@
-// What this replica reaches (workers, the state service, the cloud provider, the other replicas), and what each other
-// replica says that it reaches. By this a badly placed leader steps down, and a badly placed candidate waits.
+// Monitors which peers this replica can reach (workers, the state service, the cloud provider, the other replicas), and
+// collects the same from the other replicas. A poorly connected leader steps down; a poorly connected candidate delays
+// its election.
 //
-// Owns this replica's connectivity record and the times at which heartbeats arrived. No rule of the protocol rests on
-// it: ending a term early is always safe, and becoming leader goes through the leader key alone. At worst the wrong
-// replica leads. Single-threaded, as all of the core. See docs/links.md.
+// Owns this replica's connectivity record and the arrival times of heartbeats. Safety does not depend on it: stepping
+// down early is always safe, and only the leader key makes a leader. At worst the wrong replica leads. Single-threaded.
+// See docs/links.md.
 #pragma once
 
 #include <optional>
@@ -26,29 +27,28 @@
                       Leadership &leadership, Replicas &replicas, const WorkerRegistry &workers,
                       const FailureDetector &failure_detector);
 
-  // A heartbeat came straight from a worker in this zone.
+  // Counts a heartbeat that a worker in this zone sent to this replica.
   void direct_heartbeat_received(const std::string &zone);
-  // A heartbeat came by way of another replica.
+  // Counts a heartbeat that another replica forwarded.
   void forwarded_heartbeat_received() { last_heartbeat_at_ = runtime_.now(); }
 
-  // Brings the own record up to date, publishes it, and draws the conclusions. `workers_forwarded`: workers whose
-  // heartbeats this replica, not leading, forwards.
+  // Updates and publishes this replica's record, then applies the step-down policy and the election delay.
+  // `workers_forwarded` is the number of workers whose heartbeats this replica forwards as a follower.
   void tick(std::size_t workers_forwarded);
 
-  // When the last heartbeat arrived, direct or forwarded; monotonic, far in the past if none did.
+  // Arrival time of the last heartbeat, direct or forwarded; monotonic, far in the past if there was none.
   [[nodiscard]] double last_heartbeat_at() const { return last_heartbeat_at_; }
   [[nodiscard]] const ConnectivityRecord &own_record() const { return own_; }
-  // Whether workers send heartbeats to a replica that can forward them to this one.
   [[nodiscard]] bool reachable_by_forwarding() const { return core::reachable_by_forwarding(own_, settings_); }
-  // What this replica says of itself, or of late; nothing if no fresh record is known.
+  // The connectivity of another replica; nullopt if no recent record is known.
   [[nodiscard]] std::optional<ReplicaConnectivity> connectivity_of(ReplicaIndex replica) const;
-  // About how many workers send their heartbeats straight to this replica, by zone name.
+  // Estimated number of workers that send their heartbeats to this replica directly, by zone name.
   [[nodiscard]] std::vector<std::pair<std::string, double>> workers_by_zone() const;
-  // Whether it is of interest if the cloud provider answers this replica: it does not answer the leader.
+  // Whether this follower should probe the cloud provider because the leader cannot reach it.
   [[nodiscard]] bool provider_probe_wanted() const;
 
 private:
-  // A connection of this replica, for the log.
+  // A connection whose changes are logged.
   struct Link {
     std::string target;
     bool up;
@@ -57,14 +57,14 @@
 
   void update_own_record(std::size_t workers_forwarded);
   void update_worker_reachability(std::uint32_t heartbeats, std::size_t workers_forwarded);
-  [[nodiscard]] bool workers_silent(std::size_t workers_forwarded) const;
+  [[nodiscard]] bool all_workers_silent(std::size_t workers_forwarded) const;
   [[nodiscard]] ProviderHealth provider_health() const;
 
   [[nodiscard]] std::vector<Link> links() const;
   void log_link_changes();
-  [[nodiscard]] bool some_peer_link_down() const;
+  [[nodiscard]] bool any_peer_link_down() const;
   void update_election_delay(const StepDownPolicy::ConnectivityByReplica &others);
-  [[nodiscard]] int placement_penalty(const ConnectivityRecord &record) const;
+  [[nodiscard]] int leader_penalty(const ConnectivityRecord &record) const;
 
   Runtime &runtime_;
   const Settings &settings_;
@@ -75,15 +75,15 @@
   ConnectivityRecordStore records_;
   StepDownPolicy step_down_policy_;
 
-  // Times are monotonic, in seconds.
+  // Times are monotonic, s.
   RecentHeartbeats direct_heartbeats_;
   ConnectivityRecord own_;
   double last_heartbeat_at_ = -1e9;
   double last_direct_heartbeat_at_ = -1e9;
   double last_tick_at_ = -1e9;
-  double resumed_at_ = -1e9; // when this process last went on after it had stood still
+  double resumed_at_ = -1e9; // end of this process's last stall
   std::optional<double> unreachable_since_;
-  std::vector<bool> logged_up_; // by link, as last logged; empty: not yet
+  std::vector<bool> logged_up_; // by link; the state last logged
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/connectivity/connectivity_record_store.hpp
+++ b/include/loftrouter/core/connectivity/connectivity_record_store.hpp
@@ -1,9 +1,9 @@
-// Connectivity records in the state service: how replicas learn of each other's connectivity while a peer link is
-// down. Each replica keeps one key, `reach/<sender number>`, under a lease, so that the key goes with its process.
+// Exchanges connectivity records through the state service while a peer link is down. Each replica keeps one key,
+// `reach/<sender number>`, attached to a lease, so that the key disappears when its process dies.
 //
-// Owns this replica's key and its lease, and the records of the others as last listed. Invariants: a replica writes its
-// key at most six times a minute and lists the others only while a peer link is down, so that a quiet day costs one
-// write and the renewals of the lease. No rule of the protocol rests on the records. See docs/links.md.
+// Owns this replica's key and its lease, and a cached list of the other records. To limit load on the state service, a
+// replica writes its key at most six times a minute and lists the others only while a peer link is down. Safety does
+// not depend on the records. See docs/links.md.
 #pragma once
 
 #include <optional>
@@ -20,29 +20,28 @@
 public:
   ConnectivityRecordStore(Runtime &runtime, const Settings &settings, const Replicas &replicas);
 
-  // Keeps the lease alive, and writes this replica's record if it is new or, while a peer link is down, if it has
-  // changed in substance.
-  void publish(const ConnectivityRecord &own, bool peer_link_down);
+  // Keeps the lease alive, and writes this replica's record if it is not stored yet or, while a peer link is down, has
+  // changed significantly.
+  void publish(const ConnectivityRecord &own_record, bool peer_link_down);
 
-  // Lists the other replicas' records when that is due. `urgent`: this replica leads and seems to have lost its
-  // workers.
+  // Lists the other replicas' records if the list interval has passed; `urgent` shortens the interval.
   void refresh(bool urgent);
 
-  // The replica's record as last listed; nothing if there is none or the list is too old. What has become too old to
-  // count is blanked out.
+  // The replica's record as last listed; nullopt if there is none or the list is too old. Fields that have expired are
+  // reset to their defaults.
   [[nodiscard]] std::optional<ReplicaConnectivity> find(ReplicaIndex replica) const;
 
 private:
   void maintain_lease();
-  [[nodiscard]] bool changed_in_substance(const ConnectivityRecord &own) const;
-  void write(const ConnectivityRecord &own);
-  void listed(const std::vector<wire::KeyValue> &entries);
+  [[nodiscard]] bool changed_significantly(const ConnectivityRecord &own_record) const;
+  void write(const ConnectivityRecord &own_record);
+  void update_records(const std::vector<wire::KeyValue> &entries);
 
   Runtime &runtime_;
   const Settings &settings_;
   const Replicas &replicas_;
 
-  // This replica's key. Times are monotonic, in seconds.
+  // This replica's key. Times are monotonic, s.
   StateServiceLease lease_;
   std::optional<ConnectivityRecord> written_;
   double written_at_ = -1e9;
--- a/include/loftrouter/core/connectivity/recent_heartbeats.hpp
+++ b/include/loftrouter/core/connectivity/recent_heartbeats.hpp
@@ -1,4 +1,4 @@
-// Counts of the heartbeats that arrived over the last while, by zone. Bounded by the window's length.
+// Counts the heartbeats of a sliding time window, by zone.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +11,10 @@
 public:
   explicit RecentHeartbeats(double window_s) : window_s_(window_s) {}
 
-  // Counts a heartbeat. `now` is monotonic and never decreases from call to call.
+  // Counts a heartbeat. `now` must not decrease between calls.
   void record(int zone, double now);
 
-  // Heartbeats within the window, by zone index.
+  // Heartbeats in the window, by zone index.
   [[nodiscard]] std::vector<std::uint32_t> by_zone(double now) const;
   [[nodiscard]] std::uint32_t total(double now) const;
   [[nodiscard]] double window_s() const { return window_s_; }
--- a/include/loftrouter/core/connectivity/replica_connectivity.hpp
+++ b/include/loftrouter/core/connectivity/replica_connectivity.hpp
@@ -1,6 +1,6 @@
-// What a replica says of its own connectivity, and judgements on such a record.
+// Connectivity records of other replicas, and predicates on such records.
 //
-// No rule of the protocol rests on these: a record may be old, or from a process that has ended. At worst the wrong
+// Safety does not depend on these: a record may be outdated, or from a process that has ended. At worst the wrong
 // replica leads.
 #pragma once
 
@@ -9,26 +9,26 @@
 
 namespace loftrouter::core {
 
-// A record of another replica, and how it came here.
+// The connectivity record of another replica, with its age and source.
 struct ReplicaConnectivity {
   ConnectivityRecord record;
   double age_s = 0;
-  bool over_peer_link = false; // otherwise it was read in the state service
+  bool over_peer_link = false; // false: read from the state service
 };
 
-// How long a replica's status, answered over a peer link, says something of the present, s.
+// How long a status received over a peer link is valid.
 constexpr double kPeerStatusValidityS = 1.5;
 
-// How long workers that have all fallen silent make a replica count as unreachable for workers, s. Later it is unknown:
-// they may be gone.
+// How long a replica counts as unreachable for workers after all of its workers have stopped sending heartbeats. After
+// that its reachability is unknown, as the workers may have ended.
 constexpr double kUnreachableValidityS = 60.0;
 
-// Whether workers send heartbeats to a replica that can forward them to the one that the record is of.
+// Whether workers send heartbeats to another replica that can forward them to the record's replica.
 [[nodiscard]] inline bool reachable_by_forwarding(const ConnectivityRecord &record, const Settings &settings) {
   return record.last_forwardable_heartbeat_age_s < heartbeat_timeout_s(settings);
 }
 
-// Whether workers reach the replica that the record is of, directly or by forwarding.
+// Whether workers reach the record's replica, directly or by forwarding.
 [[nodiscard]] inline bool reachable_by_workers(const ConnectivityRecord &record, const Settings &settings) {
   return record.workers == WorkerReachability::Reachable || reachable_by_forwarding(record, settings);
 }
--- a/include/loftrouter/core/connectivity/replicas.hpp
+++ b/include/loftrouter/core/connectivity/replicas.hpp
@@ -1,10 +1,10 @@
-// The other replicas of this cell, as known by pings over the peer links.
+// Tracks the other replicas of this cell by pings over the peer links.
 //
-// Owns the latest status of each replica and the pings under way. Invariants: a status counts from when the ping that
-// it answers was sent, however late the answer came; and a leader goes on without the state service only while every
-// replica says that it cannot reach the state service either. If either were broken, two leaders could keep workers
-// alive (rule `ran_twice`). Replicas also tell each other of cancellations (`Cancellations`) and of their use of the
-// state service (`StateServiceLimits`). See docs/safety.md, "Outages".
+// Owns the latest status of each replica and the pings in flight. Invariants: a status dates from when its ping was
+// sent, however late the pong arrived; and a leader continues without the state service only while every replica
+// reports that it cannot reach the state service either. Otherwise two leaders could renew workers' leases (rule
+// `ran_twice`). Pings and pongs also exchange cancellations (`Cancellations`) and state service usage
+// (`StateServiceLimits`). See docs/safety.md, "Outages".
 #pragma once
 
 #include <cstdint>
@@ -18,29 +18,29 @@
 
 namespace loftrouter::core {
 
-// What a replica says of its part in serving workers.
+// A replica's role in handling heartbeats, as reported to the other replicas.
 struct HeartbeatServing {
   bool leads = false;            // answers heartbeats as the leader
-  bool wants_forwarding = false; // and wants other replicas to forward heartbeats to it
-  bool can_forward = false;      // does not lead, and has room for workers whose heartbeats it forwards
+  bool wants_forwarding = false; // leads, and followers should forward heartbeats to it
+  bool can_forward = false;      // follower with capacity to forward heartbeats of more workers
 };
 
-// What is known of one other replica. Times are monotonic, in seconds; far in the past: never.
+// The known state of another replica. Times are monotonic, s; far in the past if never.
 struct ReplicaState {
-  // The last ping sent to it.
   std::uint64_t ping_nonce = 0;
   double ping_sent_at = -1e9;
 
-  // Its latest status: the answer to a ping that was sent at `status_as_of`.
+  // Its latest status, from the pong to a ping that was sent at `status_as_of`.
   double status_as_of = -1e9;
   double uptime_s = 0;
   bool state_service_lost = false;
   HeartbeatServing serving;
-  std::uint64_t term = 0; // the highest that it knows of, or its own if it leads
+  std::uint64_t term = 0; // its own if it leads, otherwise the highest that it knows
   ConnectivityRecord connectivity;
   StateServiceLimits::Usage state_service_usage;
 
-  // The last ping received from it, over the link that it dialled: it could forward heartbeats to this replica.
+  // The last ping received from it. It arrives on the link that the replica dialled, which also carries heartbeats that
+  // the replica forwards.
   double ping_received_at = -1e9;
   ConnectivityRecord connectivity_in_ping;
   bool supports_dependencies = false;
@@ -61,38 +61,38 @@
     return settings_.replicas[replica.position()].node;
   }
 
-  // Frames name their sender by its place among the sorted names of all replicas of the cell.
+  // Identifies this replica as the sender of frames: its position among the sorted node names of the cell.
   [[nodiscard]] std::uint8_t own_sender_number() const { return own_sender_number_; }
-  // The replica with this number; none if it is this replica's own, or not one of the settings.
+  // The replica with this sender number; invalid if it is this replica's own or not configured.
   [[nodiscard]] ReplicaIndex by_sender(std::uint8_t sender_number) const;
 
   [[nodiscard]] bool ping_due() const { return runtime_.now() >= next_ping_at_; }
-  // Pings every replica, and shares the state service's limits out by what they said last.
+  // Pings every replica, and divides the state service's limits by the usage that they last reported.
   void send_pings();
   void answer_ping(const PeerMessageCommand &cmd, const HeartbeatServing &serving);
-  // Takes a replica's status. False: this does not answer the last ping sent to it, and is ignored.
+  // Stores a replica's status. Returns false and ignores it if it does not answer the last ping.
   [[nodiscard]] bool accept_pong(const PeerMessageCommand &cmd);
   void broadcast(const wire::PeerMessage &message);
 
-  // What pings and their answers say of this replica's own connectivity from now on.
+  // Sets the connectivity record that pings and pongs carry.
   void set_own_connectivity(const ConnectivityRecord &own) { own_connectivity_ = own; }
 
-  // Whether the leader, or a replica that has sent a ping lately, runs a version without job dependencies. Jobs with
-  // dependencies are not accepted until it is gone or silent.
+  // Whether the leader, or a replica that has recently sent a ping, runs a version without job dependencies. Jobs with
+  // dependencies are then refused.
   [[nodiscard]] bool some_lack_dependencies() const;
 
-  // Whether this replica has had no answer from the state service for a while.
+  // Whether this replica has had no recent response from the state service.
   [[nodiscard]] bool state_service_lost() const;
-  // Whether no replica reaches the state service. Nobody can be elected then.
+  // Whether neither this nor any other replica reaches the state service, so that no leader can be elected.
   [[nodiscard]] bool common_outage() const;
-  // Whether this replica may renew workers' leases by answering their heartbeats: nobody else leads, and any
-  // cancellation it does not know of would still be carried out in time.
+  // Whether this replica may renew workers' leases by answering their heartbeats: no other replica leads, and any
+  // cancellation unknown here would still take effect in time.
   [[nodiscard]] bool may_answer_heartbeats() const;
 
 private:
   void share_state_service_limits();
-  // Whether this leader, whose lease has expired, may go on answering heartbeats during a common outage.
-  [[nodiscard]] bool leads_through_outage() const;
+  // Whether this leader, whose lease has expired, may answer heartbeats because no replica reaches the state service.
+  [[nodiscard]] bool leads_during_outage() const;
 
   Runtime &runtime_;
   const Settings &settings_;
@@ -102,7 +102,7 @@
   std::vector<ReplicaIndex> indices_;
   std::vector<ReplicaState> states_;
   std::uint8_t own_sender_number_ = 0;
-  std::vector<ReplicaIndex> by_sender_number_; // none for this replica
+  std::vector<ReplicaIndex> replicas_by_sender_number_; // invalid for this replica
   std::uint64_t last_nonce_;
   double next_ping_at_ = 0; // monotonic
   ConnectivityRecord own_connectivity_;
--- a/include/loftrouter/core/connectivity/step_down_policy.hpp
+++ b/include/loftrouter/core/connectivity/step_down_policy.hpp
@@ -1,8 +1,8 @@
-// When a leader ends its term because another replica would serve better: no worker reaches the leader, few do, or the
-// cloud provider does not answer it, while another replica is not affected.
+// Decides when a leader steps down because it has lost most or all workers or the cloud provider, and another replica
+// has not.
 //
-// Owns no state. Ending a term early is always safe, so nothing rests on the correctness of what the policy goes by; a
-// wrong decision costs a change of leader, or leaves a badly placed one. See docs/links.md, "Who should lead".
+// Owns no state. Stepping down early is always safe, so safety does not depend on the inputs: a wrong decision costs a
+// failover or keeps a poorly connected leader. See docs/links.md, "Who should lead".
 #pragma once
 
 #include <optional>
@@ -16,13 +16,13 @@
 
 class StepDownPolicy {
 public:
-  // What this replica observes of itself. Times are monotonic.
+  // This replica's own connectivity. Times are monotonic, s.
   struct Observation {
     ConnectivityRecord own;
     double last_heartbeat_at; // direct or forwarded
-    double resumed_at;        // when this process last went on after it had stood still
+    double resumed_at;        // end of this process's last stall
   };
-  // By replica; nothing where no fresh record is known.
+  // By replica index; nullopt if no recent record is known.
   using ConnectivityByReplica = std::vector<std::optional<ReplicaConnectivity>>;
 
   StepDownPolicy(Runtime &runtime, const Settings &settings, Leadership &leadership, const Replicas &replicas,
@@ -30,27 +30,27 @@
       : runtime_(runtime), settings_(settings), leadership_(leadership), replicas_(replicas), workers_(workers),
         failure_detector_(failure_detector) {}
 
-  // Ends this leader's term if another replica would serve better. No effect on a replica that does not lead.
+  // Steps down if another replica is better connected. No effect unless this replica is the active leader.
   void apply(const Observation &observation, const ConnectivityByReplica &others);
 
 private:
-  // What is wrong with this leader.
+  // The connectivity problems of this leader.
   struct Assessment {
-    bool several_workers = false;
-    bool young_term = false; // took over from another leader a short while ago
-    double silence_s = 0;    // since the last heartbeat, as far as this leader can tell
-    bool downlink_lost = false;
-    bool few_reach_here = false;
+    bool enough_workers = false;
+    bool recent_failover = false; // the leader changed less than kRecentFailoverS ago
+    double heartbeat_gap_s = 0;   // since the last heartbeat, the start of the term or a stall
+    bool all_workers_lost = false;
+    bool most_workers_lost = false;
     bool provider_lost = false;
-    std::size_t workers_known = 0;
-    std::size_t workers_here = 0;
-    [[nodiscard]] bool healthy() const { return !downlink_lost && !few_reach_here && !provider_lost; }
+    std::size_t known_workers = 0;
+    std::size_t reachable_workers = 0;
+    [[nodiscard]] bool healthy() const { return !all_workers_lost && !most_workers_lost && !provider_lost; }
   };
 
   [[nodiscard]] Assessment assess(const Observation &observation) const;
-  // Why the term should end in favour of this replica; nothing if it would serve no better.
-  [[nodiscard]] std::optional<std::string> reason_to_yield(const Assessment &self, ReplicaIndex replica,
-                                                           const ReplicaConnectivity &other) const;
+  // Why this leader should step down in favour of the other replica; nullopt if that one is no better connected.
+  [[nodiscard]] std::optional<std::string> reason_to_step_down(const Assessment &assessment, ReplicaIndex replica,
+                                                               const ReplicaConnectivity &other) const;
   void step_down(std::string_view reason, ReplicaIndex replica, const ReplicaConnectivity &other);
 
   Runtime &runtime_;
--- a/include/loftrouter/core/election/leadership.hpp
+++ b/include/loftrouter/core/election/leadership.hpp
@@ -1,10 +1,10 @@
-// Leader election among the replicas of a cell. The leader key of the state service is attached to a lease; the
-// revision of the commit that created the key is the leader's term, and the fencing token that workers see.
+// Leader election among the replicas of a cell. The leader key in the state service is attached to a lease. The
+// revision of the commit that created the key is the leader's term, and the fencing token that it sends to workers.
 //
-// Owns this replica's role, its leader lease and what it knows of the current leader. Invariants: `lease_valid()` is
-// true on at most one replica at any moment, because validity counts from before each renewal was sent and is
-// shortened for clock drift; and terms only grow. If either were broken, two leaders could start the same task (rule
-// `ran_twice`). Single-threaded, as all of the core. See docs/safety.md, "The leader and its term".
+// Owns this replica's role, its leader lease and its knowledge of the current leader. Invariants: `lease_valid()` is
+// true on at most one replica at a time, as validity counts from when the grant or renewal was requested and is
+// shortened for clock drift; and terms only increase. Otherwise two leaders could start the same task (rule
+// `ran_twice`). Single-threaded. See docs/safety.md, "The leader and its term".
 #pragma once
 
 #include <cstdint>
@@ -20,17 +20,17 @@
 
 namespace loftrouter::core {
 
-// How long a replica's statement that it cannot reach the state service counts, s. A newly elected leader waits as
-// long before it takes the previous leader to have stopped.
+// How long a replica's report that it cannot reach the state service is valid. A newly elected leader waits this long
+// before it assumes that the previous leader has stopped.
 constexpr double kOutageStatementValidityS = 1.5;
 
-// By how much two clocks' rates may differ: four times the bound that the protocol gives.
+// Maximum relative difference between the rates of two clocks: four times the bound in the protocol.
 constexpr double kMaxClockDrift = 0.002;
 
 enum class Role : std::uint8_t {
   Follower,
-  Candidate, // asks for a lease and for the leader key
-  Loading,   // elected; reads the records of the state service
+  Candidate, // requests a lease and the leader key
+  Loading,   // elected; loads records from the state service
   Leading,
 };
 
@@ -38,58 +38,58 @@
 public:
   Leadership(Runtime &runtime, Events &events, const Settings &settings, const InstanceTypeCatalog &catalog);
 
-  // Polls the leader key, runs for leader, or renews the lease, whichever is due.
+  // Polls the leader key or renews the lease when due. Polling may start an election.
   void tick();
 
-  // Takes note of a term that some replica or worker has seen. One higher than this replica's own ends its term.
-  // `reason` goes into the log.
+  // Records a term reported by a replica or worker. A leader steps down if the term is higher than its own; `reason` is
+  // logged.
   void observe_term(std::uint64_t term, std::string_view reason);
 
-  // Role Loading to Leading: all records are loaded. Publishes TermStarted.
+  // Changes from Loading to Leading once all records are loaded. Publishes TermStarted.
   void begin_term();
 
-  // Gives up the lease and becomes a follower; no effect on a follower. Publishes TermEnded. Always safe.
+  // Revokes the lease and becomes a follower; no effect on a follower. Publishes TermEnded. Always safe.
   void step_down(std::string_view reason);
 
-  // Does not run for leader for so long, unless nobody else becomes leader.
+  // Does not run for leader for this long, unless no other replica becomes leader.
   void abstain_from_elections(double duration_s);
 
-  // How long the leader key has to be absent before this replica runs: longer, the worse it is placed to lead.
+  // Sets how long the leader key must be absent before this replica runs. Poorly connected replicas wait longer.
   void set_election_delay(double delay_s) { election_delay_s_ = delay_s; }
 
   [[nodiscard]] Role role() const { return role_; }
   [[nodiscard]] bool leading() const { return role_ == Role::Leading; }
 
-  // Whether nobody else can be leader, by this replica's own clock.
+  // Whether the leader lease is unexpired by this replica's clock, so that no other replica can be leader.
   [[nodiscard]] bool lease_valid() const { return runtime_.now() < lease_valid_until_; }
 
-  // Whether this replica may write records and start tasks. A leader whose lease has expired by its own clock only
-  // pauses, and goes on if the state service still knows the lease.
+  // Whether this replica may write records and start tasks. A leader whose lease has expired by its own clock pauses,
+  // and resumes if the state service still has the lease.
   [[nodiscard]] bool active() const { return leading() && lease_valid(); }
 
   // This replica's latest term; 0 if it has never been elected.
   [[nodiscard]] std::uint64_t term() const { return term_; }
   [[nodiscard]] std::uint64_t highest_term() const { return highest_term_; }
 
-  // Changes whenever this replica runs for leader, is elected, or ceases to lead. Whoever sends a request remembers
-  // the epoch, and drops an answer that arrives in a later one.
+  // Changes whenever this replica runs for leader, is elected, or stops leading. Senders of requests capture the epoch
+  // and drop a response that arrives in a later one.
   [[nodiscard]] std::uint64_t epoch() const { return epoch_; }
 
-  // The leader's node name; empty if none is known.
+  // The leader's node name; empty if unknown.
   [[nodiscard]] const std::string &leader_name() const { return leader_name_; }
-  // The term of another replica that leads, as last read; 0 if none was, and while this replica leads.
+  // The term in the leader key as last read; 0 if none was read, and while this replica leads.
   [[nodiscard]] std::uint64_t leader_term() const { return leader_term_; }
-  // Whether the leader's version supports job dependencies; nothing unless another replica is known to lead.
+  // Whether the leader's version supports job dependencies; nullopt unless another replica is known to lead.
   [[nodiscard]] std::optional<bool> leader_supports_dependencies() const;
-  // When the leader key was last read; monotonic, far in the past if never.
+  // Time when the leader key was last read; monotonic, far in the past if never.
   [[nodiscard]] double leader_seen_at() const { return leader_seen_at_; }
 
-  // When this replica began to lead, on the monotonic and on the wall clock.
+  // Start of this replica's term, on the monotonic and on the wall clock.
   [[nodiscard]] double leading_since() const { return leading_since_; }
   [[nodiscard]] double leading_since_wall() const { return leading_since_wall_; }
-  // When this replica took over from another known leader; monotonic, far in the past if it did not.
+  // Time of the failover from another known leader to this replica; monotonic, far in the past if there was none.
   [[nodiscard]] double failover_at() const { return failover_at_; }
-  // Since when there has been no leader, on the wall clock; 0 if that was never seen.
+  // When the leader was last seen to be absent, on the wall clock; 0 if never.
   [[nodiscard]] double leaderless_since_wall() const { return leaderless_since_wall_; }
 
 private:
@@ -110,7 +110,7 @@
   const Settings &settings_;
   const InstanceTypeCatalog &catalog_;
 
-  // Times are monotonic, in seconds, unless their name says otherwise.
+  // Times are monotonic, s, unless their name says otherwise.
   Role role_ = Role::Follower;
   std::uint64_t epoch_ = 0;
   std::uint64_t term_ = 0;
--- a/include/loftrouter/core/election/state_service_lease.hpp
+++ b/include/loftrouter/core/election/state_service_lease.hpp
@@ -1,8 +1,7 @@
-// A lease of the state service that this replica holds: keys attached to it disappear when it expires or is revoked.
+// A lease in the state service that this replica holds. Keys attached to it are deleted when it expires or is revoked.
 //
-// Owns the lease's id, the request under way about it and the time of the next one. Invariant: at most one grant or
-// renewal is in flight, so the state service sees no more than one per interval. What the lease proves, and for how
-// long, is decided by its owner. Single-threaded, as all of the core.
+// Owns the lease id and the schedule of its requests. Invariant: at most one grant or renewal is in flight, which
+// bounds the request rate. The caller tracks for how long the lease is valid. Single-threaded.
 #pragma once
 
 #include <cstdint>
@@ -19,38 +18,36 @@
 
   enum class Renewal : std::uint8_t {
     Confirmed,
-    Expired, // the state service no longer knows the lease
-    Unknown, // no answer, or a refusal by rate: the lease may live or not
+    Expired, // the lease does not exist any more
+    Unknown, // no response or rate-limited; the lease may still exist
   };
 
-  // Called with the lease's id, or with nothing if none was granted as far as known.
+  // Called with the lease id, or with nullopt if the grant failed or its outcome is unknown.
   using GrantHandler = std::function<void(std::optional<Id>)>;
   using RenewalHandler = std::function<void(Renewal)>;
 
   StateServiceLease(Runtime &runtime, double ttl_s) : runtime_(runtime), ttl_s_(ttl_s) {}
 
-  // The lease's id while this replica holds it.
   [[nodiscard]] const std::optional<Id> &id() const { return id_; }
 
-  // Whether the time of the next grant or renewal has come and none is in flight.
+  // Whether the next grant or renewal is due and none is in flight.
   [[nodiscard]] bool request_due() const { return !request_in_flight_ && runtime_.now() >= next_request_at_; }
 
-  // Puts the next grant or renewal off until `delay_s` seconds from now.
+  // Schedules the next grant or renewal in `delay_s` seconds.
   void schedule_request(double delay_s) { next_request_at_ = runtime_.now() + delay_s; }
 
-  // Asks for a lease. The caller decides by `hold` whether to keep it.
+  // Requests a lease. The caller must `hold` or `revoke` it once granted.
   void request_grant(GrantHandler handler);
 
-  // Renews the lease that is held. The handler runs also if the lease was given up meanwhile.
+  // Renews the held lease. The handler is called even if the lease has been revoked or forgotten meanwhile.
   void request_renewal(RenewalHandler handler);
 
-  // Keeps a granted lease from now on.
   void hold(Id id) { id_ = id; }
 
-  // Forgets the lease without a request: it has expired.
+  // Drops an expired lease without a request.
   void forget() { id_.reset(); }
 
-  // Revokes the lease if one is held. A renewal still in flight no longer holds back the next request.
+  // Revokes the lease if one is held. A renewal in flight no longer delays the next request.
   void revoke();
 
   // Revokes a lease that was granted but is not held.
--- a/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
@@ -1,10 +1,9 @@
 // Handles workers' heartbeats: accepts them as the leader, forwards them to the leader, or redirects the worker to
-// another replica; and sends the responses.
+// another replica. Sends the responses.
 //
-// Owns the heartbeats that are being forwarded and the balance of workers over replicas. Invariants: a worker gets a
-// response to its own heartbeat alone, made by the leader, or is redirected; and a leader that may not renew leases
-// accepts no heartbeat. If either were broken, tasks could run twice (rule `ran_twice`). Single-threaded, as all of the
-// core. See docs/safety.md, "Forwarded heartbeats".
+// Owns the forwarded heartbeats and the balancing of workers over replicas. Invariants: only the leader responds to a
+// heartbeat, and only to the worker that sent it; and a leader that may not renew worker leases accepts no heartbeat.
+// Otherwise tasks could run twice (rule `ran_twice`). Single-threaded. See docs/safety.md, "Forwarded heartbeats".
 #pragma once
 
 #include <functional>
@@ -19,23 +18,24 @@
 
 namespace loftrouter::core {
 
-// Where a heartbeat came from, and so where its response goes.
+// The origin of a heartbeat, to which its response is sent.
 struct HeartbeatSource {
-  RequestId request = 0;       // of the worker, if the heartbeat came straight here
-  std::uint64_t link = 0;      // otherwise: the peer link it came on,
-  std::uint64_t number = 0;    // its number there,
-  ReplicaIndex forwarder = {}; // and the replica that forwarded it
+  RequestId request = 0; // the worker's request; only for a direct heartbeat
+  // Only for a forwarded heartbeat:
+  std::uint64_t link = 0;      // the peer link that it arrived on
+  std::uint64_t number = 0;    // the forwarder's request number
+  ReplicaIndex forwarder = {}; // the replica that forwarded it
   [[nodiscard]] bool direct() const { return !forwarder.valid(); }
 };
 
-// A heartbeat whose contents the worker registry has taken in, and which waits for its response.
+// A heartbeat that the worker registry has processed and that awaits its response.
 struct AcceptedHeartbeat {
   HeartbeatSource source;
   MachineIndex machine;
   std::vector<TaskCommand> commands;
 };
 
-// For the status pages: heartbeats a second, and workers whose heartbeats come straight to this replica.
+// The heartbeat load of this replica, for the status pages. `workers` counts direct senders only.
 struct HeartbeatLoad {
   double direct_per_s;
   double max_direct_per_s;
@@ -50,29 +50,29 @@
   HeartbeatHandler(Runtime &runtime, const Settings &settings, Leadership &leadership, Replicas &replicas,
                    ConnectivityMonitor &connectivity, const FailureDetector &failure_detector, WorkerRegistry &workers);
 
-  // A heartbeat straight from a worker, or forwarded by another replica. Returns it if this replica accepts it: the
-  // caller then responds to it by `respond`. Otherwise it has been dealt with.
+  // Handles a heartbeat that a worker sent directly, or that another replica forwarded. Returns it if it is accepted:
+  // the caller must then call `respond`. Otherwise it has been forwarded, refused or redirected.
   [[nodiscard]] std::optional<AcceptedHeartbeat> handle(HeartbeatCommand &&cmd);
   [[nodiscard]] std::optional<AcceptedHeartbeat> handle_forwarded(const PeerMessageCommand &cmd);
-  // Sends the response to an accepted heartbeat, with the commands for its worker.
+  // Responds to an accepted heartbeat with the commands for its worker.
   void respond(AcceptedHeartbeat &&heartbeat);
 
-  // The leader's response to a heartbeat that this replica forwarded.
+  // Passes the leader's response to a forwarded heartbeat on to the worker.
   void handle_response(const wire::PeerMessage &message);
-  // Redirects the workers of forwarded heartbeats that have waited too long for the leader's response.
+  // Redirects workers whose forwarded heartbeats got no response in time.
   void tick();
 
-  // Measures the load. Call it each `Replicas::kPingIntervalS`, before the pings.
+  // Measures the load. Must be called every `Replicas::kPingIntervalS`, before pings are sent.
   void update_load();
-  // Remembers whether the leader wants forwarding, from a replica's status.
+  // Records from a replica's status whether the leader wants forwarding.
   void status_received(const wire::PeerMessage &pong);
-  // Heartbeats for which this holds are refused for now: a leader may not keep alive what it cannot vouch for.
+  // Sets the condition on which heartbeats are refused: a leader must not renew the leases of tasks that it cannot
+  // account for.
   void refuse_while(std::function<bool(const Heartbeat &)> condition) { refusal_condition_ = std::move(condition); }
 
-  // What this replica tells the others of its part in serving workers.
+  // The heartbeat status that this replica sends to the others.
   [[nodiscard]] HeartbeatServing serving() const;
   [[nodiscard]] HeartbeatLoad load() const;
-  // Workers whose heartbeats this replica forwards.
   [[nodiscard]] std::size_t workers_forwarded() const { return forwarder_.workers(); }
 
   void on(const TermStarted &) { balancer_.begin_term(last_leader_wanted_forwarding_); }
@@ -81,7 +81,7 @@
 
 private:
   [[nodiscard]] std::optional<AcceptedHeartbeat> accept(const HeartbeatSource &source, const Heartbeat &heartbeat);
-  // Why a leader refuses this heartbeat before it looks at its contents; empty if it does not.
+  // Why the leader refuses this heartbeat before the worker registry sees it; empty if it does not.
   [[nodiscard]] std::string_view reason_to_refuse(const Heartbeat &heartbeat) const;
   [[nodiscard]] bool newer_than_known(const Heartbeat &heartbeat) const;
   void forward(HeartbeatCommand &&cmd);
@@ -91,13 +91,13 @@
   void redirect_to_leader(RequestId request);
   void send_to_forwarder(const HeartbeatSource &source, int status, std::vector<TaskCommand> commands);
 
-  // The replica that says it leads, with the highest term known here; none if there is none.
+  // The replica that claims to lead in the highest term known here; invalid if there is none.
   [[nodiscard]] ReplicaIndex leader() const;
   [[nodiscard]] std::string_view leader_name() const;
-  // The leader, if it wants heartbeats forwarded and this replica may do so; otherwise none.
+  // The leader, if it wants heartbeats forwarded and this replica can forward them; otherwise invalid.
   [[nodiscard]] ReplicaIndex forwarding_target() const;
 
-  // The replica that this worker is redirected to, to spread the load; none if it is to stay.
+  // The replica to redirect this worker to for load balancing; invalid if it stays here.
   [[nodiscard]] ReplicaIndex redirect_target(const Heartbeat &heartbeat);
   [[nodiscard]] bool may_be_redirected(const Heartbeat &heartbeat, MachineIndex machine);
   [[nodiscard]] ReplicaIndex least_loaded_forwarder() const;
--- a/include/loftrouter/core/heartbeats/heartbeat_load_balancer.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_load_balancer.hpp
@@ -1,8 +1,8 @@
-// How a leader spreads workers over the replicas: whether the others are to forward heartbeats, and when workers are
-// redirected to them.
+// Balances worker connections over the replicas: decides whether followers should forward heartbeats, and when the
+// leader redirects workers to them.
 //
-// Owns the rates of heartbeats. Direct heartbeats are what is limited: they cost many times what forwarded ones cost. A
-// replica that does not lead measures its rates too, for the status pages. Nothing but load rests on the decisions.
+// Owns the measured heartbeat rates. Only direct heartbeats are limited, as they cost many times as much as forwarded
+// ones. Followers measure their rates too, for the status pages. Safety does not depend on the decisions.
 #pragma once
 
 #include <algorithm>
@@ -13,36 +13,36 @@
 
 namespace loftrouter::core {
 
-// Times are monotonic, in seconds.
+// Times are monotonic, s.
 class HeartbeatLoadBalancer {
 public:
   struct Limits {
-    double direct_per_s = 0;     // heartbeats that this replica takes itself
-    std::size_t connections = 0; // of workers
+    double direct_per_s = 0;     // direct heartbeats
+    std::size_t connections = 0; // worker connections
   };
   explicit HeartbeatLoadBalancer(Limits limits) : limits_(limits) {}
 
-  // Starts a term. `forwarding_wanted`: as the last leader had it.
+  // Resets the balancer for a new term. `forwarding_wanted` is the last leader's decision.
   void begin_term(bool forwarding_wanted);
 
-  void count_direct() { ++direct_; }
-  void count_forwarded() { ++forwarded_; }
+  void count_direct() { ++direct_count_; }
+  void count_forwarded() { ++forwarded_count_; }
 
-  // Until then, forwarding is wanted whatever the load: some workers do not reach this replica, and may reach another.
-  void want_forwarding_until(double until) { wanted_until_ = std::max(wanted_until_, until); }
+  // Enables forwarding until this time whatever the load, for workers that can only reach another replica.
+  void want_forwarding_until(double until) { forwarding_wanted_until_ = std::max(forwarding_wanted_until_, until); }
 
-  // Measures the rates, `dt_s` seconds after the last time. `workers`: that send their heartbeats straight here.
-  void update(double now, double dt_s, std::size_t workers);
+  // Measures the rates, `elapsed_s` seconds after the last update. `workers` counts those that send heartbeats
+  // directly.
+  void update(double now, double elapsed_s, std::size_t workers);
 
-  // Whether the other replicas are to forward heartbeats.
+  // Whether followers should forward heartbeats.
   [[nodiscard]] bool forwarding_wanted() const { return forwarding_wanted_; }
 
-  // Whether a worker may be redirected now. Only some a second are, so that the other replicas and the measured rates
-  // keep up.
+  // Whether a worker may be redirected now. Redirects are rate-limited, so that the measured rates can follow.
   [[nodiscard]] bool may_redirect(double now) {
-    return forwarding_wanted_ && overloaded_ && redirects_.level(now) >= 1;
+    return forwarding_wanted_ && overloaded_ && redirect_budget_.level(now) >= 1;
   }
-  void count_redirect(double now) { redirects_.take(now); }
+  void count_redirect(double now) { redirect_budget_.take(now); }
 
   [[nodiscard]] const Limits &limits() const { return limits_; }
   // Heartbeats per second, smoothed.
@@ -51,14 +51,14 @@
 
 private:
   Limits limits_;
-  std::uint64_t direct_ = 0;    // since the last update
-  std::uint64_t forwarded_ = 0; // since the last update
+  std::uint64_t direct_count_ = 0;    // since the last update
+  std::uint64_t forwarded_count_ = 0; // since the last update
   double direct_rate_ = 0;
   double total_rate_ = 0;
   bool forwarding_wanted_ = false;
   bool overloaded_ = false;
-  double wanted_until_ = -1e9;
-  TokenBucket redirects_{1, 1};
+  double forwarding_wanted_until_ = -1e9;
+  TokenBucket redirect_budget_{1, 1};
 };
 
 } // namespace loftrouter::core
--- a/src/core/connectivity/connectivity_monitor.cpp
+++ b/src/core/connectivity/connectivity_monitor.cpp
@@ -6,14 +6,14 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kStoodStillS = 1.0; // between two ticks: commands that came meanwhile are not read yet
+constexpr double kStallThresholdS = 1.0; // gap between ticks after which unread heartbeats may be queued
 constexpr double kMaxReportedWorkers = 6e4;
 
 constexpr int kMinProviderFailures = 2;
 constexpr double kProviderAnswerValidityS = 15.0;
 
 constexpr double kLogLinkDownAfterS = 2 * kPeerStatusValidityS;
-constexpr double kNoLinkLogBeforeS = 5.0; // of this process's uptime
+constexpr double kMinUptimeToLogLinksS = 5.0;
 
 constexpr double kElectionDelayStepS = 0.3;
 constexpr double kMaxElectionDelayS = 1.5;
@@ -33,18 +33,18 @@
 
 void ConnectivityMonitor::tick(std::size_t workers_forwarded) {
   const double now = runtime_.now();
-  if (now - last_tick_at_ > kStoodStillS) resumed_at_ = now;
+  if (now - last_tick_at_ > kStallThresholdS) resumed_at_ = now;
   last_tick_at_ = now;
 
   update_own_record(workers_forwarded);
   replicas_.set_own_connectivity(own_);
   log_link_changes();
 
-  const bool peer_link_down = some_peer_link_down();
+  const bool peer_link_down = any_peer_link_down();
   records_.publish(own_, peer_link_down);
-  const bool seems_to_have_lost_workers =
+  const bool workers_may_be_lost =
       leadership_.leading() && now - last_heartbeat_at_ > direct_heartbeats_.window_s() / 2;
-  if (peer_link_down) records_.refresh(seems_to_have_lost_workers);
+  if (peer_link_down) records_.refresh(workers_may_be_lost);
 
   StepDownPolicy::ConnectivityByReplica others;
   for (const ReplicaIndex replica : replicas_.indices())
@@ -53,12 +53,10 @@
   update_election_delay(others);
 }
 
-// ---- this replica's own record ----
-
 void ConnectivityMonitor::direct_heartbeat_received(const std::string &zone) {
   last_heartbeat_at_ = runtime_.now();
   last_direct_heartbeat_at_ = runtime_.now();
-  direct_heartbeats_.record(catalog_.find_zone(zone) + 1, runtime_.now()); // 0: a zone that is not known
+  direct_heartbeats_.record(catalog_.find_zone(zone) + 1, runtime_.now()); // 0: unknown zone
 }
 
 std::vector<std::pair<std::string, double>> ConnectivityMonitor::workers_by_zone() const {
@@ -90,8 +88,9 @@
   own_.cloud = provider_health();
 }
 
-// Whether all workers that this replica served have fallen silent, and not because it stood still itself.
-bool ConnectivityMonitor::workers_silent(std::size_t workers_forwarded) const {
+// Whether all workers that this replica served have stopped sending heartbeats. False after a stall of this process,
+// which delays heartbeats too.
+bool ConnectivityMonitor::all_workers_silent(std::size_t workers_forwarded) const {
   if (runtime_.now() - resumed_at_ <= direct_heartbeats_.window_s()) return false;
   return leadership_.leading() ? failure_detector_.totals().unreachable()
                                : workers_forwarded >= FailureDetector::GroupCount::kMinWorkers;
@@ -105,7 +104,7 @@
     unreachable_since_.reset();
     return;
   }
-  if (workers_silent(workers_forwarded)) {
+  if (all_workers_silent(workers_forwarded)) {
     if (!unreachable_since_) unreachable_since_ = now;
     const bool recent = now - *unreachable_since_ < kUnreachableValidityS;
     own_.workers = recent || leadership_.leading() ? WorkerReachability::Unreachable : WorkerReachability::Unknown;
@@ -122,28 +121,26 @@
   return ProviderHealth::Unknown;
 }
 
-// ---- log ----
-
 std::vector<ConnectivityMonitor::Link> ConnectivityMonitor::links() const {
   const double now = runtime_.now();
-  std::vector<Link> all{
-      {std::string(kStateServiceTarget), now - runtime_.state_service_answered_at() < kLogLinkDownAfterS, "no answers"},
-      {std::string(kWorkersTarget), own_.workers != WorkerReachability::Unreachable, "no heartbeats"},
-      {std::string(kProviderTarget), own_.cloud != ProviderHealth::Unhealthy, "last calls not answered"}};
+  std::vector<Link> all{{std::string(kStateServiceTarget),
+                         now - runtime_.state_service_answered_at() < kLogLinkDownAfterS, "no responses"},
+                        {std::string(kWorkersTarget), own_.workers != WorkerReachability::Unreachable, "no heartbeats"},
+                        {std::string(kProviderTarget), own_.cloud != ProviderHealth::Unhealthy, "recent calls failed"}};
   for (const ReplicaIndex replica : replicas_.indices()) {
     const bool answered = now - replicas_[replica].status_as_of < kLogLinkDownAfterS;
-    all.push_back({replicas_.name(replica), answered, "pings not answered"});
+    all.push_back({replicas_.name(replica), answered, "no ping responses"});
   }
   return all;
 }
 
-// One line for each connection lost or restored. The first look logs only what is down.
+// Logs each connection that was lost or restored. The first call logs only lost ones.
 void ConnectivityMonitor::log_link_changes() {
-  if (runtime_.uptime_s() < kNoLinkLogBeforeS) return;
-  const std::vector<Link> now = links();
-  logged_up_.resize(now.size(), true);
-  for (std::size_t i = 0; i < now.size(); ++i) {
-    const Link &link = now[i];
+  if (runtime_.uptime_s() < kMinUptimeToLogLinksS) return;
+  const std::vector<Link> current = links();
+  logged_up_.resize(current.size(), true);
+  for (std::size_t i = 0; i < current.size(); ++i) {
+    const Link &link = current[i];
     if (logged_up_[i] == link.up) continue;
     logged_up_[i] = link.up;
     if (link.up)
@@ -153,11 +150,9 @@
   }
 }
 
-// ---- the other replicas ----
-
-// Whether some replica's status does not come on the link that this replica dials, or some replica's pings do not come
-// on the link that it dials.
-bool ConnectivityMonitor::some_peer_link_down() const {
+// Whether a link to another replica is down in either direction: its status on the link that this replica dials, or its
+// pings on the link that it dials.
+bool ConnectivityMonitor::any_peer_link_down() const {
   const auto &indices = replicas_.indices();
   return std::any_of(indices.begin(), indices.end(), [this](ReplicaIndex replica) {
     const ReplicaState &state = replicas_[replica];
@@ -169,7 +164,7 @@
   const ReplicaState &state = replicas_[replica];
   const double age_s = runtime_.now() - state.status_as_of;
   if (age_s >= kPeerStatusValidityS) return records_.find(replica);
-  // Without the state service it cannot lead, whatever else it reaches.
+  // A replica cannot lead without the state service.
   if (state.state_service_lost) return std::nullopt;
   return ReplicaConnectivity{state.connectivity, age_s, true};
 }
@@ -184,8 +179,8 @@
   });
 }
 
-// How badly a replica is placed to lead.
-int ConnectivityMonitor::placement_penalty(const ConnectivityRecord &record) const {
+// Scores how poorly connected a replica is for leading; 0 is best.
+int ConnectivityMonitor::leader_penalty(const ConnectivityRecord &record) const {
   constexpr int forwarded_only = 1;
   constexpr int workers_unknown = 2;
   constexpr int workers_unreachable = 5;
@@ -204,10 +199,10 @@
 }
 
 void ConnectivityMonitor::update_election_delay(const StepDownPolicy::ConnectivityByReplica &others) {
-  const int own_penalty = placement_penalty(own_);
+  const int own_penalty = leader_penalty(own_);
   int best_penalty = own_penalty;
   for (const auto &other : others)
-    if (other) best_penalty = std::min(best_penalty, placement_penalty(other->record));
+    if (other) best_penalty = std::min(best_penalty, leader_penalty(other->record));
   leadership_.set_election_delay(std::min(kMaxElectionDelayS, kElectionDelayStepS * (own_penalty - best_penalty)));
 }
 
--- a/src/core/connectivity/connectivity_record_store.cpp
+++ b/src/core/connectivity/connectivity_record_store.cpp
@@ -21,17 +21,17 @@
 constexpr double kListIntervalS = 2.0;
 constexpr double kUrgentListIntervalS = 0.5;
 constexpr double kListValidityS = 3.0;
-constexpr double kReachableValidityS = 15.0; // of a record that says that workers reach its replica
+constexpr double kReachableValidityS = 15.0; // of the statement that workers reach the replica
 
 constexpr std::size_t kMaxSenderDigits = 3;
 constexpr int kSenders = 256;
 
 // Worker counts that differ by less than a factor of four fall into the same or neighbouring classes.
-int magnitude(std::uint16_t workers) {
+int worker_count_class(std::uint16_t workers) {
   return static_cast<int>(std::log2(workers + 1.0) / 2);
 }
 
-// The sender number that a key ends with; nothing if it is not a key of a replica.
+// Parses the sender number at the end of a key; nullopt if it is malformed.
 std::optional<std::uint8_t> sender_number(const std::string &key) {
   const std::string digits = key.substr(kKeyPrefix.size());
   if (digits.empty() || digits.size() > kMaxSenderDigits) return std::nullopt;
@@ -46,8 +46,6 @@
     : runtime_(runtime), settings_(settings), replicas_(replicas), lease_(runtime, kLeaseTtlS),
       write_budget_(kMaxWritesPerMinute / 60, kMaxWriteBurst), records_(settings.replicas.size()) {}
 
-// ---- this replica's key ----
-
 void ConnectivityRecordStore::maintain_lease() {
   if (replicas_.count() == 0 || !lease_.request_due()) return;
   if (lease_.id()) {
@@ -66,39 +64,38 @@
   });
 }
 
-// That workers no longer reach this replica needs no write: the record's age shows it.
-bool ConnectivityRecordStore::changed_in_substance(const ConnectivityRecord &own) const {
-  const ConnectivityRecord &before = *written_;
-  if (own.workers != before.workers && own.workers != WorkerReachability::Unknown) return true;
-  if (own.cloud != before.cloud) return true;
-  if (!reachable_by_workers(own, settings_)) return false;
-  return !reachable_by_workers(before, settings_) || magnitude(own.machines) > magnitude(before.machines) ||
+// A change of worker reachability to Unknown is not written: the record's age already shows it.
+bool ConnectivityRecordStore::changed_significantly(const ConnectivityRecord &own_record) const {
+  const ConnectivityRecord &previous = *written_;
+  if (own_record.workers != previous.workers && own_record.workers != WorkerReachability::Unknown) return true;
+  if (own_record.cloud != previous.cloud) return true;
+  if (!reachable_by_workers(own_record, settings_)) return false;
+  return !reachable_by_workers(previous, settings_) ||
+         worker_count_class(own_record.machines) > worker_count_class(previous.machines) ||
          runtime_.now() - written_at_ > kRewriteAfterS;
 }
 
-void ConnectivityRecordStore::publish(const ConnectivityRecord &own, bool peer_link_down) {
+void ConnectivityRecordStore::publish(const ConnectivityRecord &own_record, bool peer_link_down) {
   maintain_lease();
   if (!lease_.id() || replicas_.state_service_lost()) return;
-  // While all peer links are up, the record goes over them anyway, and more often.
-  const bool changed = !written_ || (peer_link_down && changed_in_substance(own));
-  if (changed && write_budget_.take(runtime_.now())) write(own);
+  // While all peer links are up, pings carry the record.
+  const bool changed = !written_ || (peer_link_down && changed_significantly(own_record));
+  if (changed && write_budget_.take(runtime_.now())) write(own_record);
 }
 
-void ConnectivityRecordStore::write(const ConnectivityRecord &own) {
-  written_ = own;
+void ConnectivityRecordStore::write(const ConnectivityRecord &own_record) {
+  written_ = own_record;
   written_at_ = runtime_.now();
-  const StoredConnectivityRecord record{own, runtime_.wall()};
+  const StoredConnectivityRecord record{own_record, runtime_.wall()};
   const std::string key = kKeyPrefix + std::to_string(replicas_.own_sender_number());
   StoreCommit commit{{}, {{key, wire::to_json(record), *lease_.id()}}};
   runtime_.store(std::move(commit), kRequestTimeoutS, [this, lease = lease_.id()](const wire::StoreReply &reply) {
     if (lease != lease_.id()) return;
-    if (reply.status == 400) lease_.forget(); // the state service no longer knows it
+    if (reply.status == 400) lease_.forget(); // the lease does not exist any more
     if (reply.status != 200) written_.reset();
   });
 }
 
-// ---- the other replicas' keys ----
-
 void ConnectivityRecordStore::refresh(bool urgent) {
   if (list_in_flight_ || runtime_.now() < next_list_at_) return;
   next_list_at_ = runtime_.now() + (urgent ? kUrgentListIntervalS : kListIntervalS);
@@ -108,11 +105,11 @@
                    list_in_flight_ = false;
                    if (reply.status != 200) return;
                    listed_at_ = requested_at;
-                   listed(reply.entries);
+                   update_records(reply.entries);
                  });
 }
 
-void ConnectivityRecordStore::listed(const std::vector<wire::KeyValue> &entries) {
+void ConnectivityRecordStore::update_records(const std::vector<wire::KeyValue> &entries) {
   std::fill(records_.begin(), records_.end(), std::nullopt);
   for (const wire::KeyValue &entry : entries) {
     const auto record = wire::connectivity_from_json(entry.value);
--- a/src/core/connectivity/recent_heartbeats.cpp
+++ b/src/core/connectivity/recent_heartbeats.cpp
@@ -14,18 +14,18 @@
 }
 
 std::vector<std::uint32_t> RecentHeartbeats::by_zone(double now) const {
-  std::vector<std::uint32_t> sums;
+  std::vector<std::uint32_t> counts;
   for (const Bucket &bucket : buckets_) {
     if (now - bucket.started_at > window_s_) continue;
     for (std::size_t zone = 0; zone < bucket.by_zone.size(); ++zone)
-      grown(sums, static_cast<int>(zone)) += bucket.by_zone[zone];
+      grown(counts, static_cast<int>(zone)) += bucket.by_zone[zone];
   }
-  return sums;
+  return counts;
 }
 
 std::uint32_t RecentHeartbeats::total(double now) const {
-  const auto sums = by_zone(now);
-  return std::accumulate(sums.begin(), sums.end(), std::uint32_t(0));
+  const auto counts = by_zone(now);
+  return std::accumulate(counts.begin(), counts.end(), std::uint32_t(0));
 }
 
 } // namespace loftrouter::core
--- a/src/core/connectivity/replicas.cpp
+++ b/src/core/connectivity/replicas.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 constexpr double kStateServiceLostAfterS = 1.5;
-constexpr double kRecentS = 3.0; // how long a ping or a status says something of the present
+constexpr double kReportValidityS = 3.0; // age up to which a ping or status is used
 
-// Rates travel as tenths in 16 bits, the uptime as milliseconds in 32.
+// Limits of the wire format: rates are tenths in 16 bits, the uptime is milliseconds in 32 bits.
 constexpr double kMaxRateTenths = 6e4;
 constexpr double kMaxUptimeMs = 4e9;
 
@@ -27,7 +27,7 @@
                    Cancellations &cancellations)
     : runtime_(runtime), settings_(settings), leadership_(leadership), state_limits_(state_limits),
       cancellations_(cancellations), states_(settings.replicas.size()),
-      // Random, so that an answer to a ping of an earlier process of this replica matches none of this one's.
+      // Random, so that a pong to a ping of an earlier process of this replica is not accepted.
       last_nonce_(runtime.nonce()) {
   std::vector<std::pair<std::string, ReplicaIndex>> names{{settings_.node, ReplicaIndex()}};
   for (std::size_t i = 0; i < settings_.replicas.size(); ++i) {
@@ -36,21 +36,19 @@
   }
   std::sort(names.begin(), names.end());
   for (const auto &[name, replica] : names) {
-    if (!replica.valid()) own_sender_number_ = static_cast<std::uint8_t>(by_sender_number_.size());
-    by_sender_number_.push_back(replica);
+    if (!replica.valid()) own_sender_number_ = static_cast<std::uint8_t>(replicas_by_sender_number_.size());
+    replicas_by_sender_number_.push_back(replica);
   }
 }
 
 ReplicaIndex Replicas::by_sender(std::uint8_t sender_number) const {
-  return sender_number < by_sender_number_.size() ? by_sender_number_[sender_number] : ReplicaIndex();
+  return sender_number < replicas_by_sender_number_.size() ? replicas_by_sender_number_[sender_number] : ReplicaIndex();
 }
 
-// ---- pings ----
-
 void Replicas::share_state_service_limits() {
   std::vector<std::optional<StateServiceLimits::Usage>> usages;
   for (const ReplicaState &state : states_) {
-    const bool recent = runtime_.now() - state.status_as_of < kRecentS;
+    const bool recent = runtime_.now() - state.status_as_of < kReportValidityS;
     usages.push_back(recent ? std::optional(state.state_service_usage) : std::nullopt);
   }
   state_limits_.share(runtime_.now(), kPingIntervalS, usages);
@@ -85,8 +83,8 @@
   message.nonce = cmd.message.nonce;
   message.term = serving.leads ? leadership_.term() : leadership_.highest_term();
   message.cancelled = cancellations_.recent();
-  // With more cancellations than a frame holds, this replica does not count as cut off: a leader of the earlier
-  // version goes by this flag alone when it renews leases.
+  // Leaders of the previous version decide by this flag alone whether to renew leases. It is therefore not set while
+  // the frame cannot hold all recent cancellations.
   message.cut_off = state_service_lost() && cancellations_.recent_is_complete();
   message.connectivity = own_connectivity_;
   message.sender = own_sender_number_;
@@ -103,7 +101,7 @@
   if (!cmd.replica.valid() || cmd.replica.position() >= states_.size()) return false;
   const wire::PeerMessage &message = cmd.message;
   ReplicaState &state = states_[cmd.replica.position()];
-  if (message.nonce != state.ping_nonce) return false; // answers an earlier ping, perhaps held up on the way
+  if (message.nonce != state.ping_nonce) return false; // answers an earlier ping
   state.status_as_of = state.ping_sent_at;             // the status cannot be older than the ping
   state.uptime_s = message.uptime_ms / 1000.0;
   state.state_service_lost = message.cut_off;
@@ -123,12 +121,10 @@
 bool Replicas::some_lack_dependencies() const {
   if (leadership_.leader_supports_dependencies() == std::optional(false)) return true;
   return std::any_of(states_.begin(), states_.end(), [this](const ReplicaState &state) {
-    return runtime_.now() - state.ping_received_at < kRecentS && !state.supports_dependencies;
+    return runtime_.now() - state.ping_received_at < kReportValidityS && !state.supports_dependencies;
   });
 }
 
-// ---- outages of the state service ----
-
 bool Replicas::state_service_lost() const {
   return runtime_.now() - runtime_.state_service_answered_at() > kStateServiceLostAfterS;
 }
@@ -140,13 +136,13 @@
   });
 }
 
-bool Replicas::leads_through_outage() const {
+bool Replicas::leads_during_outage() const {
   return leadership_.leading() && !leadership_.lease_valid() && leadership_.highest_term() <= leadership_.term() &&
          common_outage();
 }
 
 bool Replicas::may_answer_heartbeats() const {
-  return (leadership_.active() || leads_through_outage()) && cancellations_.may_renew();
+  return (leadership_.active() || leads_during_outage()) && cancellations_.may_renew();
 }
 
 } // namespace loftrouter::core
--- a/src/core/connectivity/step_down_policy.cpp
+++ b/src/core/connectivity/step_down_policy.cpp
@@ -7,23 +7,23 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kAbstentionS = 15.0; // before a replica that has stepped down runs for leader again
+constexpr double kAbstentionS = 15.0; // after stepping down
 
-// A term that took over from another leader is ended so much later while it is young, so that links that come and go
-// change the leader once a minute at most.
-constexpr double kYoungTermS = 60.0;
-constexpr double kYoungTermPatienceS = 10.0;
+// Shortly after a failover a leader steps down only after an additional delay, so that flapping links change the leader
+// at most once a minute.
+constexpr double kRecentFailoverS = 60.0;
+constexpr double kRecentFailoverDelayS = 10.0;
 
-// Where few workers are known, they may hang by chance.
-constexpr double kMinFewWorkersPatienceS = 4.5;
+// With few workers known, all of them may hang by coincidence.
+constexpr double kMinFewWorkersDelayS = 4.5;
 constexpr double kFewWorkersMarginS = 2.0;
 
-// For other replicas to learn that heartbeats are to be forwarded, and for the next heartbeats to come.
-constexpr double kForwardingPatienceS = 3.0;
-constexpr double kProviderPatienceS = 20.0;
+// Time for other replicas to learn that they should forward heartbeats, and for the next heartbeats to arrive.
+constexpr double kForwardingDelayS = 3.0;
+constexpr double kProviderDelayS = 20.0;
 
-// By how much later workers have to have been heard elsewhere than here.
-constexpr double kMinHeartbeatLeadS = 1.5;
+// By how much the last heartbeat elsewhere must be more recent than the last one here.
+constexpr double kMinHeartbeatAdvantageS = 1.5;
 
 constexpr std::size_t kMinWorkers = FailureDetector::GroupCount::kMinWorkers;
 } // namespace
@@ -32,66 +32,72 @@
   const double now = runtime_.now();
   const double leading_since = leadership_.leading_since();
   const FailureDetector::GroupCount &totals = failure_detector_.totals();
-  Assessment self;
-  self.several_workers = workers_.available_count() >= kMinWorkers;
-  self.young_term = now - leadership_.failover_at() < kYoungTermS;
-  self.silence_s = now - std::max({observation.last_heartbeat_at, leading_since, observation.resumed_at});
-  self.workers_known = totals.known;
-  self.workers_here = totals.known - totals.overdue;
-
-  // Each second saved here is one more for workers, which wait 4 s for an answer before they try elsewhere, to reach
-  // the next leader within their lease.
-  double patience_s = self.several_workers
-                          ? heartbeat_timeout_s(settings_)
-                          : std::max(kMinFewWorkersPatienceS, 2 * settings_.heartbeat_interval_s + kFewWorkersMarginS);
+  Assessment assessment;
+  assessment.enough_workers = workers_.available_count() >= kMinWorkers;
+  assessment.recent_failover = now - leadership_.failover_at() < kRecentFailoverS;
+  assessment.heartbeat_gap_s = now - std::max({observation.last_heartbeat_at, leading_since, observation.resumed_at});
+  assessment.known_workers = totals.known;
+  assessment.reachable_workers = totals.known - totals.overdue;
+
+  // The delay is short because workers must reach the next leader before their lease expires, and time out after 4 s
+  // on each replica.
+  double step_down_delay_s =
+      assessment.enough_workers
+          ? heartbeat_timeout_s(settings_)
+          : std::max(kMinFewWorkersDelayS, 2 * settings_.heartbeat_interval_s + kFewWorkersMarginS);
   const bool heartbeats_in_this_term = observation.last_heartbeat_at > leading_since;
-  patience_s += self.young_term && heartbeats_in_this_term ? kYoungTermPatienceS : 0;
-  // If workers reach a replica that can forward their heartbeats, it is given time to do so.
-  const double forwarding_s = reachable_by_forwarding(observation.own, settings_) ? kForwardingPatienceS : 0;
-  self.downlink_lost = totals.known > 0 && self.silence_s >= patience_s + forwarding_s;
-  self.few_reach_here = !self.downlink_lost && !self.young_term && totals.known >= 2 * kMinWorkers &&
-                        3 * totals.overdue >= 2 * totals.known && now - observation.resumed_at > patience_s;
-
-  const double provider_silence_s = now - std::max(runtime_.provider_answered_at(), leading_since);
-  self.provider_lost = observation.own.cloud == ProviderHealth::Unhealthy &&
-                       provider_silence_s > (self.young_term ? kYoungTermS : kProviderPatienceS);
-  return self;
+  step_down_delay_s += assessment.recent_failover && heartbeats_in_this_term ? kRecentFailoverDelayS : 0;
+  // Allows time for forwarding to start if workers reach a replica that can forward their heartbeats.
+  const double forwarding_delay_s = reachable_by_forwarding(observation.own, settings_) ? kForwardingDelayS : 0;
+  assessment.all_workers_lost =
+      totals.known > 0 && assessment.heartbeat_gap_s >= step_down_delay_s + forwarding_delay_s;
+  assessment.most_workers_lost = !assessment.all_workers_lost && !assessment.recent_failover &&
+                                 totals.known >= 2 * kMinWorkers && 3 * totals.overdue >= 2 * totals.known &&
+                                 now - observation.resumed_at > step_down_delay_s;
+
+  const double provider_gap_s = now - std::max(runtime_.provider_answered_at(), leading_since);
+  assessment.provider_lost = observation.own.cloud == ProviderHealth::Unhealthy &&
+                             provider_gap_s > (assessment.recent_failover ? kRecentFailoverS : kProviderDelayS);
+  return assessment;
 }
 
-std::optional<std::string> StepDownPolicy::reason_to_yield(const Assessment &self, ReplicaIndex replica,
-                                                           const ReplicaConnectivity &other) const {
+std::optional<std::string> StepDownPolicy::reason_to_step_down(const Assessment &assessment, ReplicaIndex replica,
+                                                               const ReplicaConnectivity &other) const {
   const ConnectivityRecord &record = other.record;
   const bool direct = record.workers == WorkerReachability::Reachable;
   const bool reachable = reachable_by_workers(record, settings_);
-  if (record.workers == WorkerReachability::Unreachable && !reachable) return std::nullopt; // it would serve no better
+  if (record.workers == WorkerReachability::Unreachable && !reachable) return std::nullopt;
 
-  if (self.downlink_lost) {
+  if (assessment.all_workers_lost) {
     const double heartbeat_age_s =
         std::min(record.last_heartbeat_age_s, record.last_forwardable_heartbeat_age_s) + other.age_s;
-    // Whatever silenced the workers here may have silenced them there at the same moment.
-    if (reachable && heartbeat_age_s + kMinHeartbeatLeadS > self.silence_s) return std::nullopt;
-    // That several fall silent at once is enough. Where few are known the other replica has to have heard some: the
-    // workers may be what has failed. Waiting for that with several would send workers that try a replica back here.
-    if (reachable || (self.several_workers && !self.young_term)) return "no worker reaches this replica";
+    // The heartbeats may have stopped there at the same time as here.
+    if (reachable && heartbeat_age_s + kMinHeartbeatAdvantageS > assessment.heartbeat_gap_s) return std::nullopt;
+    // With few workers, the workers themselves may have failed, so the other replica must have received heartbeats.
+    // With more workers this is not required: while this replica leads, the others redirect workers back to it.
+    if (reachable || (assessment.enough_workers && !assessment.recent_failover))
+      return "no worker reaches this replica";
   }
-  if (self.few_reach_here && direct && record.machines > 2 * self.workers_here + kMinWorkers &&
+  if (assessment.most_workers_lost && direct && record.machines > 2 * assessment.reachable_workers + kMinWorkers &&
       !replicas_[replica].serving.can_forward)
-    return fmt::format("only {} of {} workers reach this replica", self.workers_here, self.workers_known);
-  if (self.provider_lost && record.cloud == ProviderHealth::Healthy)
+    return fmt::format("only {} of {} workers reach this replica", assessment.reachable_workers,
+                       assessment.known_workers);
+  if (assessment.provider_lost && record.cloud == ProviderHealth::Healthy)
     return "the cloud provider does not answer this replica";
   return std::nullopt;
 }
 
-// A leader that workers no longer reach, while they may reach another replica, steps down: the others could only send
-// them back to it, and all their leases would expire.
+// While a leader that workers cannot reach stays in office, the other replicas redirect workers back to it, until their
+// leases expire.
 void StepDownPolicy::apply(const Observation &observation, const ConnectivityByReplica &others) {
   if (!leadership_.active()) return;
-  const Assessment self = assess(observation);
-  if (self.healthy()) return;
+  const Assessment assessment = assess(observation);
+  if (assessment.healthy()) return;
   for (const ReplicaIndex replica : replicas_.indices()) {
     const auto &other = others[replica.position()];
     if (!other) continue;
-    if (const auto reason = reason_to_yield(self, replica, *other)) return step_down(*reason, replica, *other);
+    if (const auto reason = reason_to_step_down(assessment, replica, *other))
+      return step_down(*reason, replica, *other);
   }
 }
 
--- a/src/core/election/leadership.cpp
+++ b/src/core/election/leadership.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr double kLeaseTtlS = 4.0;
-constexpr double kLeaseMarginS = 0.02; // taken off the lease beside the drift, for the clock's resolution
+constexpr double kLeaseMarginS = 0.02; // clock resolution
 constexpr double kRenewalIntervalS = 1.0;
 constexpr double kRenewalRetryS = 0.3;
 
@@ -15,23 +15,21 @@
 constexpr double kPollAfterLostElectionS = 0.05;
 constexpr double kRequestTimeoutS = 1.0;
 
-// After so long without a leader, also a replica that abstains runs.
-constexpr double kMaxAbstentionS = 3.0;
+constexpr double kMaxAbstentionS = 3.0; // absence of a leader after which an abstaining replica runs anyway
 constexpr double kAbstentionAfterStepDownS = 0.5;
 constexpr double kMaxBackoffAfterLostElectionS = 0.2;
 
-// From the end of the last leader's tasks' leases until a new leader takes those it has not heard of for gone.
+// Margin after the worker leases of the last leader have expired, before unreported tasks are treated as ended.
 constexpr double kUnaccountedMarginS = 0.7;
 
 const char *const kLeaderKey = "leader";
 
-// When a leader whose lease was asked for or renewed at `requested_at` has to stop. The state service counts the
-// lease from when the request arrived, which is later; the other clock may run faster by the drift.
+// Local time at which a lease requested or renewed at `requested_at` is treated as expired. This is before it expires
+// in the state service, which counts from the arrival of the request by a clock that may run faster.
 double lease_validity_end(double requested_at) {
   return requested_at + kLeaseTtlS * (1 - kMaxClockDrift) - kLeaseMarginS;
 }
 
-// The transitions of the role. `Candidate` to `Candidate` and the like do not occur.
 [[maybe_unused]] bool transition_allowed(Role current, Role next) {
   switch (next) {
   case Role::Follower:
@@ -55,16 +53,16 @@
   return leader_supports_dependencies_;
 }
 
-// A leader whose lease has expired by its own clock only pauses: it starts nothing, and answers heartbeats only while
-// every other replica says that it cannot reach the state service either. If the state service still knows the lease
-// after the outage, the leader goes on.
+// A leader whose lease has expired by its own clock does not step down: it starts no tasks, and answers heartbeats only
+// while every other replica reports that it cannot reach the state service either. It resumes if the state service
+// still has the lease after the outage.
 void Leadership::tick() {
   switch (role_) {
   case Role::Follower:
     if (runtime_.now() >= next_poll_at_ && !poll_in_flight_) poll_leader_key();
     return;
   case Role::Candidate:
-    return; // waits for the state service
+    return; // awaits responses of the state service
   case Role::Loading:
     if (lease_.request_due()) renew_lease();
     if (!lease_valid()) step_down("lease expired while loading");
@@ -77,13 +75,11 @@
 
 void Leadership::become(Role next) {
   assert(transition_allowed(role_, next));
-  // The end of loading changes nothing for requests under way.
+  // Requests sent while loading stay valid when the term begins.
   if (next != Role::Leading) ++epoch_;
   role_ = next;
 }
 
-// ---- following ----
-
 void Leadership::poll_leader_key() {
   next_poll_at_ = runtime_.now() + runtime_.with_jitter(kPollIntervalS);
   poll_in_flight_ = true;
@@ -100,7 +96,7 @@
 void Leadership::leader_key_read(const wire::KeyValue &entry) {
   const auto record = wire::leader_from_json(entry.value);
   if (!record) return;
-  // This replica's own key is of a term that it has ended, or of an earlier process.
+  // A follower's own key is left from a term that it has ended, or from an earlier process.
   leader_name_ = record->node == settings_.node ? "" : record->node;
   leader_term_ = entry.mod_revision;
   leader_supports_dependencies_ = record->nonce & wire::kKnowsDependencies;
@@ -118,8 +114,6 @@
   if (!abstains && absent_s >= election_delay_s_ && catalog_.known()) run_for_leader();
 }
 
-// ---- running for leader ----
-
 void Leadership::run_for_leader() {
   become(Role::Candidate);
   const double requested_at = runtime_.now();
@@ -139,7 +133,7 @@
                  [this, lease, lease_requested_at, epoch = epoch_](const wire::StoreReply &reply) {
                    if (epoch != epoch_) return;
                    if (reply.status == 200) return elected(reply.revision, lease, lease_requested_at);
-                   // Where the outcome is unknown the commit may still arrive: without its lease it is refused.
+                   // A commit whose outcome is unknown may still be applied later; revoking its lease prevents that.
                    lease_.revoke(lease);
                    election_lost();
                  });
@@ -152,9 +146,9 @@
   lease_.hold(lease);
   lease_valid_until_ = lease_validity_end(lease_requested_at);
   lease_.schedule_request(0);
-  // By now the last leader's lease has expired by its own clock too, and this replica no longer states that it cannot
-  // reach the state service: its last such statement may have kept that leader answering for as long as it counts.
-  // Every worker that the last leader kept alive has reported here or is dead by this time.
+  // The last leader's lease has expired. It may still answer heartbeats for as long as this replica's last outage
+  // report is valid. Every worker whose lease it renewed has contacted this replica or lost its lease by the computed
+  // time.
   const double unaccounted_until = runtime_.now() + kOutageStatementValidityS * (1 + kMaxClockDrift) +
                                    settings_.lease_s * (1 + kMaxClockDrift) + kUnaccountedMarginS;
   events_.publish(LeaderElected{term_, unaccounted_until});
@@ -170,8 +164,6 @@
   abstain_until_ = runtime_.now() + duration_s;
 }
 
-// ---- leading ----
-
 void Leadership::renew_lease() {
   const double requested_at = runtime_.now();
   lease_.schedule_request(kRenewalIntervalS);
--- a/src/core/heartbeats/heartbeat_forwarder.cpp
+++ b/src/core/heartbeats/heartbeat_forwarder.cpp
@@ -5,7 +5,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kSuspensionS = 2.0; // long enough for the workers concerned to reach the leader
+constexpr double kSuspensionS = 2.0; // time for the redirected workers to reach the leader
 constexpr double kPruneIntervalS = 1.0;
 } // namespace
 
@@ -31,21 +31,21 @@
 }
 
 std::vector<RequestId> HeartbeatForwarder::expire(double now) {
-  std::vector<RequestId> given_up;
+  std::vector<RequestId> expired;
   for (const auto &heartbeat : pending_.expire(now)) {
-    given_up.push_back(heartbeat.request);
+    expired.push_back(heartbeat.request);
     forget(heartbeat.context);
   }
-  if (!given_up.empty()) suspended_until_ = now + kSuspensionS;
-  return given_up;
+  if (!expired.empty()) suspended_until_ = now + kSuspensionS;
+  return expired;
 }
 
 std::vector<RequestId> HeartbeatForwarder::give_up_all() {
-  const double suspended_until = suspended_until_;
-  auto given_up = expire(std::numeric_limits<double>::infinity());
-  suspended_until_ = suspended_until;
+  const double previous_suspended_until = suspended_until_;
+  auto expired = expire(std::numeric_limits<double>::infinity());
+  suspended_until_ = previous_suspended_until;
   workers_.clear();
-  return given_up;
+  return expired;
 }
 
 } // namespace loftrouter::core
--- a/src/core/heartbeats/heartbeat_handler.cpp
+++ b/src/core/heartbeats/heartbeat_handler.cpp
@@ -7,25 +7,25 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kStatusValidityS = 1.2;       // of a replica's word that it leads or forwards heartbeats
-constexpr double kLeaderKeyValidityS = 3.0;    // of the leader's name as read in the state service
-constexpr double kMinRedirectIntervalS = 60.0; // a worker that came back stays for so long
+constexpr double kStatusValidityS = 1.2;       // of a replica's status
+constexpr double kLeaderKeyValidityS = 3.0;    // of the leader key as last read
+constexpr double kMinRedirectIntervalS = 60.0; // for the same worker
 constexpr double kForwardingAfterOutageS = 30.0;
 
-// Of the process's file descriptors: the rest is for users, other replicas and the services outside.
+// Shares of the process's file descriptors that worker connections may use.
 constexpr double kForwarderConnectionShare = 0.6;
 constexpr double kLeaderConnectionShare = 0.4;
 constexpr double kMinConnections = 4.0;
 
-// Direct heartbeats a second that a leader takes for a whole core. Beyond that the other replicas read them for it, so
-// that most of its processor is left for scheduling. See docs/fleet-scale.md for the costs behind it.
-constexpr double kDirectHeartbeatsPerCore = 600;
+// Direct heartbeats per second and processor core that a leader accepts. Beyond that, other replicas forward them,
+// which leaves most of the processor for scheduling. See docs/fleet-scale.md.
+constexpr double kDirectHeartbeatsPerCore = 600; // per second
 
 constexpr int kStatusOk = 200;
 constexpr int kStatusRedirect = 421;
 constexpr int kStatusRefused = 503;
 
-constexpr std::string_view kHigherTermSeen = "a worker has seen a higher term";
+constexpr std::string_view kHigherTermReported = "a worker reported a higher term";
 
 std::size_t connection_limit(const Settings &settings, double share) {
   return static_cast<std::size_t>(std::max(kMinConnections, share * settings.fd_limit));
@@ -44,8 +44,6 @@
       forwarder_(connection_limit(settings, kForwarderConnectionShare), worker_expiry_s(settings), runtime.nonce()),
       balancer_({kDirectHeartbeatsPerCore * settings.cpu_share, connection_limit(settings, kLeaderConnectionShare)}) {}
 
-// ---- who leads, and who forwards ----
-
 ReplicaIndex HeartbeatHandler::leader() const {
   for (const ReplicaIndex replica : replicas_.indices()) {
     const ReplicaState &state = replicas_[replica];
@@ -79,8 +77,6 @@
   if (pong.leads && pong.term >= leadership_.highest_term()) last_leader_wanted_forwarding_ = pong.spreads;
 }
 
-// ---- load ----
-
 HeartbeatLoad HeartbeatHandler::load() const {
   const bool leads = leadership_.leading();
   return {.direct_per_s = balancer_.direct_rate(),
@@ -105,9 +101,8 @@
   if (position < redirected_at_.size()) redirected_at_[position] = -1e9;
 }
 
-// ---- heartbeats ----
-
-// A copy of an old heartbeat says nothing of which workers reach this replica. A leader can tell.
+// Whether a heartbeat is not a delayed duplicate, which would not show that the worker can reach this replica. Only a
+// leader can tell; a follower returns true.
 bool HeartbeatHandler::newer_than_known(const Heartbeat &heartbeat) const {
   const MachineIndex known = leadership_.leading() ? workers_.index(heartbeat.machine) : MachineIndex();
   if (!known.valid()) return true;
@@ -128,21 +123,21 @@
 
 std::optional<AcceptedHeartbeat> HeartbeatHandler::handle_forwarded(const PeerMessageCommand &cmd) {
   const ReplicaIndex forwarder = replicas_.by_sender(cmd.message.sender);
-  if (!forwarder.valid()) return std::nullopt; // not from a replica of the settings
+  if (!forwarder.valid()) return std::nullopt; // not a configured replica
   connectivity_.forwarded_heartbeat_received();
   return accept({.link = cmd.link, .number = cmd.message.nonce, .forwarder = forwarder}, cmd.message.heartbeat);
 }
 
 std::string_view HeartbeatHandler::reason_to_refuse(const Heartbeat &heartbeat) const {
   if (!replicas_.may_answer_heartbeats()) return "leadership is being renewed";
-  // A machine that was scaled in can only speak through packets held up on the way.
-  if (workers_.removed_at(heartbeat.machine)) return "this machine was given back";
-  if (refusal_condition_ && refusal_condition_(heartbeat)) return "what it runs for another cell is being confirmed";
+  // A heartbeat of a machine that has been scaled in was delayed in the network.
+  if (workers_.removed_at(heartbeat.machine)) return "this machine has been scaled in";
+  if (refusal_condition_ && refusal_condition_(heartbeat)) return "delegated tasks on this machine are being confirmed";
   return {};
 }
 
 std::optional<AcceptedHeartbeat> HeartbeatHandler::accept(const HeartbeatSource &source, const Heartbeat &heartbeat) {
-  leadership_.observe_term(heartbeat.fencing_token, kHigherTermSeen);
+  leadership_.observe_term(heartbeat.fencing_token, kHigherTermReported);
   if (!leadership_.leading()) {
     redirect_to_leader(source);
     return std::nullopt;
@@ -164,7 +159,7 @@
   AcceptedHeartbeat accepted{source, machine, {}};
   switch (workers_.accept_heartbeat(machine, heartbeat, source.forwarder, accepted.commands)) {
   case WorkerRegistry::HeartbeatResult::Stale:
-    refuse(source, "a newer report is known");
+    refuse(source, "a newer heartbeat has been received");
     return std::nullopt;
   case WorkerRegistry::HeartbeatResult::MachineFailed:
     refuse(source, "this machine has failed");
@@ -175,8 +170,6 @@
   return std::nullopt;
 }
 
-// ---- responses ----
-
 void HeartbeatHandler::respond(AcceptedHeartbeat &&heartbeat) {
   const bool may_start = leadership_.active() && replicas_.may_answer_heartbeats();
   workers_.build_response(heartbeat.machine, may_start, heartbeat.commands);
@@ -215,11 +208,9 @@
   runtime_.send({ReplicaIndex(), source.link, std::move(message)});
 }
 
-// ---- forwarding ----
-
 void HeartbeatHandler::forward(HeartbeatCommand &&cmd) {
-  leadership_.observe_term(cmd.report.fencing_token, kHigherTermSeen);
-  const ReplicaIndex target = forwarding_target(); // may have changed with the term
+  leadership_.observe_term(cmd.report.fencing_token, kHigherTermReported);
+  const ReplicaIndex target = forwarding_target(); // observing the term may have changed it
   const auto number =
       target.valid() ? forwarder_.add(cmd.req, cmd.report.machine, runtime_.now()) : std::optional<std::uint64_t>();
   if (!number) return redirect_to_leader(cmd.req);
@@ -236,30 +227,28 @@
 void HeartbeatHandler::handle_response(const wire::PeerMessage &message) {
   const bool worker_stays = message.status != kStatusRedirect;
   const auto request = forwarder_.complete(message.nonce, worker_stays);
-  if (!request) return; // given up meanwhile
+  if (!request) return; // expired
   if (message.status == kStatusOk && message.term >= leadership_.highest_term())
     return runtime_.reply(*request, kStatusOk, wire::encode_commands(message.term, message.commands));
-  if (message.status == kStatusRefused) return runtime_.refuse(*request, "the leader has refused this report");
+  if (message.status == kStatusRefused) return runtime_.refuse(*request, "the leader refused this heartbeat");
   redirect_to_leader(*request);
 }
 
 void HeartbeatHandler::tick() {
-  const bool follows = leadership_.role() == Role::Follower;
-  for (const RequestId request : follows ? forwarder_.expire(runtime_.now()) : forwarder_.give_up_all())
+  const bool is_follower = leadership_.role() == Role::Follower;
+  for (const RequestId request : is_follower ? forwarder_.expire(runtime_.now()) : forwarder_.give_up_all())
     redirect_to_leader(request);
 }
 
-// ---- spreading the load ----
-
-// A redirected worker's lease is not renewed by this heartbeat, so the lease has to be fresh, and nothing that the
-// heartbeat says may be urgent.
+// Whether the worker can be redirected now. A redirect does not renew the worker's lease, so the lease must be fresh,
+// and it drops the heartbeat, which must therefore not report the end of a task.
 bool HeartbeatHandler::may_be_redirected(const Heartbeat &heartbeat, MachineIndex machine) {
   const auto exited = [](const TaskStatus &task) { return task.phase == TaskPhase::Exited; };
   if (std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), exited)) return false;
   if (!machine.valid()) return heartbeat.tasks.empty();
-  const double redirected_s = runtime_.now() - grown(redirected_at_, machine, -1e9);
-  const double last_response_s = runtime_.now() - workers_[machine].heartbeat.last_accepted_at;
-  return redirected_s >= kMinRedirectIntervalS && last_response_s <= 2 * settings_.heartbeat_interval_s;
+  const double since_redirect_s = runtime_.now() - grown(redirected_at_, machine, -1e9);
+  const double since_last_heartbeat_s = runtime_.now() - workers_[machine].heartbeat.last_accepted_at;
+  return since_redirect_s >= kMinRedirectIntervalS && since_last_heartbeat_s <= 2 * settings_.heartbeat_interval_s;
 }
 
 ReplicaIndex HeartbeatHandler::least_loaded_forwarder() const {
--- a/src/core/liveness/failure_detector.cpp
+++ b/src/core/liveness/failure_detector.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 constexpr double kCountIntervalS = 0.25;
-constexpr double kMinimumChargeS = 60.0; // of a rented machine, by the cloud's protocol
-constexpr double kWorkerRetryS = 5.0;    // that a worker spends on a replica that does not answer
-// That a machine which is listed as running may take to send its first heartbeat to a new leader.
+constexpr double kMinimumChargeS = 60.0; // minimum billing period of the cloud provider
+constexpr double kWorkerRetryS = 5.0;    // time that a worker spends on an unresponsive replica
+// Minimum time allowed for a running machine's first heartbeat to a new leader.
 constexpr double kMinFirstHeartbeatS = 10.0;
-constexpr std::size_t kDirectPath = 0; // the others: 1 + replica, and last: not known yet
+constexpr std::size_t kDirectPath = 0; // then 1 + replica index, then unknown
 } // namespace
 
-std::size_t FailureDetector::path(const Machine &machine) const {
+std::size_t FailureDetector::path_of(const Machine &machine) const {
   if (!machine.heartbeat.received()) return settings_.replicas.size() + 1;
   const ReplicaIndex forwarder = machine.heartbeat.forwarding_replica;
   return forwarder.valid() ? forwarder.position() + 1 : kDirectPath;
@@ -31,18 +31,16 @@
   return runtime_.now() - since > heartbeat_timeout_s(settings_) ? std::optional(since) : std::nullopt;
 }
 
-double FailureDetector::retention_s(const Machine &machine) const {
+double FailureDetector::replacement_cost_s(const Machine &machine) const {
   return kMinimumChargeS + (machine.type >= 0 ? catalog_.type(machine.type).boot_s : 0);
 }
 
-// ---- counting ----
-
 void FailureDetector::tick() {
   if (!leadership_.leading() || runtime_.now() < next_count_at_) return;
   next_count_at_ = runtime_.now() + kCountIntervalS;
   count_machines();
   mark_unreachable_groups();
-  const std::string unreachable = unreachable_groups();
+  const std::string unreachable = unreachable_group_names();
   outage_detected_ = !unreachable.empty();
   log_change(unreachable);
 }
@@ -57,10 +55,10 @@
     if (machine.type < 0 || machine.returning() || machine.listing.failed) return;
     const bool overdue = overdue_since(machine).has_value();
     if (!machine.heartbeat.received() && !overdue) return;
-    const GroupCount one{.known = 1, .overdue = overdue ? std::size_t(1) : 0};
-    paths_[path(machine)].count.add(one);
-    grown(zones_, machine.zone).count.add(one);
-    totals_.add(one);
+    const GroupCount machine_count{.known = 1, .overdue = overdue ? std::size_t(1) : 0};
+    paths_[path_of(machine)].count.add(machine_count);
+    grown(zones_, machine.zone).count.add(machine_count);
+    totals_.add(machine_count);
   });
 }
 
@@ -76,8 +74,8 @@
   });
 }
 
-// The groups that are unreachable now, for the log; empty if none is.
-std::string FailureDetector::unreachable_groups() const {
+// Lists the unreachable groups for the log; empty if there are none.
+std::string FailureDetector::unreachable_group_names() const {
   if (totals_.unreachable()) return "all";
   std::vector<std::string> groups;
   const std::size_t known_paths = paths_.size() - 1;
@@ -91,8 +89,8 @@
 }
 
 void FailureDetector::log_change(const std::string &unreachable) {
-  if (unreachable == logged_) return;
-  logged_ = unreachable;
+  if (unreachable == logged_groups_) return;
+  logged_groups_ = unreachable;
   if (unreachable.empty())
     runtime_.log(LogLevel::Info, "heartbeats_resumed", {{"machines", totals_.known}, {"overdue", totals_.overdue}});
   else
@@ -100,26 +98,24 @@
                  {{"groups", unreachable}, {"machines", totals_.known}, {"overdue", totals_.overdue}});
 }
 
-// ---- judging one machine ----
-
-bool FailureDetector::unreachable_of_late(double unreachable_at) const {
+bool FailureDetector::recently_unreachable(double unreachable_at) const {
   return runtime_.now() - unreachable_at < heartbeat_timeout_s(settings_);
 }
 
-bool FailureDetector::unreachable_of_late(const std::vector<Group> &groups, std::size_t group) const {
-  return group < groups.size() && unreachable_of_late(groups[group].unreachable_at);
+bool FailureDetector::recently_unreachable(const std::vector<Group> &groups, std::size_t group) const {
+  return group < groups.size() && recently_unreachable(groups[group].unreachable_at);
 }
 
-FailureDetector::Cause FailureDetector::cause(MachineIndex machine_index) const {
+FailureDetector::Cause FailureDetector::cause_of(MachineIndex machine_index) const {
   const Machine &machine = workers_[machine_index];
   if (!overdue_since(machine)) return Cause::None;
-  if (unreachable_of_late(all_unreachable_at_)) return Cause::All;
-  const std::size_t path_index = path(machine);
+  if (recently_unreachable(all_unreachable_at_)) return Cause::All;
+  const std::size_t path_index = path_of(machine);
   const auto zone = static_cast<std::size_t>(machine.zone);
   const bool path_known = path_index + 1 < paths_.size();
-  const bool by_path = path_known && unreachable_of_late(paths_, path_index);
-  const bool by_zone = unreachable_of_late(zones_, zone);
-  if (by_path && by_zone) // the larger explains both
+  const bool by_path = path_known && recently_unreachable(paths_, path_index);
+  const bool by_zone = recently_unreachable(zones_, zone);
+  if (by_path && by_zone) // the larger group is the likelier cause
     return paths_[path_index].count.known > zones_[zone].count.known ? Cause::Path : Cause::Zone;
   if (by_path) return Cause::Path;
   if (by_zone) return Cause::Zone;
@@ -131,7 +127,7 @@
   const auto since = overdue_since(machine);
   if (!since) return false;
   const double silence_s = runtime_.now() - *since;
-  if (cause(machine_index) != Cause::Machine) return silence_s < retention_s(machine);
+  if (cause_of(machine_index) != Cause::Machine) return silence_s < replacement_cost_s(machine);
   const double first_heartbeat_s =
       std::max(kMinFirstHeartbeatS, settings_.lease_s + 2 * settings_.heartbeat_interval_s);
   return !machine.heartbeat.received() && silence_s < first_heartbeat_s;
@@ -140,16 +136,15 @@
 bool FailureDetector::must_not_replace(MachineIndex machine_index) const {
   const Machine &machine = workers_[machine_index];
   const auto since = overdue_since(machine);
-  if (!since)
-    return !machine.heartbeat.received() && machine.listing.running; // it was up, and still has time to report
+  if (!since) return !machine.heartbeat.received() && machine.listing.running; // its first heartbeat is not overdue yet
   const double silence_s = runtime_.now() - *since;
-  switch (cause(machine_index)) {
+  switch (cause_of(machine_index)) {
   case Cause::All:
-    return silence_s < retention_s(machine);
-  case Cause::Path: { // by then its workers have tried every replica
-    const double every_replica_s =
+    return silence_s < replacement_cost_s(machine);
+  case Cause::Path: { // workers have tried every replica by then
+    const double all_replicas_tried_s =
         kWorkerRetryS * static_cast<double>(paths_.size() - 1) + 2 * settings_.heartbeat_interval_s;
-    return silence_s < std::min(retention_s(machine), every_replica_s);
+    return silence_s < std::min(replacement_cost_s(machine), all_replicas_tried_s);
   }
   case Cause::None:
   case Cause::Machine:
@@ -166,7 +161,7 @@
   all_unreachable_at_ = -1e9;
   outage_detected_ = false;
   all_unreachable_ = false;
-  logged_.clear();
+  logged_groups_.clear();
 }
 
 } // namespace loftrouter::core
--- a/tests/connectivity_test.cpp
+++ b/tests/connectivity_test.cpp
@@ -1,6 +1,6 @@
-// Connectivity in the simulated world: every set of broken links between three replicas, the state service and the
-// workers, checked against the rules and against what must go on. LOFTROUTER_LINKS=N plays every N-th set (1: all); the
-// results of all of them stand in docs/measurements.md.
+// Simulation tests of connectivity faults: sets of broken links between three replicas, the state service and the
+// workers, with checks of the safety rules and of progress. LOFTROUTER_LINKS=N simulates every N-th set (1: all);
+// docs/measurements.md has the results of a full run.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,12 +18,12 @@
 using Cut = World::Cut;
 
 constexpr int kReplicas = 3;
-constexpr double kCutAt = 60;
-constexpr double kCutFor = 60;
-constexpr double kEnd = 170;
+constexpr double kCutAtS = 60;
+constexpr double kCutDurationS = 60;
+constexpr double kEndS = 170;
 
-// The links around three replicas that are broken, by place: replica 0 leads when they break. Peer links are named by
-// who dials.
+// A set of broken links of three replicas. Replicas are numbered relative to the leader at the time of the fault, which
+// is 0. Peer links are indexed by the dialling replica first.
 struct BrokenLinks {
   static constexpr unsigned kSets = 1U << 12;
   bool state_service[kReplicas] = {};
@@ -42,7 +42,7 @@
         if (i != j) peer[i][j] = set >> bit++ & 1;
   }
 
-  // Whether a replica that can lead is reached by workers, directly or by forwarding.
+  // Whether workers can reach, directly or by forwarding, some replica that can lead.
   bool served() const {
     for (int i = 0; i < kReplicas; ++i)
       for (int j = 0; j < kReplicas; ++j)
@@ -50,7 +50,7 @@
     return false;
   }
 
-  // Whether a user's request to this replica can be answered.
+  // Whether this replica can answer user requests.
   bool can_answer(int replica) const {
     bool can = !state_service[replica];
     for (int other = 0; other < kReplicas; ++other)
@@ -60,16 +60,16 @@
 };
 
 struct Result {
-  double longest_gap_s = 0;        // without a start, while links were broken
-  double longest_healed_gap_s = 0; // the same, after they healed
-  int refused = 0;                 // answers of 503 at replicas that could have answered, from 6 s on
-  int scaled_out = 0;              // from the cut on
-  int scaled_in = 0;               // from the cut on
+  double longest_gap_s = 0;        // between task starts, while links were broken
+  double longest_healed_gap_s = 0; // between task starts, after the links were restored
+  int refused = 0;                 // responses other than 200 from replicas that can answer, from 6 s after the cut
+  int scaled_out = 0;              // machines rented since the cut
+  int scaled_in = 0;               // machines returned since the cut
   std::string broken_rules;
 };
 
-// A stream of short tasks that always leaves some waiting.
-void steady_work(World &world, double until) {
+// Submits short tasks faster than they run, so that some are always pending.
+void submit_steady_load(World &world, double until) {
   for (int i = 0; 2 + 2 * i < until; ++i)
     world.at(2 + 2 * i, [&world] {
       auto job = world.job(Shape::Array, 8, 1, 6);
@@ -78,7 +78,7 @@
     });
 }
 
-// Breaks these links, each in a way drawn at random.
+// Breaks these links, each with a random kind of cut.
 void break_links(World &world, const BrokenLinks &broken, int leader, std::mt19937_64 &rng) {
   const auto random_cut = [&rng] {
     constexpr Cut kCuts[] = {Cut::Drop, Cut::Refuse, Cut::Hold};
@@ -86,12 +86,12 @@
   };
   const auto node = [leader](int place) { return (leader + place) % kReplicas; };
   for (int i = 0; i < kReplicas; ++i) {
-    if (broken.state_service[i]) world.cut_state(node(i), kCutFor, random_cut());
-    if (broken.workers[i]) world.cut_workers(node(i), kCutFor, random_cut());
+    if (broken.state_service[i]) world.cut_state(node(i), kCutDurationS, random_cut());
+    if (broken.workers[i]) world.cut_workers(node(i), kCutDurationS, random_cut());
     for (int j = 0; j < kReplicas; ++j) {
       if (!broken.peer[i][j]) continue;
       const Cut cut = random_cut() == Cut::Hold ? Cut::Hold : Cut::Drop;
-      world.cut_peer(node(i), node(j), kCutFor, cut);
+      world.cut_peer(node(i), node(j), kCutDurationS, cut);
     }
   }
 }
@@ -107,16 +107,16 @@
   return std::max(gap_s, to - last);
 }
 
-Result play(unsigned set, std::uint64_t seed) {
+Result simulate(unsigned set, std::uint64_t seed) {
   const BrokenLinks broken(set);
   World world(seed, {});
   std::mt19937_64 rng(seed);
-  steady_work(world, 160);
+  submit_steady_load(world, 160);
   Result result;
   std::string job_id;
   world.at(50, [&] { job_id = world.submit(world.job(Shape::Array, 1, 1, 300)); });
   std::vector<std::shared_ptr<World::Answer>> answers;
-  world.at(kCutAt, [&] {
+  world.at(kCutAtS, [&] {
     const int leader = std::max(0, world.leader());
     result.scaled_out = -world.rented;
     result.scaled_in = -world.returned;
@@ -124,46 +124,46 @@
     for (int place = 0; place < kReplicas; ++place) {
       if (!broken.can_answer(place)) continue;
       for (int i = 0; i < 20; ++i)
-        world.at(kCutAt + 6 + 2.5 * i, [&world, &answers, &job_id, at = (leader + place) % kReplicas] {
+        world.at(kCutAtS + 6 + 2.5 * i, [&world, &answers, &job_id, at = (leader + place) % kReplicas] {
           answers.push_back(world.look_up(at, job_id));
         });
     }
   });
-  world.run(kEnd);
+  world.run(kEndS);
   result.scaled_out += world.rented;
   result.scaled_in += world.returned;
   for (const auto &answer : answers)
     result.refused += answer->status != 200;
-  result.longest_gap_s = longest_gap_s(world, kCutAt, kCutAt + kCutFor);
-  result.longest_healed_gap_s = longest_gap_s(world, kCutAt + kCutFor, kEnd - 12); // by then there is always work
+  result.longest_gap_s = longest_gap_s(world, kCutAtS, kCutAtS + kCutDurationS);
+  result.longest_healed_gap_s = longest_gap_s(world, kCutAtS + kCutDurationS, kEndS - 12); // work is pending until then
   result.broken_rules = all(world);
   return result;
 }
 
-// Terms that began within [from, to).
-int terms(const World &world, double from, double to) {
+// The number of terms that began within [from, to).
+int count_terms(const World &world, double from, double to) {
   return static_cast<int>(std::count_if(world.elected_at.begin(), world.elected_at.end(),
                                         [=](double elected_at) { return elected_at >= from && elected_at < to; }));
 }
 
 } // namespace
 
-// As long as a replica that reaches the state service is reached by workers, directly or by forwarding, starts go on;
-// users are answered wherever a replica can answer; and no fleet is thrown away.
-TEST(Connectivity, WorkGoesOnUnderEverySetOfBrokenLinks) {
-  const char *stride = std::getenv("LOFTROUTER_LINKS");
-  const unsigned every = stride ? static_cast<unsigned>(std::max(1, std::atoi(stride))) : 64;
-  const char *part = std::getenv("LOFTROUTER_PART"); // k/n: of the sets, for several processes at once
-  unsigned own_part = 0;
+// Tasks keep starting while workers can reach a replica that reaches the state service, and every replica that can
+// answer users does. Guards against partial partitions that stall the cell.
+TEST(Connectivity, TasksKeepStartingUnderBrokenLinks) {
+  const char *stride_setting = std::getenv("LOFTROUTER_LINKS");
+  const unsigned stride = stride_setting ? static_cast<unsigned>(std::max(1, std::atoi(stride_setting))) : 64;
+  const char *part_setting = std::getenv("LOFTROUTER_PART"); // k/n: simulates part k of n, for parallel processes
+  unsigned part = 0;
   unsigned parts = 1;
-  if (part) std::sscanf(part, "%u/%u", &own_part, &parts);
-  int played = 0;
-  for (unsigned set = 1 + 3 * (every > 1); set < BrokenLinks::kSets; set += every) {
-    if (set % parts != own_part) continue;
+  if (part_setting) std::sscanf(part_setting, "%u/%u", &part, &parts);
+  int simulated_sets = 0;
+  for (unsigned set = 1 + 3 * (stride > 1); set < BrokenLinks::kSets; set += stride) {
+    if (set % parts != part) continue;
     const BrokenLinks broken(set);
-    const Result result = play(set, 1000 + set);
-    ++played;
-    if (stride)
+    const Result result = simulate(set, 1000 + set);
+    ++simulated_sets;
+    if (stride_setting)
       std::printf("set %u served %d gap %.1f healed %.1f refused %d rented %d returned %d\n", set, broken.served(),
                   result.longest_gap_s, result.longest_healed_gap_s, result.refused, result.scaled_out,
                   result.scaled_in);
@@ -172,20 +172,20 @@
       EXPECT_LE(result.longest_gap_s, 40) << "set " << set;
     }
     EXPECT_LE(result.longest_healed_gap_s, 20) << "set " << set;
-    EXPECT_LE(result.refused, 1) << "set " << set; // by rate, now and then
+    EXPECT_LE(result.refused, 1) << "set " << set; // rate limits may refuse one
   }
-  EXPECT_GT(played, 0);
+  EXPECT_GT(simulated_sets, 0);
 }
 
-// Without peer links, a leader that no worker reaches learns from the state service that other replicas are up, and
-// steps down: no lease expires, and no machine is rented in place of those that it no longer hears from.
-TEST(Connectivity, LeaderThatLostItsWorkersStepsDownAlsoWithoutPeerLinks) {
+// Without peer links, a leader that no worker reaches learns of better connected replicas from the state service.
+// Guards against worker leases expiring and reachable machines being replaced.
+TEST(Connectivity, LeaderWithoutWorkersStepsDownWithoutPeerLinks) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     WorldOptions options;
     options.heartbeat_interval_s = 2;
     options.lease_s = 16;
     World world(seed, options);
-    steady_work(world, 140);
+    submit_steady_load(world, 140);
     int leader = -1;
     int rented = 0;
     world.at(60, [&] { world.cut_peers(80); });
@@ -202,11 +202,10 @@
   }
 }
 
-// Links that come and go change the leader once a minute at most.
-TEST(Connectivity, FlappingLinksChangeTheLeaderOnceAMinuteAtMost) {
+TEST(Connectivity, FlappingLinksChangeLeaderAtMostOncePerMinute) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     World world(seed, {});
-    steady_work(world, 230);
+    submit_steady_load(world, 230);
     world.at(50, [&world] { world.cut_peers(200); });
     for (int i = 0; i < 9; ++i)
       world.at(60 + 20 * i, [&world, i] {
@@ -216,51 +215,51 @@
       });
     world.run(260);
     for (double from = 60; from < 200; from += 10)
-      EXPECT_LE(terms(world, from, from + 59), 1) << "seed " << seed << " from " << from;
+      EXPECT_LE(count_terms(world, from, from + 59), 1) << "seed " << seed << " from " << from;
     EXPECT_TRUE(world.broken.empty()) << all(world);
   }
 }
 
-// Users of a replica that the state service does not answer submit, look up and cancel jobs all the same, and what they
-// were told stays so.
-TEST(Connectivity, RequestsAreForwardedToAReplicaThatReachesTheStateService) {
-  for (const Cut how : {Cut::Drop, Cut::Refuse, Cut::Hold}) {
+// A replica cut off from the state service still serves submissions, look-ups and cancellations, and acknowledged
+// changes persist.
+TEST(Connectivity, RequestsAreForwardedToReplicaWithStateService) {
+  for (const Cut cut : {Cut::Drop, Cut::Refuse, Cut::Hold}) {
     World world(5, {});
     world.run(30);
     const int node = (world.leader() + 1) % 3;
-    world.cut_state(node, 60, how);
+    world.cut_state(node, 60, cut);
     world.run(33);
     auto job = world.job(Shape::Array, 2, 1, 200);
     const auto up = world.up(node);
     const auto first = world.submit_at(node, job);
     world.run(33.5);
-    const auto again = world.submit_at(node, job);
+    const auto resubmitted = world.submit_at(node, job);
     const auto unknown = world.look_up(node, "j-777777");
-    auto bad = world.job(Shape::Array, 2, 1, 5);
-    bad.team = "nobody";
-    const auto refused = world.submit_at(node, bad);
+    auto unknown_team_job = world.job(Shape::Array, 2, 1, 5);
+    unknown_team_job.team = "nobody";
+    const auto refused = world.submit_at(node, unknown_team_job);
     world.run(55);
-    const auto seen = world.look_up(node, job.id);
+    const auto looked_up = world.look_up(node, job.id);
     const auto cancelled = world.abort_at(node, job.id);
     world.run(56);
     const auto after = world.look_up(node, job.id);
-    const auto elsewhere = world.look_up((node + 1) % 3, job.id);
+    const auto at_other_replica = world.look_up((node + 1) % 3, job.id);
     world.run(57);
     EXPECT_EQ(up->status, 200);
     EXPECT_EQ(first->status, 201);
-    EXPECT_EQ(again->status, 200);
+    EXPECT_EQ(resubmitted->status, 200);
     EXPECT_EQ(unknown->status, 404);
     EXPECT_EQ(refused->status, 422);
-    EXPECT_EQ(seen->body.value("status", ""), "running") << seen->body;
+    EXPECT_EQ(looked_up->body.value("status", ""), "running") << looked_up->body;
     EXPECT_EQ(cancelled->body.value("status", ""), "aborted") << cancelled->body;
     EXPECT_EQ(after->body.value("status", ""), "aborted") << after->body;
-    EXPECT_EQ(elsewhere->body.value("status", ""), "aborted") << elsewhere->body;
+    EXPECT_EQ(at_other_replica->body.value("status", ""), "aborted") << at_other_replica->body;
     EXPECT_TRUE(world.broken.empty()) << all(world);
   }
 }
 
-// Neither held back nor forwarded in circles.
-TEST(Connectivity, RequestsAreRefusedAtOnceWhereNoReplicaReachesTheStateService) {
+// Guards against requests that time out or are forwarded in a loop.
+TEST(Connectivity, RequestsAreRefusedImmediatelyDuringStateServiceOutage) {
   World world(6, {});
   world.run(30);
   world.outage(30);
@@ -272,11 +271,11 @@
   EXPECT_EQ(looked_up->status, 503);
 }
 
-// A fleet that is unreachable as a whole is neither scaled in nor replaced.
+// Guards against discarding the fleet on a network fault.
 TEST(Connectivity, UnreachableFleetIsNeitherScaledInNorReplaced) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     World world(seed, {});
-    steady_work(world, 300);
+    submit_steady_load(world, 300);
     int rented = 0;
     int returned = 0;
     world.at(80, [&] {
@@ -287,21 +286,21 @@
     });
     world.run(119);
     EXPECT_EQ(world.rented, rented) << seed;
-    EXPECT_LE(world.returned, returned + 1) << seed; // one that was on its way out
+    EXPECT_LE(world.returned, returned + 1) << seed; // one may have been leaving already
     world.run(400);
     EXPECT_TRUE(world.broken.empty()) << all(world);
     EXPECT_TRUE(world.all_over());
   }
 }
 
-// The opposite error: machines that died are replaced.
+// Guards against taking dead machines for unreachable ones.
 TEST(Connectivity, DeadMachinesAreReplaced) {
   int died = 0;
   int replaced = 0;
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     World world(seed, {});
     for (int i = 0; i < 4; ++i)
-      steady_work(world, 160);
+      submit_steady_load(world, 160);
     world.run(80);
     const int rented = world.rented;
     died += world.kill_machines(0.6);
@@ -315,53 +314,50 @@
   EXPECT_GE(replaced, died / 2);
 }
 
-// The cloud provider answers one replica only: the leader steps down for it, after a while.
-TEST(Connectivity, LeaderWithoutTheCloudProviderStepsDownForOneThatReachesIt) {
+TEST(Connectivity, LeaderWithoutCloudProviderStepsDown) {
   World world(9, {});
-  steady_work(world, 200);
+  submit_steady_load(world, 200);
   world.run(70);
   const int leader = world.leader();
-  const int whole = (leader + 2) % kReplicas;
+  const int connected = (leader + 2) % kReplicas;
   for (int i = 0; i < 3; ++i)
-    if (i != whole) world.cut_cloud(i, 150, Cut::Drop);
+    if (i != connected) world.cut_cloud(i, 150, Cut::Drop);
   world.run(85);
-  EXPECT_EQ(world.leader(), leader) << "not at once";
+  EXPECT_EQ(world.leader(), leader) << "must wait for the provider to recover";
   world.run(140);
-  EXPECT_EQ(world.leader(), whole);
+  EXPECT_EQ(world.leader(), connected);
   world.run(300);
   EXPECT_TRUE(world.broken.empty()) << all(world);
 }
 
-// ---- five replicas ----
-
 namespace {
 
-// Cuts a link drawn by these random bits.
+// Cuts a link selected by these random bits.
 void cut_some_link(World &world, std::uint64_t bits, double duration_s) {
   constexpr int kNodes = 5;
   const int first = static_cast<int>(bits % kNodes);
   const int second = static_cast<int>(bits / 5 % kNodes);
-  const auto how = static_cast<Cut>(bits / 25 % 5);
+  const auto cut = static_cast<Cut>(bits / 25 % 5);
   const int node = world.leader() >= 0 && bits / 125 % 2 ? world.leader() : first;
   switch (bits / 250 % 4) {
   case 0:
-    return world.cut_state(node, duration_s, how);
+    return world.cut_state(node, duration_s, cut);
   case 1:
-    return world.cut_workers(node, duration_s, how == Cut::NoAnswers ? Cut::Drop : how);
+    return world.cut_workers(node, duration_s, cut == Cut::NoAnswers ? Cut::Drop : cut);
   case 2:
-    return world.cut_cloud(node, duration_s, how);
+    return world.cut_cloud(node, duration_s, cut);
   default:
     if (node == second) return world.cut_peers(duration_s);
-    return world.cut_peer(node, second, duration_s, how == Cut::Hold ? Cut::Hold : Cut::Drop);
+    return world.cut_peer(node, second, duration_s, cut == Cut::Hold ? Cut::Hold : Cut::Drop);
   }
 }
 
 } // namespace
 
-// Links are cut at random at the worst moments: within a round trip of a failover, a submission or a cancellation,
-// along with stalls, crashes and outages.
-class FiveReplicas : public ::testing::TestWithParam<int> {};
-TEST_P(FiveReplicas, CutsAtTheWorstMomentsBreakNoRule) {
+// Cuts random links within a round trip of a crash, stall, outage or cancellation, when the safety rules are most at
+// risk.
+class FiveReplicaConnectivity : public ::testing::TestWithParam<int> {};
+TEST_P(FiveReplicaConnectivity, RandomLinkCutsBreakNoRule) {
   const auto seed = static_cast<std::uint64_t>(GetParam());
   WorldOptions options = troubled(seed);
   options.nodes = 5;
@@ -392,4 +388,4 @@
   EXPECT_TRUE(world.broken.empty()) << all(world);
   EXPECT_TRUE(world.all_over()) << world.finished_jobs << " of " << world.accepted_jobs;
 }
-INSTANTIATE_TEST_SUITE_P(Connectivity, FiveReplicas, ::testing::Range(1, 1 + seeds(8)));
+INSTANTIATE_TEST_SUITE_P(Connectivity, FiveReplicaConnectivity, ::testing::Range(1, 1 + seeds(8)));
--- a/tests/heartbeat_forwarder_test.cpp
+++ b/tests/heartbeat_forwarder_test.cpp
@@ -1,4 +1,4 @@
-// Forwarded heartbeats: a response reaches the heartbeat it was made for, or none.
+// Unit tests of `HeartbeatForwarder`. Guards against a response being matched to another heartbeat than its own.
 #include <gtest/gtest.h>
 
 #include "loftrouter/core/heartbeats/heartbeat_forwarder.hpp"
@@ -22,42 +22,42 @@
 };
 } // namespace
 
-TEST_F(HeartbeatForwarderTest, WorkerBeyondTheLimitIsNotTaken) {
+TEST_F(HeartbeatForwarderTest, WorkerBeyondLimitIsRejected) {
   EXPECT_FALSE(forwarder.add(3, "m-3", 0.2));
   EXPECT_FALSE(forwarder.has_room());
-  EXPECT_TRUE(forwarder.add(4, "m-2", 0.2)) << "one that is known is";
+  EXPECT_TRUE(forwarder.add(4, "m-2", 0.2)) << "a worker that is already known is accepted";
 }
 
-TEST_F(HeartbeatForwarderTest, ResponseIsDeliveredOnceToItsOwnHeartbeat) {
+TEST_F(HeartbeatForwarderTest, ResponseIsMatchedOnceToItsHeartbeat) {
   EXPECT_EQ(forwarder.complete(*second), 2U);
   EXPECT_FALSE(forwarder.complete(*second));
   EXPECT_EQ(forwarder.complete(*first), 1U);
 }
 
-TEST_F(HeartbeatForwarderTest, ResponseThatComesTooLateIsNotDelivered) {
+TEST_F(HeartbeatForwarderTest, ResponseAfterExpiryIsIgnored) {
   EXPECT_EQ(forwarder.complete(*second), 2U);
   EXPECT_TRUE(forwarder.expire(1.0).empty());
   EXPECT_EQ(forwarder.expire(2.0), (std::vector<RequestId>{1}));
-  EXPECT_FALSE(forwarder.complete(*first)) << "its worker has been redirected";
+  EXPECT_FALSE(forwarder.complete(*first)) << "the worker has been redirected by then";
 }
 
-TEST_F(HeartbeatForwarderTest, LostResponseSuspendsForwardingForAWhile) {
+TEST_F(HeartbeatForwarderTest, MissingResponseSuspendsForwardingTemporarily) {
   EXPECT_FALSE(forwarder.expire(2.0).empty());
   EXPECT_TRUE(forwarder.suspended(2.5));
   EXPECT_FALSE(forwarder.suspended(10));
 }
 
-TEST_F(HeartbeatForwarderTest, GivingUpAllDoesNotSuspend) {
+TEST_F(HeartbeatForwarderTest, GivingUpAllDoesNotSuspendForwarding) {
   EXPECT_EQ(forwarder.give_up_all().size(), 2U);
   EXPECT_EQ(forwarder.workers(), 0U);
   EXPECT_FALSE(forwarder.suspended(0.2));
 }
 
-TEST_F(HeartbeatForwarderTest, WorkersThatSendNothingMakeRoomForOthers) {
+TEST_F(HeartbeatForwarderTest, SilentWorkersMakeRoomForOthers) {
   EXPECT_TRUE(forwarder.add(4, "m-3", 20));
 }
 
-TEST_F(HeartbeatForwarderTest, RedirectedWorkerMakesRoomForAnother) {
+TEST_F(HeartbeatForwarderTest, RedirectedWorkerMakesRoomForAnotherWorker) {
   EXPECT_EQ(forwarder.complete(*first, /*worker_stays=*/false), 1U);
   EXPECT_TRUE(forwarder.add(5, "m-3", 0.3));
 }
--- a/tests/leadership_fixture.hpp
+++ b/tests/leadership_fixture.hpp
@@ -1,34 +1,34 @@
-// A leadership on its own, beside a state service whose answers the test gives.
+// Helpers for tests of `Leadership` that answer the requests to the state service themselves.
 #pragma once
 
 #include "loftrouter/core/election/leadership.hpp"
 
 namespace loftrouter::test {
 
-// Answers all requests of the state service like one that has no leader key and grants everything. Returns how many
-// there were. Revisions count up from `revision`.
+// Answers all pending requests as a state service without a leader key that grants every request, and returns their
+// number. `revision` is incremented for each.
 inline int grant_everything(core::Runtime &runtime, std::uint64_t &revision) {
-  int answered = 0;
-  for (auto ops = runtime.take_effects().store; !ops.empty(); ops = runtime.take_effects().store)
-    for (const auto &op : ops) {
+  int request_count = 0;
+  for (auto requests = runtime.take_effects().store; !requests.empty(); requests = runtime.take_effects().store)
+    for (const auto &request : requests) {
       wire::StoreReply reply;
-      reply.status = std::holds_alternative<core::StoreGet>(op.request) ? 404 : 200;
+      reply.status = std::holds_alternative<core::StoreGet>(request.request) ? 404 : 200;
       reply.lease = 7;
       reply.revision = ++revision;
-      runtime.complete(core::StoreReplyCommand{op.op, reply});
-      ++answered;
+      runtime.complete(core::StoreReplyCommand{request.op, reply});
+      ++request_count;
     }
-  return answered;
+  return request_count;
 }
 
-// Runs an election that this replica wins at once: from a follower to one that loads the records.
+// Lets a follower win an election without opposition, up to the role Loading.
 inline void win_election(core::Runtime &runtime, core::Leadership &leadership) {
   std::uint64_t revision = 0;
   leadership.tick();
   grant_everything(runtime, revision);
 }
 
-// A catalog that knows a type: nobody runs for leader before.
+// Returns a catalog with one instance type. Replicas with an empty catalog do not run for leader.
 inline core::InstanceTypeCatalog loaded_catalog() {
   core::InstanceTypeCatalog catalog({"a"});
   MachineType type;
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -1,4 +1,4 @@
-// Leadership alone: how it becomes leader, for how long its lease is valid, and how its term ends.
+// Unit tests of `Leadership`: election, lease validity and the end of a term.
 #include <gtest/gtest.h>
 
 #include "leadership_fixture.hpp"
@@ -15,30 +15,30 @@
 
 class LeadershipTest : public ::testing::Test {
 protected:
-  LeadershipTest() { at(kStart); }
+  LeadershipTest() { set_time(kStart); }
 
-  void at(double now) { runtime.begin_batch({now, 1.7e9 + now}); }
-  // The requests made since the last look.
+  void set_time(double now) { runtime.begin_batch({now, 1.7e9 + now}); }
+  // Returns the state service requests made since the last call.
   std::vector<StoreOp> requests() { return runtime.take_effects().store; }
-  void answer(const StoreOp &op, int status, std::uint64_t lease = 0, std::uint64_t revision = 0) {
+  void answer(const StoreOp &request, int status, std::uint64_t lease = 0, std::uint64_t revision = 0) {
     wire::StoreReply reply;
     reply.status = status;
     reply.lease = lease;
     reply.revision = revision;
-    runtime.complete(StoreReplyCommand{op.op, reply});
+    runtime.complete(StoreReplyCommand{request.op, reply});
   }
   void lead() {
     win_election(runtime, leadership);
     leadership.begin_term();
   }
-  // The renewal that is due at this time.
+  // Ticks at `now` and returns the lease renewal that must be due then.
   StoreOp renewal_at(double now) {
-    at(now);
+    set_time(now);
     leadership.tick();
-    const auto made = requests();
-    EXPECT_EQ(made.size(), 1U);
-    EXPECT_TRUE(std::holds_alternative<StoreLeaseRenew>(made.at(0).request));
-    return made.at(0);
+    const auto renewals = requests();
+    EXPECT_EQ(renewals.size(), 1U);
+    EXPECT_TRUE(std::holds_alternative<StoreLeaseRenew>(renewals.at(0).request));
+    return renewals.at(0);
   }
 
   Settings settings;
@@ -50,7 +50,7 @@
 
 } // namespace
 
-TEST_F(LeadershipTest, TermIsTheRevisionOfTheCommitThatCreatedTheLeaderKey) {
+TEST_F(LeadershipTest, TermIsRevisionOfLeaderKeyCommit) {
   leadership.tick();
   const auto poll = requests();
   ASSERT_EQ(poll.size(), 1U);
@@ -63,7 +63,7 @@
   const auto &create = std::get<StoreCommit>(commit[0].request);
   ASSERT_EQ(create.preconditions.size(), 1U);
   EXPECT_EQ(create.preconditions[0].key, "leader");
-  EXPECT_EQ(create.preconditions[0].mod_revision, 0U) << "the key must not exist";
+  EXPECT_EQ(create.preconditions[0].mod_revision, 0U) << "the commit must require that the key does not exist";
   EXPECT_EQ(create.writes.at(0).lease, 7U);
   EXPECT_EQ(leadership.role(), Role::Candidate);
   answer(commit[0], 200, 0, 42);
@@ -73,7 +73,7 @@
   EXPECT_TRUE(leadership.active());
 }
 
-TEST_F(LeadershipTest, LeaseOfACommitWithoutAnswerIsRevoked) {
+TEST_F(LeadershipTest, LeaseIsRevokedWhenCommitGetsNoResponse) {
   leadership.tick();
   answer(requests().at(0), 404);
   answer(requests().at(0), 200, 7);
@@ -85,18 +85,18 @@
   EXPECT_EQ(std::get<StoreLeaseRevoke>(revoke[0].request).lease, 7U);
 }
 
-TEST_F(LeadershipTest, ValidityCountsFromWhenTheRenewalWasSent) {
+TEST_F(LeadershipTest, LeaseValidityCountsFromSendingOfRenewal) {
   lead();
   const StoreOp renewal = renewal_at(kStart + 1);
-  at(kStart + 1.9);
+  set_time(kStart + 1.9);
   answer(renewal, 200);
-  at(kStart + 4.9);
+  set_time(kStart + 4.9);
   EXPECT_TRUE(leadership.active());
-  at(kStart + 4.98);
-  EXPECT_FALSE(leadership.active()) << "4 s from when it was sent, less the drift and 20 ms";
+  set_time(kStart + 4.98);
+  EXPECT_FALSE(leadership.active()) << "valid for 4 s from sending, less the clock drift and 20 ms";
 }
 
-TEST_F(LeadershipTest, ExpiredLeasePausesTheLeaderUntilARenewalIsConfirmed) {
+TEST_F(LeadershipTest, ExpiredLeasePausesLeaderUntilRenewalIsConfirmed) {
   lead();
   answer(renewal_at(kStart + 1), 0);
   const StoreOp renewal = renewal_at(kStart + 6);
@@ -106,7 +106,7 @@
   EXPECT_TRUE(leadership.active());
 }
 
-TEST_F(LeadershipTest, TermEndsWhenTheStateServiceNoLongerKnowsTheLease) {
+TEST_F(LeadershipTest, TermEndsWhenLeaseNoLongerExists) {
   lead();
   const auto epoch = leadership.epoch();
   answer(renewal_at(kStart + 1), 404);
@@ -115,32 +115,32 @@
   EXPECT_NE(leadership.epoch(), epoch);
 }
 
-TEST_F(LeadershipTest, HigherTermEndsTheOwnTermAtOnce) {
+TEST_F(LeadershipTest, HigherTermEndsOwnTermImmediately) {
   lead();
-  leadership.observe_term(leadership.term(), "the same");
+  leadership.observe_term(leadership.term(), "same term");
   EXPECT_TRUE(leadership.leading());
-  leadership.observe_term(leadership.term() + 1, "a higher one");
+  leadership.observe_term(leadership.term() + 1, "higher term");
   EXPECT_EQ(leadership.role(), Role::Follower);
   EXPECT_EQ(leadership.highest_term(), leadership.term() + 1);
 }
 
-TEST_F(LeadershipTest, ReplicaThatAbstainsRunsWhenNobodyElseDoes) {
+TEST_F(LeadershipTest, AbstainingReplicaRunsWhenNoOtherReplicaDoes) {
   leadership.abstain_from_elections(100);
   std::uint64_t revision = 0;
   leadership.tick();
   grant_everything(runtime, revision);
   EXPECT_EQ(leadership.role(), Role::Follower);
-  at(kStart + 2.9);
+  set_time(kStart + 2.9);
   leadership.tick();
   grant_everything(runtime, revision);
   EXPECT_EQ(leadership.role(), Role::Follower);
-  at(kStart + 3.5);
+  set_time(kStart + 3.5);
   leadership.tick();
   grant_everything(runtime, revision);
   EXPECT_EQ(leadership.role(), Role::Loading);
 }
 
-TEST_F(LeadershipTest, ReplicaThatKnowsNoInstanceTypesDoesNotRun) {
+TEST_F(LeadershipTest, ReplicaWithoutInstanceTypesDoesNotRun) {
   const InstanceTypeCatalog unknown({"a"});
   Leadership follower{runtime, events, settings, unknown};
   win_election(runtime, follower);
