--- a/include/loftrouter/core/connectivity/replicas.hpp
+++ b/include/loftrouter/core/connectivity/replicas.hpp
@@ -19,7 +19,7 @@
 namespace loftrouter::core {
 
 // A replica's role in handling heartbeats, as reported to the other replicas.
-struct HeartbeatServing {
+struct HeartbeatServiceStatus {
   bool leads = false;            // answers heartbeats as the leader
   bool wants_forwarding = false; // leads, and followers should forward heartbeats to it
   bool can_forward = false;      // follower with capacity to forward heartbeats of more workers
@@ -34,7 +34,7 @@
   double status_as_of = -1e9;
   double uptime_s = 0;
   bool state_service_lost = false;
-  HeartbeatServing serving;
+  HeartbeatServiceStatus serving;
   std::uint64_t term = 0; // its own if it leads, otherwise the highest that it knows
   ConnectivityRecord connectivity;
   StateServiceLimits::Usage state_service_usage;
@@ -69,7 +69,7 @@
   [[nodiscard]] bool ping_due() const { return runtime_.now() >= next_ping_at_; }
   // Pings every replica, and divides the state service's limits by the usage that they last reported.
   void send_pings();
-  void answer_ping(const PeerMessageCommand &cmd, const HeartbeatServing &serving);
+  void answer_ping(const PeerMessageCommand &cmd, const HeartbeatServiceStatus &serving);
   // Stores a replica's status. Returns false and ignores it if it does not answer the last ping.
   [[nodiscard]] bool accept_pong(const PeerMessageCommand &cmd);
   void broadcast(const wire::PeerMessage &message);
@@ -79,12 +79,12 @@
 
   // Whether the leader, or a replica that has recently sent a ping, runs a version without job dependencies. Jobs with
   // dependencies are then refused.
-  [[nodiscard]] bool some_lack_dependencies() const;
+  [[nodiscard]] bool some_replica_lacks_dependencies() const;
 
   // Whether this replica has had no recent response from the state service.
   [[nodiscard]] bool state_service_lost() const;
   // Whether neither this nor any other replica reaches the state service, so that no leader can be elected.
-  [[nodiscard]] bool common_outage() const;
+  [[nodiscard]] bool state_service_lost_by_all() const;
   // Whether this replica may renew workers' leases by answering their heartbeats: no other replica leads, and any
   // cancellation unknown here would still take effect in time.
   [[nodiscard]] bool may_answer_heartbeats() const;
--- a/include/loftrouter/core/election/leadership.hpp
+++ b/include/loftrouter/core/election/leadership.hpp
@@ -22,7 +22,7 @@
 
 // How long a replica's report that it cannot reach the state service is valid. A newly elected leader waits this long
 // before it assumes that the previous leader has stopped.
-constexpr double kOutageStatementValidityS = 1.5;
+constexpr double kOutageReportValidityS = 1.5;
 
 // Maximum relative difference between the rates of two clocks: four times the bound in the protocol.
 constexpr double kMaxClockDrift = 0.002;
--- a/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
@@ -68,10 +68,12 @@
   void status_received(const wire::PeerMessage &pong);
   // Sets the condition on which heartbeats are refused: a leader must not renew the leases of tasks that it cannot
   // account for.
-  void refuse_while(std::function<bool(const Heartbeat &)> condition) { refusal_condition_ = std::move(condition); }
+  void set_refusal_condition(std::function<bool(const Heartbeat &)> condition) {
+    refusal_condition_ = std::move(condition);
+  }
 
   // The heartbeat status that this replica sends to the others.
-  [[nodiscard]] HeartbeatServing serving() const;
+  [[nodiscard]] HeartbeatServiceStatus serving() const;
   [[nodiscard]] HeartbeatLoad load() const;
   [[nodiscard]] std::size_t workers_forwarded() const { return forwarder_.workers(); }
 
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -143,7 +143,7 @@
     out.push_back(runtime_.state_service_answered_at_wall() > 0
                       ? fmt::format("this node gets no answer from the state service since {}{}",
                                     wire::clock_time(runtime_.state_service_answered_at_wall()),
-                                    replicas_.common_outage() ? ", nor do its siblings" : "")
+                                    replicas_.state_service_lost_by_all() ? ", nor do its siblings" : "")
                       : "this node has had no answer from the state service yet");
   if (status.leader.empty())
     out.push_back(leadership_.leaderless_since_wall() > 0
--- a/src/core/api/job_api_handler.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -195,7 +195,7 @@
   if (!state_limits_.fits(wire::to_json(record), StateServiceLimits::kCancellationMarkRoom))
     return refuse_for_ever(question, record.spec, "the job's description is too long to be kept");
   // An earlier version would start it at once, whether it leads or has it passed on.
-  if (waits && replicas_.some_lack_dependencies())
+  if (waits && replicas_.some_replica_lacks_dependencies())
     return runtime_.refuse(question.req, "jobs that wait for others are accepted once all nodes have this version", 2);
   if (replicas_.state_service_lost()) return no_answer(question, record.spec, kCutOff);
   if (!waits) return accept(question, std::move(record));
--- a/src/core/connectivity/replicas.cpp
+++ b/src/core/connectivity/replicas.cpp
@@ -71,7 +71,7 @@
   }
 }
 
-void Replicas::answer_ping(const PeerMessageCommand &cmd, const HeartbeatServing &serving) {
+void Replicas::answer_ping(const PeerMessageCommand &cmd, const HeartbeatServiceStatus &serving) {
   if (const ReplicaIndex replica = by_sender(cmd.message.sender); replica.valid()) {
     ReplicaState &state = states_[replica.position()];
     state.ping_received_at = runtime_.now();
@@ -118,7 +118,7 @@
     runtime_.send({replica, 0, message});
 }
 
-bool Replicas::some_lack_dependencies() const {
+bool Replicas::some_replica_lacks_dependencies() const {
   if (leadership_.leader_supports_dependencies() == std::optional(false)) return true;
   return std::any_of(states_.begin(), states_.end(), [this](const ReplicaState &state) {
     return runtime_.now() - state.ping_received_at < kReportValidityS && !state.supports_dependencies;
@@ -129,16 +129,16 @@
   return runtime_.now() - runtime_.state_service_answered_at() > kStateServiceLostAfterS;
 }
 
-bool Replicas::common_outage() const {
+bool Replicas::state_service_lost_by_all() const {
   if (!state_service_lost() || states_.empty()) return false;
   return std::all_of(states_.begin(), states_.end(), [this](const ReplicaState &state) {
-    return state.state_service_lost && runtime_.now() - state.status_as_of <= kOutageStatementValidityS;
+    return state.state_service_lost && runtime_.now() - state.status_as_of <= kOutageReportValidityS;
   });
 }
 
 bool Replicas::leads_during_outage() const {
   return leadership_.leading() && !leadership_.lease_valid() && leadership_.highest_term() <= leadership_.term() &&
-         common_outage();
+         state_service_lost_by_all();
 }
 
 bool Replicas::may_answer_heartbeats() const {
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -55,7 +55,7 @@
                       dependencies_, failure_attribution_, workers_, autoscaler_, replicas_, connectivity_, federation_,
                       heartbeats_, service_levels_, status_reporter_, ledger_, configuration_api_),
       event_log_(runtime_, jobs_, workers_) {
-  heartbeats_.refuse_while([this](const Heartbeat &heartbeat) { return federation_.unsure_of(heartbeat); });
+  heartbeats_.set_refusal_condition([this](const Heartbeat &heartbeat) { return federation_.unsure_of(heartbeat); });
 }
 
 Effects Core::apply(std::vector<Command> batch, Now at) {
@@ -148,8 +148,8 @@
 }
 
 void Core::on(HealthCheckCommand &&cmd) {
-  if (catalog_.known() &&
-      (runtime_.now() - runtime_.state_service_answered_at() < 3.0 || replicas_.common_outage() || users_.can_answer()))
+  if (catalog_.known() && (runtime_.now() - runtime_.state_service_answered_at() < 3.0 ||
+                           replicas_.state_service_lost_by_all() || users_.can_answer()))
     runtime_.reply(cmd.req, 200, "");
   else
     runtime_.refuse(cmd.req, catalog_.known() ? "state service out of reach" : "starting up");
--- a/src/core/election/leadership.cpp
+++ b/src/core/election/leadership.cpp
@@ -149,7 +149,7 @@
   // The last leader's lease has expired. It may still answer heartbeats for as long as this replica's last outage
   // report is valid. Every worker whose lease it renewed has contacted this replica or lost its lease by the computed
   // time.
-  const double unaccounted_until = runtime_.now() + kOutageStatementValidityS * (1 + kMaxClockDrift) +
+  const double unaccounted_until = runtime_.now() + kOutageReportValidityS * (1 + kMaxClockDrift) +
                                    settings_.lease_s * (1 + kMaxClockDrift) + kUnaccountedMarginS;
   events_.publish(LeaderElected{term_, unaccounted_until});
 }
--- a/src/core/federation/cell_federation.cpp
+++ b/src/core/federation/cell_federation.cpp
@@ -340,7 +340,7 @@
       bound.grant_s = kMaxGrant;
       OutboundDelegation delegation{
           .state = cells::DelegationAtOrigin::restored(r.generation, leadership_.term(),
-                                                       runtime_.now() + kOutageStatementValidityS, bound),
+                                                       runtime_.now() + kOutageReportValidityS, bound),
           .cell = cell,
           .made_at = runtime_.now(),
           .taken = true,
--- a/src/core/heartbeats/heartbeat_handler.cpp
+++ b/src/core/heartbeats/heartbeat_handler.cpp
@@ -65,8 +65,8 @@
   return fresh ? std::string_view(leadership_.leader_name()) : std::string_view();
 }
 
-HeartbeatServing HeartbeatHandler::serving() const {
-  HeartbeatServing serving;
+HeartbeatServiceStatus HeartbeatHandler::serving() const {
+  HeartbeatServiceStatus serving;
   serving.leads = leadership_.leading() && replicas_.may_answer_heartbeats();
   serving.wants_forwarding = serving.leads && balancer_.forwarding_wanted();
   serving.can_forward = forwarding_target().valid() && forwarder_.has_room();
