--- a/include/loftrouter/core/election/leadership.hpp
+++ b/include/loftrouter/core/election/leadership.hpp
@@ -89,7 +89,7 @@
   [[nodiscard]] double leading_since_wall() const { return leading_since_wall_; }
   // Time of the failover from another known leader to this replica; monotonic, far in the past if there was none.
   [[nodiscard]] double failover_at() const { return failover_at_; }
-  // When the leader was last seen to be absent, on the wall clock; 0 if never.
+  // Start of the last period without a leader that this replica has seen, on the wall clock; 0 if none.
   [[nodiscard]] double leaderless_since_wall() const { return leaderless_since_wall_; }
 
 private:
