--- a/include/loftrouter/core/connectivity/replicas.hpp
+++ b/include/loftrouter/core/connectivity/replicas.hpp
@@ -34,7 +34,7 @@
   double status_as_of = -1e9;
   double uptime_s = 0;
   bool state_service_lost = false;
-  HeartbeatServiceStatus serving;
+  HeartbeatServiceStatus service_status;
   std::uint64_t term = 0; // its own if it leads, otherwise the highest that it knows
   ConnectivityRecord connectivity;
   StateServiceLimits::Usage state_service_usage;
@@ -69,7 +69,7 @@
   [[nodiscard]] bool ping_due() const { return runtime_.now() >= next_ping_at_; }
   // Pings every replica, and divides the state service's limits by the usage that they last reported.
   void send_pings();
-  void answer_ping(const PeerMessageCommand &cmd, const HeartbeatServiceStatus &serving);
+  void answer_ping(const PeerMessageCommand &cmd, const HeartbeatServiceStatus &service_status);
   // Stores a replica's status. Returns false and ignores it if it does not answer the last ping.
   [[nodiscard]] bool accept_pong(const PeerMessageCommand &cmd);
   void broadcast(const wire::PeerMessage &message);
--- a/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
@@ -73,7 +73,7 @@
   }
 
   // The heartbeat status that this replica sends to the others.
-  [[nodiscard]] HeartbeatServiceStatus serving() const;
+  [[nodiscard]] HeartbeatServiceStatus service_status() const;
   [[nodiscard]] HeartbeatLoad load() const;
   [[nodiscard]] std::size_t workers_forwarded() const { return forwarder_.workers(); }
 
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -73,8 +73,9 @@
   for (const ReplicaIndex i : replicas_.indices()) {
     const auto &x = replicas_[i];
     const auto word = connectivity_.connectivity_of(i);
-    status.replicas.push_back({replicas_.name(i), ago(x.status_as_of), x.state_service_lost, x.serving.can_forward,
-                               leads ? workers_.available_count(i) : 0, word ? word->record : ConnectivityRecord{},
+    status.replicas.push_back({replicas_.name(i), ago(x.status_as_of), x.state_service_lost,
+                               x.service_status.can_forward, leads ? workers_.available_count(i) : 0,
+                               word ? word->record : ConnectivityRecord{},
                                !word                  ? "nothing"
                                : word->over_peer_link ? "link"
                                                       : "state service",
--- a/src/core/api/job_api_handler.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -70,7 +70,7 @@
     const auto &s = replicas_[ReplicaIndex(i)];
     if (s.state_service_lost || runtime_.now() - s.status_as_of > kWordLife || (tried >> i & 1)) continue;
     if (knows_dependencies && !s.supports_dependencies) continue;
-    if (best < 0 || s.serving.leads) best = static_cast<int>(i);
+    if (best < 0 || s.service_status.leads) best = static_cast<int>(i);
   }
   return best;
 }
--- a/src/core/connectivity/replicas.cpp
+++ b/src/core/connectivity/replicas.cpp
@@ -71,7 +71,7 @@
   }
 }
 
-void Replicas::answer_ping(const PeerMessageCommand &cmd, const HeartbeatServiceStatus &serving) {
+void Replicas::answer_ping(const PeerMessageCommand &cmd, const HeartbeatServiceStatus &service_status) {
   if (const ReplicaIndex replica = by_sender(cmd.message.sender); replica.valid()) {
     ReplicaState &state = states_[replica.position()];
     state.ping_received_at = runtime_.now();
@@ -81,16 +81,16 @@
   wire::PeerMessage message;
   message.kind = wire::PeerMessage::Kind::Pong;
   message.nonce = cmd.message.nonce;
-  message.term = serving.leads ? leadership_.term() : leadership_.highest_term();
+  message.term = service_status.leads ? leadership_.term() : leadership_.highest_term();
   message.cancelled = cancellations_.recent();
   // Leaders of the previous version decide by this flag alone whether to renew leases. It is therefore not set while
   // the frame cannot hold all recent cancellations.
   message.cut_off = state_service_lost() && cancellations_.recent_is_complete();
   message.connectivity = own_connectivity_;
   message.sender = own_sender_number_;
-  message.leads = serving.leads;
-  message.spreads = serving.wants_forwarding;
-  message.forwards_heartbeats = serving.can_forward;
+  message.leads = service_status.leads;
+  message.spreads = service_status.wants_forwarding;
+  message.forwards_heartbeats = service_status.can_forward;
   message.store_reads = rate_in_tenths(state_limits_.usage().reads_per_s);
   message.store_writes = rate_in_tenths(state_limits_.usage().writes_per_s);
   message.uptime_ms = static_cast<std::uint32_t>(std::min(kMaxUptimeMs, runtime_.uptime_s() * 1000));
@@ -105,7 +105,7 @@
   state.status_as_of = state.ping_sent_at;             // the status cannot be older than the ping
   state.uptime_s = message.uptime_ms / 1000.0;
   state.state_service_lost = message.cut_off;
-  state.serving = {message.leads, message.spreads, message.forwards_heartbeats};
+  state.service_status = {message.leads, message.spreads, message.forwards_heartbeats};
   state.term = message.term;
   state.connectivity = message.connectivity;
   state.state_service_usage = {rate_from_tenths(message.store_reads), rate_from_tenths(message.store_writes)};
--- a/src/core/connectivity/step_down_policy.cpp
+++ b/src/core/connectivity/step_down_policy.cpp
@@ -79,7 +79,7 @@
       return "no worker reaches this replica";
   }
   if (assessment.most_workers_lost && direct && record.machines > 2 * assessment.reachable_workers + kMinWorkers &&
-      !replicas_[replica].serving.can_forward)
+      !replicas_[replica].service_status.can_forward)
     return fmt::format("only {} of {} workers reach this replica", assessment.reachable_workers,
                        assessment.known_workers);
   if (assessment.provider_lost && record.cloud == ProviderHealth::Healthy)
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -194,7 +194,7 @@
   case Kind::UserResponse:
     return users_.take_told(m);
   case Kind::Ping:
-    return replicas_.answer_ping(cmd, heartbeats_.serving());
+    return replicas_.answer_ping(cmd, heartbeats_.service_status());
   case Kind::Pong:
     if (replicas_.accept_pong(cmd)) heartbeats_.status_received(m);
   }
--- a/src/core/federation/cell_federation.cpp
+++ b/src/core/federation/cell_federation.cpp
@@ -97,7 +97,7 @@
   // A node that does not lead passes it on, once: a leader of another cell may reach only this one.
   ReplicaIndex to;
   for (const ReplicaIndex replica : replicas_.indices())
-    if (replicas_[replica].serving.leads && runtime_.now() - replicas_[replica].status_as_of < 1.2) to = replica;
+    if (replicas_[replica].service_status.leads && runtime_.now() - replicas_[replica].status_as_of < 1.2) to = replica;
   if (!to.valid() || passed_.full()) return; // it asks again, elsewhere
   wire::PeerMessage message;
   message.kind = wire::PeerMessage::Kind::CellRequest;
--- a/src/core/heartbeats/heartbeat_handler.cpp
+++ b/src/core/heartbeats/heartbeat_handler.cpp
@@ -48,7 +48,7 @@
   for (const ReplicaIndex replica : replicas_.indices()) {
     const ReplicaState &state = replicas_[replica];
     const bool fresh = runtime_.now() - state.status_as_of < kStatusValidityS;
-    if (state.serving.leads && state.term >= leadership_.highest_term() && fresh) return replica;
+    if (state.service_status.leads && state.term >= leadership_.highest_term() && fresh) return replica;
   }
   return {};
 }
@@ -56,7 +56,7 @@
 ReplicaIndex HeartbeatHandler::forwarding_target() const {
   if (leadership_.role() != Role::Follower || forwarder_.suspended(runtime_.now())) return {};
   const ReplicaIndex replica = leader();
-  return replica.valid() && replicas_[replica].serving.wants_forwarding ? replica : ReplicaIndex();
+  return replica.valid() && replicas_[replica].service_status.wants_forwarding ? replica : ReplicaIndex();
 }
 
 std::string_view HeartbeatHandler::leader_name() const {
@@ -65,12 +65,12 @@
   return fresh ? std::string_view(leadership_.leader_name()) : std::string_view();
 }
 
-HeartbeatServiceStatus HeartbeatHandler::serving() const {
-  HeartbeatServiceStatus serving;
-  serving.leads = leadership_.leading() && replicas_.may_answer_heartbeats();
-  serving.wants_forwarding = serving.leads && balancer_.forwarding_wanted();
-  serving.can_forward = forwarding_target().valid() && forwarder_.has_room();
-  return serving;
+HeartbeatServiceStatus HeartbeatHandler::service_status() const {
+  HeartbeatServiceStatus status;
+  status.leads = leadership_.leading() && replicas_.may_answer_heartbeats();
+  status.wants_forwarding = status.leads && balancer_.forwarding_wanted();
+  status.can_forward = forwarding_target().valid() && forwarder_.has_room();
+  return status;
 }
 
 void HeartbeatHandler::status_received(const wire::PeerMessage &pong) {
@@ -256,7 +256,7 @@
   std::size_t fewest_workers = 0;
   for (const ReplicaIndex replica : replicas_.indices()) {
     const ReplicaState &state = replicas_[replica];
-    if (!state.serving.can_forward || runtime_.now() - state.status_as_of > kStatusValidityS) continue;
+    if (!state.service_status.can_forward || runtime_.now() - state.status_as_of > kStatusValidityS) continue;
     const std::size_t workers = workers_.available_count(replica);
     if (best.valid() && workers >= fewest_workers) continue;
     best = replica;
