--- a/include/loftrouter/core/connectivity/connectivity_monitor.hpp
+++ b/include/loftrouter/core/connectivity/connectivity_monitor.hpp
@@ -1,6 +1,6 @@
-// Monitors which peers this replica can reach (workers, the state service, the cloud provider, the other replicas), and
-// collects the same from the other replicas. A poorly connected leader steps down; a poorly connected candidate delays
-// its election.
+// Monitors whether this replica can reach the workers, the state service, the cloud provider and the other replicas,
+// and collects the connectivity records of the other replicas. A poorly connected leader steps down; a poorly connected
+// follower waits longer before it runs for leader.
 //
 // Owns this replica's connectivity record and the arrival times of heartbeats. Safety does not depend on it: stepping
 // down early is always safe, and only the leader key makes a leader. At worst the wrong replica leads. Single-threaded.
@@ -32,15 +32,16 @@
   // Counts a heartbeat that another replica forwarded.
   void forwarded_heartbeat_received() { last_heartbeat_at_ = runtime_.now(); }
 
-  // Updates and publishes this replica's record, then applies the step-down policy and the election delay.
-  // `workers_forwarded` is the number of workers whose heartbeats this replica forwards as a follower.
+  // Updates this replica's record and publishes it to the other replicas, then applies the step-down policy and the
+  // election delay. `workers_forwarded` is the number of workers whose heartbeats this replica forwards as a follower.
   void tick(std::size_t workers_forwarded);
 
   // Arrival time of the last heartbeat, direct or forwarded; monotonic, far in the past if there was none.
   [[nodiscard]] double last_heartbeat_at() const { return last_heartbeat_at_; }
-  [[nodiscard]] const ConnectivityRecord &own_record() const { return own_; }
-  [[nodiscard]] bool reachable_by_forwarding() const { return core::reachable_by_forwarding(own_, settings_); }
-  // The connectivity of another replica; nullopt if no recent record is known.
+  [[nodiscard]] const ConnectivityRecord &own_record() const { return own_record_; }
+  [[nodiscard]] bool reachable_by_forwarding() const { return core::reachable_by_forwarding(own_record_, settings_); }
+  // The connectivity of another replica; nullopt if no recent record is known, or if it has reported that it cannot
+  // reach the state service.
   [[nodiscard]] std::optional<ReplicaConnectivity> connectivity_of(ReplicaIndex replica) const;
   // Estimated number of workers that send their heartbeats to this replica directly, by zone name.
   [[nodiscard]] std::vector<std::pair<std::string, double>> workers_by_zone() const;
@@ -48,7 +49,7 @@
   [[nodiscard]] bool provider_probe_wanted() const;
 
 private:
-  // A connection whose changes are logged.
+  // A connection of this replica, whose loss and restoration are logged.
   struct Link {
     std::string target;
     bool up;
@@ -77,13 +78,13 @@
 
   // Times are monotonic, s.
   RecentHeartbeats direct_heartbeats_;
-  ConnectivityRecord own_;
+  ConnectivityRecord own_record_;
   double last_heartbeat_at_ = -1e9;
   double last_direct_heartbeat_at_ = -1e9;
   double last_tick_at_ = -1e9;
-  double resumed_at_ = -1e9; // end of this process's last stall
-  std::optional<double> unreachable_since_;
-  std::vector<bool> logged_up_; // by link; the state last logged
+  double stall_ended_at_ = -1e9; // of this process
+  std::optional<double> workers_unreachable_since_;
+  std::vector<bool> logged_link_up_; // the state last logged, in the order of `links()`
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/connectivity/connectivity_record_store.hpp
+++ b/include/loftrouter/core/connectivity/connectivity_record_store.hpp
@@ -1,9 +1,9 @@
 // Exchanges connectivity records through the state service while a peer link is down. Each replica keeps one key,
 // `reach/<sender number>`, attached to a lease, so that the key disappears when its process dies.
 //
-// Owns this replica's key and its lease, and a cached list of the other records. To limit load on the state service, a
-// replica writes its key at most six times a minute and lists the others only while a peer link is down. Safety does
-// not depend on the records. See docs/links.md.
+// Owns this replica's key and its lease, and a cached copy of the other records. To limit load on the state service,
+// the rate of writes is limited to six a minute, with bursts, and the others are listed only while a peer link is down.
+// Safety does not depend on the records. See docs/links.md.
 #pragma once
 
 #include <optional>
@@ -20,8 +20,8 @@
 public:
   ConnectivityRecordStore(Runtime &runtime, const Settings &settings, const Replicas &replicas);
 
-  // Keeps the lease alive, and writes this replica's record if it is not stored yet or, while a peer link is down, has
-  // changed significantly.
+  // Keeps the lease alive, and writes this replica's record if it is not stored yet or, while a peer link is down,
+  // needs a rewrite.
   void publish(const ConnectivityRecord &own_record, bool peer_link_down);
 
   // Lists the other replicas' records if the list interval has passed; `urgent` shortens the interval.
@@ -33,9 +33,10 @@
 
 private:
   void maintain_lease();
-  [[nodiscard]] bool changed_significantly(const ConnectivityRecord &own_record) const;
+  // Whether the written record would mislead the other replicas, or is too old to show that workers reach this replica.
+  [[nodiscard]] bool needs_rewrite(const ConnectivityRecord &own_record) const;
   void write(const ConnectivityRecord &own_record);
-  void update_records(const std::vector<wire::KeyValue> &entries);
+  void replace_records(const std::vector<wire::KeyValue> &entries);
 
   Runtime &runtime_;
   const Settings &settings_;
@@ -43,11 +44,11 @@
 
   // This replica's key. Times are monotonic, s.
   StateServiceLease lease_;
-  std::optional<ConnectivityRecord> written_;
+  std::optional<ConnectivityRecord> written_record_;
   double written_at_ = -1e9;
   TokenBucket write_budget_;
 
-  // The other replicas' keys.
+  // The other replicas' records.
   std::vector<std::optional<StoredConnectivityRecord>> records_; // by replica
   double listed_at_ = -1e9;
   double next_list_at_ = 0;
--- a/include/loftrouter/core/connectivity/recent_heartbeats.hpp
+++ b/include/loftrouter/core/connectivity/recent_heartbeats.hpp
@@ -11,10 +11,10 @@
 public:
   explicit RecentHeartbeats(double window_s) : window_s_(window_s) {}
 
-  // Counts a heartbeat. `now` must not decrease between calls.
-  void record(int zone, double now);
+  // Adds a heartbeat. `now` (monotonic, s) must not decrease between calls.
+  void add(int zone_index, double now);
 
-  // Heartbeats in the window, by zone index.
+  // The numbers of heartbeats in the window, by zone index.
   [[nodiscard]] std::vector<std::uint32_t> by_zone(double now) const;
   [[nodiscard]] std::uint32_t total(double now) const;
   [[nodiscard]] double window_s() const { return window_s_; }
--- a/include/loftrouter/core/connectivity/replicas.hpp
+++ b/include/loftrouter/core/connectivity/replicas.hpp
@@ -1,9 +1,9 @@
 // Tracks the other replicas of this cell by pings over the peer links.
 //
-// Owns the latest status of each replica and the pings in flight. Invariants: a status dates from when its ping was
-// sent, however late the pong arrived; and a leader continues without the state service only while every replica
-// reports that it cannot reach the state service either. Otherwise two leaders could renew workers' leases (rule
-// `ran_twice`). Pings and pongs also exchange cancellations (`Cancellations`) and state service usage
+// Owns the latest status of each replica and the pings in flight. Invariants: a status counts as old as its ping,
+// however late the pong arrived; and a leader continues without the state service only while every replica reports that
+// it cannot reach the state service either. Otherwise two leaders could renew workers' leases (rule `ran_twice`). Pings
+// and pongs also exchange cancellations (`Cancellations`) and state service usage
 // (`StateServiceLimits`). See docs/safety.md, "Outages".
 #pragma once
 
@@ -39,8 +39,8 @@
   ConnectivityRecord connectivity;
   StateServiceLimits::Usage state_service_usage;
 
-  // The last ping received from it. It arrives on the link that the replica dialled, which also carries heartbeats that
-  // the replica forwards.
+  // Its last ping. It arrives on the link that the replica has dialled, which also carries the heartbeats that it
+  // forwards.
   double ping_received_at = -1e9;
   ConnectivityRecord connectivity_in_ping;
   bool supports_dependencies = false;
@@ -70,11 +70,11 @@
   // Pings every replica, and divides the state service's limits by the usage that they last reported.
   void send_pings();
   void answer_ping(const PeerMessageCommand &cmd, const HeartbeatServiceStatus &service_status);
-  // Stores a replica's status. Returns false and ignores it if it does not answer the last ping.
+  // Stores a replica's status from a pong. Ignores the pong and returns false if it does not answer the last ping.
   [[nodiscard]] bool accept_pong(const PeerMessageCommand &cmd);
   void broadcast(const wire::PeerMessage &message);
 
-  // Sets the connectivity record that pings and pongs carry.
+  // Sets this replica's connectivity record, which its pings and pongs carry.
   void set_own_connectivity(const ConnectivityRecord &own) { own_connectivity_ = own; }
 
   // Whether the leader, or a replica that has recently sent a ping, runs a version without job dependencies. Jobs with
@@ -85,13 +85,14 @@
   [[nodiscard]] bool state_service_lost() const;
   // Whether neither this nor any other replica reaches the state service, so that no leader can be elected.
   [[nodiscard]] bool state_service_lost_by_all() const;
-  // Whether this replica may renew workers' leases by answering their heartbeats: no other replica leads, and any
-  // cancellation unknown here would still take effect in time.
+  // Whether this replica may renew workers' leases by answering their heartbeats: it leads and no other replica does,
+  // and a task whose cancellation is not known here yet would still end in time.
   [[nodiscard]] bool may_answer_heartbeats() const;
 
 private:
-  void share_state_service_limits();
-  // Whether this leader, whose lease has expired, may answer heartbeats because no replica reaches the state service.
+  void rebalance_state_service_limits();
+  // Whether this replica's leader lease has expired, but no other replica can become leader, because none reaches the
+  // state service.
   [[nodiscard]] bool leads_during_outage() const;
 
   Runtime &runtime_;
@@ -103,7 +104,7 @@
   std::vector<ReplicaState> states_;
   std::uint8_t own_sender_number_ = 0;
   std::vector<ReplicaIndex> replicas_by_sender_number_; // invalid for this replica
-  std::uint64_t last_nonce_;
+  std::uint64_t last_ping_nonce_;
   double next_ping_at_ = 0; // monotonic
   ConnectivityRecord own_connectivity_;
 };
--- a/include/loftrouter/core/connectivity/step_down_policy.hpp
+++ b/include/loftrouter/core/connectivity/step_down_policy.hpp
@@ -1,8 +1,8 @@
-// Decides when a leader steps down because it has lost most or all workers or the cloud provider, and another replica
-// has not.
+// Makes a leader step down that has lost most or all of its workers, or the cloud provider, if another replica is
+// better connected.
 //
-// Owns no state. Stepping down early is always safe, so safety does not depend on the inputs: a wrong decision costs a
-// failover or keeps a poorly connected leader. See docs/links.md, "Who should lead".
+// Owns no state. Stepping down early is always safe, so safety does not depend on the inputs: a wrong decision causes a
+// needless failover or keeps a poorly connected leader. See docs/links.md, "Who should lead".
 #pragma once
 
 #include <optional>
@@ -16,11 +16,11 @@
 
 class StepDownPolicy {
 public:
-  // This replica's own connectivity. Times are monotonic, s.
+  // This replica's connectivity. Times are monotonic, s.
   struct Observation {
-    ConnectivityRecord own;
+    ConnectivityRecord own_record;
     double last_heartbeat_at; // direct or forwarded
-    double resumed_at;        // end of this process's last stall
+    double stall_ended_at;    // end of this process's last stall
   };
   // By replica index; nullopt if no recent record is known.
   using ConnectivityByReplica = std::vector<std::optional<ReplicaConnectivity>>;
@@ -36,9 +36,9 @@
 private:
   // The connectivity problems of this leader.
   struct Assessment {
-    bool enough_workers = false;
+    bool enough_workers = false;  // too many to fail at once by coincidence
     bool recent_failover = false; // the leader changed less than kRecentFailoverS ago
-    double heartbeat_gap_s = 0;   // since the last heartbeat, the start of the term or a stall
+    double heartbeat_gap_s = 0;   // since the last heartbeat, the start of the term or the end of a stall, if later
     bool all_workers_lost = false;
     bool most_workers_lost = false;
     bool provider_lost = false;
--- a/include/loftrouter/core/election/leadership.hpp
+++ b/include/loftrouter/core/election/leadership.hpp
@@ -24,7 +24,7 @@
 // before it assumes that the previous leader has stopped.
 constexpr double kOutageReportValidityS = 1.5;
 
-// Maximum relative difference between the rates of two clocks: four times the bound in the protocol.
+// Maximum relative difference between the rates of two clocks, with a safety factor of four.
 constexpr double kMaxClockDrift = 0.002;
 
 enum class Role : std::uint8_t {
@@ -38,7 +38,7 @@
 public:
   Leadership(Runtime &runtime, Events &events, const Settings &settings, const InstanceTypeCatalog &catalog);
 
-  // Polls the leader key or renews the lease when due. Polling may start an election.
+  // Polls the leader key or renews the lease when due. A follower that finds no leader key may run for leader.
   void tick();
 
   // Records a term reported by a replica or worker. A leader steps down if the term is higher than its own; `reason` is
@@ -51,7 +51,7 @@
   // Revokes the lease and becomes a follower; no effect on a follower. Publishes TermEnded. Always safe.
   void step_down(std::string_view reason);
 
-  // Does not run for leader for this long, unless no other replica becomes leader.
+  // Keeps this replica from running for leader for this long, unless no other replica becomes leader meanwhile.
   void abstain_from_elections(double duration_s);
 
   // Sets how long the leader key must be absent before this replica runs. Poorly connected replicas wait longer.
@@ -87,23 +87,23 @@
   // Start of this replica's term, on the monotonic and on the wall clock.
   [[nodiscard]] double leading_since() const { return leading_since_; }
   [[nodiscard]] double leading_since_wall() const { return leading_since_wall_; }
-  // Time of the failover from another known leader to this replica; monotonic, far in the past if there was none.
+  // Start of this replica's term if it replaced another known leader; monotonic, far in the past otherwise.
   [[nodiscard]] double failover_at() const { return failover_at_; }
-  // Start of the last period without a leader that this replica has seen, on the wall clock; 0 if none.
+  // Start of the last period in which this replica knew no leader, on the wall clock; 0 if there was none.
   [[nodiscard]] double leaderless_since_wall() const { return leaderless_since_wall_; }
 
 private:
   void poll_leader_key();
-  void leader_key_read(const wire::KeyValue &entry);
-  void leader_key_absent();
+  void on_leader_key_read(const wire::KeyValue &entry);
+  void on_leader_key_absent();
 
   void run_for_leader();
   void commit_leader_key(StateServiceLease::Id lease, double lease_requested_at);
-  void elected(std::uint64_t term, StateServiceLease::Id lease, double lease_requested_at);
-  void election_lost();
+  void on_elected(std::uint64_t term, StateServiceLease::Id lease, double lease_requested_at);
+  void on_election_lost();
 
   void renew_lease();
-  void become(Role next);
+  void change_role(Role next);
 
   Runtime &runtime_;
   Events &events_;
--- a/include/loftrouter/core/election/state_service_lease.hpp
+++ b/include/loftrouter/core/election/state_service_lease.hpp
@@ -1,7 +1,8 @@
 // A lease in the state service that this replica holds. Keys attached to it are deleted when it expires or is revoked.
 //
-// Owns the lease id and the schedule of its requests. Invariant: at most one grant or renewal is in flight, which
-// bounds the request rate. The caller tracks for how long the lease is valid. Single-threaded.
+// Owns the lease id and the schedule of its requests. The caller decides by `request_due` when to send one, which keeps
+// at most one grant or renewal in flight and so bounds the load on the state service. The caller also tracks for how
+// long the lease is valid. Single-threaded.
 #pragma once
 
 #include <cstdint>
@@ -44,7 +45,7 @@
 
   void hold(Id id) { id_ = id; }
 
-  // Drops an expired lease without a request.
+  // Drops a lease that has expired, without revoking it in the state service.
   void forget() { id_.reset(); }
 
   // Revokes the lease if one is held. A renewal in flight no longer delays the next request.
--- a/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_handler.hpp
@@ -1,9 +1,10 @@
 // Handles workers' heartbeats: accepts them as the leader, forwards them to the leader, or redirects the worker to
 // another replica. Sends the responses.
 //
-// Owns the forwarded heartbeats and the balancing of workers over replicas. Invariants: only the leader responds to a
-// heartbeat, and only to the worker that sent it; and a leader that may not renew worker leases accepts no heartbeat.
-// Otherwise tasks could run twice (rule `ran_twice`). Single-threaded. See docs/safety.md, "Forwarded heartbeats".
+// Owns the forwarded heartbeats and the balancing of workers over replicas. Invariants: only a leader answers
+// heartbeats with commands, and each answer goes to the worker that sent the heartbeat; and a leader that may not renew
+// worker leases accepts no heartbeat. Otherwise tasks could run twice (rule `ran_twice`). Single-threaded. See
+// docs/safety.md, "Forwarded heartbeats".
 #pragma once
 
 #include <functional>
@@ -22,9 +23,9 @@
 struct HeartbeatSource {
   RequestId request = 0; // the worker's request; only for a direct heartbeat
   // Only for a forwarded heartbeat:
-  std::uint64_t link = 0;      // the peer link that it arrived on
-  std::uint64_t number = 0;    // the forwarder's request number
-  ReplicaIndex forwarder = {}; // the replica that forwarded it
+  std::uint64_t link = 0;           // the peer link that it arrived on
+  std::uint64_t request_number = 0; // the forwarder's number for the request
+  ReplicaIndex forwarder = {};      // the replica that forwarded it
   [[nodiscard]] bool direct() const { return !forwarder.valid(); }
 };
 
@@ -62,11 +63,12 @@
   // Redirects workers whose forwarded heartbeats got no response in time.
   void tick();
 
-  // Measures the load. Must be called every `Replicas::kPingIntervalS`, before pings are sent.
+  // Measures the heartbeat rates and decides whether heartbeats should be forwarded. Must be called every
+  // `Replicas::kPingIntervalS`, before pings are sent.
   void update_load();
-  // Records from a replica's status whether the leader wants forwarding.
+  // Remembers from the leader's pong whether it wants forwarding, for when this replica becomes leader.
   void status_received(const wire::PeerMessage &pong);
-  // Sets the condition on which heartbeats are refused: a leader must not renew the leases of tasks that it cannot
+  // Sets a condition on which the leader refuses a heartbeat: it must not renew the leases of tasks that it cannot
   // account for.
   void set_refusal_condition(std::function<bool(const Heartbeat &)> condition) {
     refusal_condition_ = std::move(condition);
--- a/include/loftrouter/core/heartbeats/heartbeat_load_balancer.hpp
+++ b/include/loftrouter/core/heartbeats/heartbeat_load_balancer.hpp
@@ -1,8 +1,8 @@
 // Balances worker connections over the replicas: decides whether followers should forward heartbeats, and when the
 // leader redirects workers to them.
 //
-// Owns the measured heartbeat rates. Only direct heartbeats are limited, as they cost many times as much as forwarded
-// ones. Followers measure their rates too, for the status pages. Safety does not depend on the decisions.
+// Owns the measured heartbeat rates. Only direct heartbeats are limited, because a forwarded one costs a small fraction
+// of a direct one. Followers measure their rates too, for the status pages. Safety does not depend on the decisions.
 #pragma once
 
 #include <algorithm>
@@ -28,7 +28,7 @@
   void count_direct() { ++direct_count_; }
   void count_forwarded() { ++forwarded_count_; }
 
-  // Enables forwarding until this time whatever the load, for workers that can only reach another replica.
+  // Keeps forwarding enabled until this time, whatever the load, for workers that can only reach other replicas.
   void want_forwarding_until(double until) { forwarding_wanted_until_ = std::max(forwarding_wanted_until_, until); }
 
   // Measures the rates, `elapsed_s` seconds after the last update. `workers` counts those that send heartbeats
@@ -56,9 +56,9 @@
   double direct_rate_ = 0;
   double total_rate_ = 0;
   bool forwarding_wanted_ = false;
-  bool overloaded_ = false;
+  bool overloaded_ = false; // a limit is exceeded
   double forwarding_wanted_until_ = -1e9;
-  TokenBucket redirect_budget_{1, 1};
+  TokenBucket redirect_budget_{1, 1}; // the rate is set by `update`
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/liveness/failure_detector.hpp
+++ b/include/loftrouter/core/liveness/failure_detector.hpp
@@ -1,5 +1,5 @@
-// Detects which of a leader's workers are unreachable, and attributes each to the likeliest cause: the machine, its
-// zone, the network path of its heartbeats (direct, or forwarded by another replica), or a loss of all heartbeats.
+// Detects which workers a leader has lost contact with, and finds the likeliest cause for each: the machine, its zone,
+// the path of its heartbeats (direct, or forwarded by a certain replica), or a loss of all heartbeats.
 //
 // Owns the counts of workers whose heartbeats are overdue. It does not decide that tasks have ended; `WorkerRegistry`
 // does. It guards against discarding the fleet on a network fault: a machine that is unreachable along with its zone or
@@ -28,11 +28,13 @@
   // Why a worker's heartbeats are overdue.
   enum class Cause : std::uint8_t { None, Machine, Zone, Path, All };
 
+  // The workers of a group whose heartbeats are expected, and those whose heartbeats are overdue.
   struct GroupCount {
-    static constexpr std::size_t kMinWorkers = 4; // fewer may fail by coincidence
+    static constexpr std::size_t kMinWorkers = 4; // fewer may fail at once by coincidence
     std::size_t known = 0;
     std::size_t overdue = 0;
 
+    // Whether the group is large enough to tell, and at least 95% of its workers are overdue.
     [[nodiscard]] bool unreachable() const { return known >= kMinWorkers && overdue * 100 >= known * 95; }
     void add(const GroupCount &count) {
       known += count.known;
@@ -61,8 +63,8 @@
   [[nodiscard]] bool outage_detected() const { return outage_detected_; }
 
 private:
-  // Workers that share a zone or a path. Members may send heartbeats only some time after the group has recovered, so
-  // the time of its last outage is kept.
+  // Workers that share a zone or a path. The time when the group was last unreachable is kept, because after its
+  // recovery some workers send their next heartbeat later than others.
   struct Group {
     GroupCount count;
     double unreachable_at = -1e9; // monotonic
@@ -71,18 +73,18 @@
   // Monotonic time of the last heartbeat if the next one is overdue, otherwise nullopt. A machine that has sent none
   // counts from when it became known.
   [[nodiscard]] std::optional<double> overdue_since(const Machine &machine) const;
-  // Index into `paths_`: direct, then one for each forwarding replica, then unknown.
+  // Index into `paths_`: direct, then one for each forwarding replica, then unknown (no heartbeat received yet).
   [[nodiscard]] std::size_t path_of(const Machine &machine) const;
   [[nodiscard]] Cause cause_of(MachineIndex machine_index) const;
   // Minimum cost of a replacement, in seconds of the machine's price: the minimum charge and its boot time.
   [[nodiscard]] double replacement_cost_s(const Machine &machine) const;
   [[nodiscard]] bool recently_unreachable(double unreachable_at) const;
-  [[nodiscard]] bool recently_unreachable(const std::vector<Group> &groups, std::size_t group) const;
+  [[nodiscard]] bool recently_unreachable(const std::vector<Group> &groups, std::size_t group_index) const;
 
   void count_machines();
-  void mark_unreachable_groups();
+  void update_outages();
   [[nodiscard]] std::string unreachable_group_names() const;
-  void log_change(const std::string &unreachable);
+  void log_change(const std::string &unreachable_groups);
 
   Runtime &runtime_;
   const Settings &settings_;
@@ -90,8 +92,8 @@
   const Leadership &leadership_;
   const WorkerRegistry &workers_;
 
-  std::vector<Group> paths_;
-  std::vector<Group> zones_;
+  std::vector<Group> paths_; // see `path_of`
+  std::vector<Group> zones_; // by zone index
   GroupCount totals_;
   double all_unreachable_at_ = -1e9; // monotonic
   bool outage_detected_ = false;
--- a/src/core/connectivity/connectivity_monitor.cpp
+++ b/src/core/connectivity/connectivity_monitor.cpp
@@ -6,10 +6,10 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kStallThresholdS = 1.0; // gap between ticks after which unread heartbeats may be queued
-constexpr double kMaxReportedWorkers = 6e4;
+constexpr double kStallThresholdS = 1.0;    // gap between ticks after which unread heartbeats may be queued
+constexpr double kMaxReportedWorkers = 6e4; // the record holds 16 bits
 
-constexpr int kMinProviderFailures = 2;
+constexpr int kMinProviderFailures = 2; // consecutive failures from which the provider is unhealthy
 constexpr double kProviderAnswerValidityS = 15.0;
 
 constexpr double kLogLinkDownAfterS = 2 * kPeerStatusValidityS;
@@ -33,15 +33,15 @@
 
 void ConnectivityMonitor::tick(std::size_t workers_forwarded) {
   const double now = runtime_.now();
-  if (now - last_tick_at_ > kStallThresholdS) resumed_at_ = now;
+  if (now - last_tick_at_ > kStallThresholdS) stall_ended_at_ = now;
   last_tick_at_ = now;
 
   update_own_record(workers_forwarded);
-  replicas_.set_own_connectivity(own_);
+  replicas_.set_own_connectivity(own_record_);
   log_link_changes();
 
   const bool peer_link_down = any_peer_link_down();
-  records_.publish(own_, peer_link_down);
+  records_.publish(own_record_, peer_link_down);
   const bool workers_may_be_lost =
       leadership_.leading() && now - last_heartbeat_at_ > direct_heartbeats_.window_s() / 2;
   if (peer_link_down) records_.refresh(workers_may_be_lost);
@@ -49,14 +49,14 @@
   StepDownPolicy::ConnectivityByReplica others;
   for (const ReplicaIndex replica : replicas_.indices())
     others.push_back(connectivity_of(replica));
-  step_down_policy_.apply({own_, last_heartbeat_at_, resumed_at_}, others);
+  step_down_policy_.apply({own_record_, last_heartbeat_at_, stall_ended_at_}, others);
   update_election_delay(others);
 }
 
 void ConnectivityMonitor::direct_heartbeat_received(const std::string &zone) {
   last_heartbeat_at_ = runtime_.now();
   last_direct_heartbeat_at_ = runtime_.now();
-  direct_heartbeats_.record(catalog_.find_zone(zone) + 1, runtime_.now()); // 0: unknown zone
+  direct_heartbeats_.add(catalog_.find_zone(zone) + 1, runtime_.now()); // index 0 counts unknown zones
 }
 
 std::vector<std::pair<std::string, double>> ConnectivityMonitor::workers_by_zone() const {
@@ -74,45 +74,49 @@
   const double now = runtime_.now();
   const std::uint32_t heartbeats = direct_heartbeats_.total(now);
   const double workers = std::ceil(heartbeats * settings_.heartbeat_interval_s / direct_heartbeats_.window_s());
-  own_.machines = static_cast<std::uint16_t>(std::min(kMaxReportedWorkers, workers));
-  own_.last_heartbeat_age_s = std::min(ConnectivityRecord::kMaxAgeS, now - last_direct_heartbeat_at_);
-  own_.last_forwardable_heartbeat_age_s = ConnectivityRecord::kMaxAgeS;
+  own_record_.machines = static_cast<std::uint16_t>(std::min(kMaxReportedWorkers, workers));
+  own_record_.last_heartbeat_age_s = std::min(ConnectivityRecord::kMaxAgeS, now - last_direct_heartbeat_at_);
+  own_record_.last_forwardable_heartbeat_age_s = ConnectivityRecord::kMaxAgeS;
   for (const ReplicaIndex replica : replicas_.indices()) {
     const ReplicaState &state = replicas_[replica];
+    // A replica whose pings arrive here can forward heartbeats on the same link.
     const double ping_age_s = now - state.ping_received_at;
     if (ping_age_s >= kPeerStatusValidityS) continue;
-    own_.last_forwardable_heartbeat_age_s =
-        std::min(own_.last_forwardable_heartbeat_age_s, state.connectivity_in_ping.last_heartbeat_age_s + ping_age_s);
+    own_record_.last_forwardable_heartbeat_age_s = std::min(
+        own_record_.last_forwardable_heartbeat_age_s, state.connectivity_in_ping.last_heartbeat_age_s + ping_age_s);
   }
   update_worker_reachability(heartbeats, workers_forwarded);
-  own_.cloud = provider_health();
+  own_record_.cloud = provider_health();
 }
 
-// Whether all workers that this replica served have stopped sending heartbeats. False after a stall of this process,
-// which delays heartbeats too.
+// Whether the workers that sent heartbeats to this replica have stopped. A follower infers it from the workers whose
+// heartbeats it forwarded, as it remembers them longer than it counts their heartbeats. False for some time after a
+// stall of this process, which delays heartbeats too.
 bool ConnectivityMonitor::all_workers_silent(std::size_t workers_forwarded) const {
-  if (runtime_.now() - resumed_at_ <= direct_heartbeats_.window_s()) return false;
+  if (runtime_.now() - stall_ended_at_ <= direct_heartbeats_.window_s()) return false;
   return leadership_.leading() ? failure_detector_.totals().unreachable()
                                : workers_forwarded >= FailureDetector::GroupCount::kMinWorkers;
 }
 
 void ConnectivityMonitor::update_worker_reachability(std::uint32_t heartbeats, std::size_t workers_forwarded) {
   const double now = runtime_.now();
-  const bool forwarded_here = leadership_.leading() && now - last_heartbeat_at_ < direct_heartbeats_.window_s();
-  if (heartbeats > 0 || forwarded_here) {
-    own_.workers = WorkerReachability::Reachable;
-    unreachable_since_.reset();
+  const bool receives_forwarded_heartbeats =
+      leadership_.leading() && now - last_heartbeat_at_ < direct_heartbeats_.window_s();
+  if (heartbeats > 0 || receives_forwarded_heartbeats) {
+    own_record_.workers = WorkerReachability::Reachable;
+    workers_unreachable_since_.reset();
     return;
   }
   if (all_workers_silent(workers_forwarded)) {
-    if (!unreachable_since_) unreachable_since_ = now;
-    const bool recent = now - *unreachable_since_ < kUnreachableValidityS;
-    own_.workers = recent || leadership_.leading() ? WorkerReachability::Unreachable : WorkerReachability::Unknown;
+    if (!workers_unreachable_since_) workers_unreachable_since_ = now;
+    const bool recently_unreachable = now - *workers_unreachable_since_ < kUnreachableValidityS;
+    own_record_.workers =
+        recently_unreachable || leadership_.leading() ? WorkerReachability::Unreachable : WorkerReachability::Unknown;
     return;
   }
-  const bool still_unreachable = own_.workers == WorkerReachability::Unreachable && unreachable_since_ &&
-                                 now - *unreachable_since_ <= kUnreachableValidityS;
-  if (!still_unreachable) own_.workers = WorkerReachability::Unknown;
+  const bool still_unreachable = own_record_.workers == WorkerReachability::Unreachable && workers_unreachable_since_ &&
+                                 now - *workers_unreachable_since_ <= kUnreachableValidityS;
+  if (!still_unreachable) own_record_.workers = WorkerReachability::Unknown;
 }
 
 ProviderHealth ConnectivityMonitor::provider_health() const {
@@ -123,10 +127,11 @@
 
 std::vector<ConnectivityMonitor::Link> ConnectivityMonitor::links() const {
   const double now = runtime_.now();
-  std::vector<Link> all{{std::string(kStateServiceTarget),
-                         now - runtime_.state_service_answered_at() < kLogLinkDownAfterS, "no responses"},
-                        {std::string(kWorkersTarget), own_.workers != WorkerReachability::Unreachable, "no heartbeats"},
-                        {std::string(kProviderTarget), own_.cloud != ProviderHealth::Unhealthy, "recent calls failed"}};
+  std::vector<Link> all{
+      {std::string(kStateServiceTarget), now - runtime_.state_service_answered_at() < kLogLinkDownAfterS,
+       "no responses"},
+      {std::string(kWorkersTarget), own_record_.workers != WorkerReachability::Unreachable, "no heartbeats"},
+      {std::string(kProviderTarget), own_record_.cloud != ProviderHealth::Unhealthy, "recent calls failed"}};
   for (const ReplicaIndex replica : replicas_.indices()) {
     const bool answered = now - replicas_[replica].status_as_of < kLogLinkDownAfterS;
     all.push_back({replicas_.name(replica), answered, "no ping responses"});
@@ -138,11 +143,11 @@
 void ConnectivityMonitor::log_link_changes() {
   if (runtime_.uptime_s() < kMinUptimeToLogLinksS) return;
   const std::vector<Link> current = links();
-  logged_up_.resize(current.size(), true);
+  logged_link_up_.resize(current.size(), true);
   for (std::size_t i = 0; i < current.size(); ++i) {
     const Link &link = current[i];
-    if (logged_up_[i] == link.up) continue;
-    logged_up_[i] = link.up;
+    if (logged_link_up_[i] == link.up) continue;
+    logged_link_up_[i] = link.up;
     if (link.up)
       runtime_.log(LogLevel::Info, "connectivity_restored", {{"target", link.target}});
     else
@@ -150,8 +155,8 @@
   }
 }
 
-// Whether a link to another replica is down in either direction: its status on the link that this replica dials, or its
-// pings on the link that it dials.
+// Whether some replica has recently not answered pings on the link that this replica dials, or has sent none on the
+// link that it dials itself.
 bool ConnectivityMonitor::any_peer_link_down() const {
   const auto &indices = replicas_.indices();
   return std::any_of(indices.begin(), indices.end(), [this](ReplicaIndex replica) {
@@ -164,7 +169,7 @@
   const ReplicaState &state = replicas_[replica];
   const double age_s = runtime_.now() - state.status_as_of;
   if (age_s >= kPeerStatusValidityS) return records_.find(replica);
-  // A replica cannot lead without the state service.
+  // Without the state service it cannot become leader.
   if (state.state_service_lost) return std::nullopt;
   return ReplicaConnectivity{state.connectivity, age_s, true};
 }
@@ -179,7 +184,7 @@
   });
 }
 
-// Scores how poorly connected a replica is for leading; 0 is best.
+// Scores how unfit for leading a replica is by its connectivity; 0 is best.
 int ConnectivityMonitor::leader_penalty(const ConnectivityRecord &record) const {
   constexpr int forwarded_only = 1;
   constexpr int workers_unknown = 2;
@@ -198,8 +203,9 @@
   return penalty;
 }
 
+// Delays this replica's election in proportion to how much better connected the best replica is.
 void ConnectivityMonitor::update_election_delay(const StepDownPolicy::ConnectivityByReplica &others) {
-  const int own_penalty = leader_penalty(own_);
+  const int own_penalty = leader_penalty(own_record_);
   int best_penalty = own_penalty;
   for (const auto &other : others)
     if (other) best_penalty = std::min(best_penalty, leader_penalty(other->record));
--- a/src/core/connectivity/connectivity_record_store.cpp
+++ b/src/core/connectivity/connectivity_record_store.cpp
@@ -16,17 +16,17 @@
 
 constexpr double kMaxWritesPerMinute = 6;
 constexpr double kMaxWriteBurst = 6;
-constexpr double kRewriteAfterS = 5.0;
+constexpr double kRewriteAfterS = 5.0; // while workers reach this replica
 
 constexpr double kListIntervalS = 2.0;
 constexpr double kUrgentListIntervalS = 0.5;
 constexpr double kListValidityS = 3.0;
-constexpr double kReachableValidityS = 15.0; // of the statement that workers reach the replica
+constexpr double kReachableValidityS = 15.0; // age up to which a record shows that workers reach its replica
 
 constexpr std::size_t kMaxSenderDigits = 3;
-constexpr int kSenders = 256;
+constexpr int kSenderNumbers = 256;
 
-// Worker counts that differ by less than a factor of four fall into the same or neighbouring classes.
+// Groups worker counts into classes by powers of four, so that only a large change causes a write.
 int worker_count_class(std::uint16_t workers) {
   return static_cast<int>(std::log2(workers + 1.0) / 2);
 }
@@ -37,7 +37,7 @@
   if (digits.empty() || digits.size() > kMaxSenderDigits) return std::nullopt;
   if (digits.find_first_not_of("0123456789") != std::string::npos) return std::nullopt;
   const int number = std::stoi(digits);
-  if (number >= kSenders) return std::nullopt;
+  if (number >= kSenderNumbers) return std::nullopt;
   return static_cast<std::uint8_t>(number);
 }
 } // namespace
@@ -59,14 +59,14 @@
   lease_.request_grant([this](std::optional<StateServiceLease::Id> granted) {
     if (!granted) return;
     lease_.hold(*granted);
-    written_.reset();
+    written_record_.reset();
     lease_.schedule_request(kRenewalIntervalS);
   });
 }
 
 // A change of worker reachability to Unknown is not written: the record's age already shows it.
-bool ConnectivityRecordStore::changed_significantly(const ConnectivityRecord &own_record) const {
-  const ConnectivityRecord &previous = *written_;
+bool ConnectivityRecordStore::needs_rewrite(const ConnectivityRecord &own_record) const {
+  const ConnectivityRecord &previous = *written_record_;
   if (own_record.workers != previous.workers && own_record.workers != WorkerReachability::Unknown) return true;
   if (own_record.cloud != previous.cloud) return true;
   if (!reachable_by_workers(own_record, settings_)) return false;
@@ -78,21 +78,21 @@
 void ConnectivityRecordStore::publish(const ConnectivityRecord &own_record, bool peer_link_down) {
   maintain_lease();
   if (!lease_.id() || replicas_.state_service_lost()) return;
-  // While all peer links are up, pings carry the record.
-  const bool changed = !written_ || (peer_link_down && changed_significantly(own_record));
-  if (changed && write_budget_.take(runtime_.now())) write(own_record);
+  // While all peer links are up, pings carry the record, so the stored one may be outdated.
+  const bool write_wanted = !written_record_ || (peer_link_down && needs_rewrite(own_record));
+  if (write_wanted && write_budget_.take(runtime_.now())) write(own_record);
 }
 
 void ConnectivityRecordStore::write(const ConnectivityRecord &own_record) {
-  written_ = own_record;
+  written_record_ = own_record;
   written_at_ = runtime_.now();
   const StoredConnectivityRecord record{own_record, runtime_.wall()};
   const std::string key = kKeyPrefix + std::to_string(replicas_.own_sender_number());
   StoreCommit commit{{}, {{key, wire::to_json(record), *lease_.id()}}};
   runtime_.store(std::move(commit), kRequestTimeoutS, [this, lease = lease_.id()](const wire::StoreReply &reply) {
-    if (lease != lease_.id()) return;
+    if (lease != lease_.id()) return;         // this lease has been replaced or forgotten
     if (reply.status == 400) lease_.forget(); // the lease does not exist any more
-    if (reply.status != 200) written_.reset();
+    if (reply.status != 200) written_record_.reset();
   });
 }
 
@@ -105,11 +105,11 @@
                    list_in_flight_ = false;
                    if (reply.status != 200) return;
                    listed_at_ = requested_at;
-                   update_records(reply.entries);
+                   replace_records(reply.entries);
                  });
 }
 
-void ConnectivityRecordStore::update_records(const std::vector<wire::KeyValue> &entries) {
+void ConnectivityRecordStore::replace_records(const std::vector<wire::KeyValue> &entries) {
   std::fill(records_.begin(), records_.end(), std::nullopt);
   for (const wire::KeyValue &entry : entries) {
     const auto record = wire::connectivity_from_json(entry.value);
@@ -123,13 +123,15 @@
 std::optional<ReplicaConnectivity> ConnectivityRecordStore::find(ReplicaIndex replica) const {
   const auto &stored = records_[replica.position()];
   if (!stored || runtime_.now() - listed_at_ > kListValidityS) return std::nullopt;
-  ReplicaConnectivity found{stored->connectivity, std::max(0.0, runtime_.wall() - stored->recorded_at_wall), false};
-  if (found.age_s > kReachableValidityS) {
-    if (found.record.workers == WorkerReachability::Reachable) found.record.workers = WorkerReachability::Unknown;
-    found.record.last_forwardable_heartbeat_age_s = ConnectivityRecord::kMaxAgeS;
+  ReplicaConnectivity connectivity{stored->connectivity, std::max(0.0, runtime_.wall() - stored->recorded_at_wall),
+                                   false};
+  if (connectivity.age_s > kReachableValidityS) {
+    if (connectivity.record.workers == WorkerReachability::Reachable)
+      connectivity.record.workers = WorkerReachability::Unknown;
+    connectivity.record.last_forwardable_heartbeat_age_s = ConnectivityRecord::kMaxAgeS;
   }
-  if (found.age_s > kUnreachableValidityS) found.record = {};
-  return found;
+  if (connectivity.age_s > kUnreachableValidityS) connectivity.record = {};
+  return connectivity;
 }
 
 } // namespace loftrouter::core
--- a/src/core/connectivity/recent_heartbeats.cpp
+++ b/src/core/connectivity/recent_heartbeats.cpp
@@ -6,19 +6,19 @@
 
 namespace loftrouter::core {
 
-void RecentHeartbeats::record(int zone, double now) {
+void RecentHeartbeats::add(int zone_index, double now) {
   if (buckets_.empty() || now - buckets_.back().started_at >= kBucketS) buckets_.push_back({now, {}});
   while (now - buckets_.front().started_at > window_s_)
     buckets_.pop_front();
-  ++grown(buckets_.back().by_zone, zone);
+  ++grown(buckets_.back().by_zone, zone_index);
 }
 
 std::vector<std::uint32_t> RecentHeartbeats::by_zone(double now) const {
   std::vector<std::uint32_t> counts;
   for (const Bucket &bucket : buckets_) {
     if (now - bucket.started_at > window_s_) continue;
-    for (std::size_t zone = 0; zone < bucket.by_zone.size(); ++zone)
-      grown(counts, static_cast<int>(zone)) += bucket.by_zone[zone];
+    for (std::size_t zone_index = 0; zone_index < bucket.by_zone.size(); ++zone_index)
+      grown(counts, static_cast<int>(zone_index)) += bucket.by_zone[zone_index];
   }
   return counts;
 }
--- a/src/core/connectivity/replicas.cpp
+++ b/src/core/connectivity/replicas.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr double kStateServiceLostAfterS = 1.5;
-constexpr double kReportValidityS = 3.0; // age up to which a ping or status is used
+constexpr double kReportValidityS = 3.0; // age up to which the contents of a ping or pong are used
 
 // Limits of the wire format: rates are tenths in 16 bits, the uptime is milliseconds in 32 bits.
 constexpr double kMaxRateTenths = 6e4;
@@ -28,7 +28,7 @@
     : runtime_(runtime), settings_(settings), leadership_(leadership), state_limits_(state_limits),
       cancellations_(cancellations), states_(settings.replicas.size()),
       // Random, so that a pong to a ping of an earlier process of this replica is not accepted.
-      last_nonce_(runtime.nonce()) {
+      last_ping_nonce_(runtime.nonce()) {
   std::vector<std::pair<std::string, ReplicaIndex>> names{{settings_.node, ReplicaIndex()}};
   for (std::size_t i = 0; i < settings_.replicas.size(); ++i) {
     indices_.emplace_back(i);
@@ -45,7 +45,7 @@
   return sender_number < replicas_by_sender_number_.size() ? replicas_by_sender_number_[sender_number] : ReplicaIndex();
 }
 
-void Replicas::share_state_service_limits() {
+void Replicas::rebalance_state_service_limits() {
   std::vector<std::optional<StateServiceLimits::Usage>> usages;
   for (const ReplicaState &state : states_) {
     const bool recent = runtime_.now() - state.status_as_of < kReportValidityS;
@@ -56,18 +56,18 @@
 
 void Replicas::send_pings() {
   next_ping_at_ = runtime_.now() + kPingIntervalS;
-  share_state_service_limits();
+  rebalance_state_service_limits();
   for (const ReplicaIndex replica : indices_) {
-    wire::PeerMessage message;
-    message.kind = wire::PeerMessage::Kind::Ping;
-    message.nonce = ++last_nonce_ | wire::kKnowsDependencies;
-    message.term = leadership_.highest_term();
-    message.sender = own_sender_number_;
-    message.connectivity = own_connectivity_;
+    wire::PeerMessage ping;
+    ping.kind = wire::PeerMessage::Kind::Ping;
+    ping.nonce = ++last_ping_nonce_ | wire::kKnowsDependencies;
+    ping.term = leadership_.highest_term();
+    ping.sender = own_sender_number_;
+    ping.connectivity = own_connectivity_;
     ReplicaState &state = states_[replica.position()];
-    state.ping_nonce = message.nonce;
+    state.ping_nonce = ping.nonce;
     state.ping_sent_at = runtime_.now();
-    runtime_.send({replica, 0, std::move(message)});
+    runtime_.send({.replica = replica, .link = 0, .message = std::move(ping)});
   }
 }
 
@@ -78,44 +78,44 @@
     state.supports_dependencies = cmd.message.nonce & wire::kKnowsDependencies;
     state.connectivity_in_ping = cmd.message.connectivity;
   }
-  wire::PeerMessage message;
-  message.kind = wire::PeerMessage::Kind::Pong;
-  message.nonce = cmd.message.nonce;
-  message.term = service_status.leads ? leadership_.term() : leadership_.highest_term();
-  message.cancelled = cancellations_.recent();
-  // Leaders of the previous version decide by this flag alone whether to renew leases. It is therefore not set while
-  // the frame cannot hold all recent cancellations.
-  message.cut_off = state_service_lost() && cancellations_.recent_is_complete();
-  message.connectivity = own_connectivity_;
-  message.sender = own_sender_number_;
-  message.leads = service_status.leads;
-  message.spreads = service_status.wants_forwarding;
-  message.forwards_heartbeats = service_status.can_forward;
-  message.store_reads = rate_in_tenths(state_limits_.usage().reads_per_s);
-  message.store_writes = rate_in_tenths(state_limits_.usage().writes_per_s);
-  message.uptime_ms = static_cast<std::uint32_t>(std::min(kMaxUptimeMs, runtime_.uptime_s() * 1000));
-  runtime_.send({ReplicaIndex(), cmd.link, std::move(message)});
+  wire::PeerMessage pong;
+  pong.kind = wire::PeerMessage::Kind::Pong;
+  pong.nonce = cmd.message.nonce;
+  pong.term = service_status.leads ? leadership_.term() : leadership_.highest_term();
+  pong.cancelled = cancellations_.recent();
+  // Leaders of the previous version renew leases if this flag is set, without checking cancellations. It is therefore
+  // not set while the frame cannot hold all recent cancellations.
+  pong.cut_off = state_service_lost() && cancellations_.recent_is_complete();
+  pong.connectivity = own_connectivity_;
+  pong.sender = own_sender_number_;
+  pong.leads = service_status.leads;
+  pong.spreads = service_status.wants_forwarding;
+  pong.forwards_heartbeats = service_status.can_forward;
+  pong.store_reads = rate_in_tenths(state_limits_.usage().reads_per_s);
+  pong.store_writes = rate_in_tenths(state_limits_.usage().writes_per_s);
+  pong.uptime_ms = static_cast<std::uint32_t>(std::min(kMaxUptimeMs, runtime_.uptime_s() * 1000));
+  runtime_.send({.replica = {}, .link = cmd.link, .message = std::move(pong)});
 }
 
 bool Replicas::accept_pong(const PeerMessageCommand &cmd) {
   if (!cmd.replica.valid() || cmd.replica.position() >= states_.size()) return false;
-  const wire::PeerMessage &message = cmd.message;
+  const wire::PeerMessage &pong = cmd.message;
   ReplicaState &state = states_[cmd.replica.position()];
-  if (message.nonce != state.ping_nonce) return false; // answers an earlier ping
-  state.status_as_of = state.ping_sent_at;             // the status cannot be older than the ping
-  state.uptime_s = message.uptime_ms / 1000.0;
-  state.state_service_lost = message.cut_off;
-  state.service_status = {message.leads, message.spreads, message.forwards_heartbeats};
-  state.term = message.term;
-  state.connectivity = message.connectivity;
-  state.state_service_usage = {rate_from_tenths(message.store_reads), rate_from_tenths(message.store_writes)};
-  cancellations_.confirmed_by_replica(cmd.replica.position(), state.status_as_of, state.uptime_s, message.cancelled);
+  if (pong.nonce != state.ping_nonce) return false; // answers an earlier ping
+  state.status_as_of = state.ping_sent_at;          // the status cannot be older than the ping
+  state.uptime_s = pong.uptime_ms / 1000.0;
+  state.state_service_lost = pong.cut_off;
+  state.service_status = {pong.leads, pong.spreads, pong.forwards_heartbeats};
+  state.term = pong.term;
+  state.connectivity = pong.connectivity;
+  state.state_service_usage = {rate_from_tenths(pong.store_reads), rate_from_tenths(pong.store_writes)};
+  cancellations_.confirmed_by_replica(cmd.replica.position(), state.status_as_of, state.uptime_s, pong.cancelled);
   return true;
 }
 
 void Replicas::broadcast(const wire::PeerMessage &message) {
   for (const ReplicaIndex replica : indices_)
-    runtime_.send({replica, 0, message});
+    runtime_.send({.replica = replica, .link = 0, .message = message});
 }
 
 bool Replicas::some_replica_lacks_dependencies() const {
--- a/src/core/election/leadership.cpp
+++ b/src/core/election/leadership.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr double kLeaseTtlS = 4.0;
-constexpr double kLeaseMarginS = 0.02; // clock resolution
+constexpr double kLeaseMarginS = 0.02; // allows for the clock resolution
 constexpr double kRenewalIntervalS = 1.0;
 constexpr double kRenewalRetryS = 0.3;
 
@@ -73,9 +73,9 @@
   }
 }
 
-void Leadership::become(Role next) {
+void Leadership::change_role(Role next) {
   assert(transition_allowed(role_, next));
-  // Requests sent while loading stay valid when the term begins.
+  // Responses to requests sent while loading are still accepted after the term has begun.
   if (next != Role::Leading) ++epoch_;
   role_ = next;
 }
@@ -87,25 +87,26 @@
     poll_in_flight_ = false;
     if (role_ != Role::Follower) return;
     if (reply.status == 200 && reply.entries.size() == 1)
-      leader_key_read(reply.entries.front());
+      on_leader_key_read(reply.entries.front());
     else if (reply.status == 404)
-      leader_key_absent();
+      on_leader_key_absent();
   });
 }
 
-void Leadership::leader_key_read(const wire::KeyValue &entry) {
+void Leadership::on_leader_key_read(const wire::KeyValue &entry) {
   const auto record = wire::leader_from_json(entry.value);
   if (!record) return;
-  // A follower's own key is left from a term that it has ended, or from an earlier process.
+  // A follower finds its own name if the key is left from its last term, or from an earlier process of this replica.
   leader_name_ = record->node == settings_.node ? "" : record->node;
   leader_term_ = entry.mod_revision;
+  // Versions that support job dependencies set this bit of the nonce.
   leader_supports_dependencies_ = record->nonce & wire::kKnowsDependencies;
   highest_term_ = std::max(highest_term_, leader_term_);
   leader_seen_at_ = runtime_.now();
   leader_absent_since_.reset();
 }
 
-void Leadership::leader_key_absent() {
+void Leadership::on_leader_key_absent() {
   if (!leader_name_.empty() || leaderless_since_wall_ <= 0) leaderless_since_wall_ = runtime_.wall();
   leader_name_.clear();
   if (!leader_absent_since_) leader_absent_since_ = runtime_.now();
@@ -115,14 +116,14 @@
 }
 
 void Leadership::run_for_leader() {
-  become(Role::Candidate);
+  change_role(Role::Candidate);
   const double requested_at = runtime_.now();
   lease_.request_grant([this, requested_at, epoch = epoch_](std::optional<StateServiceLease::Id> lease) {
     if (epoch != epoch_) return;
     if (lease)
       commit_leader_key(*lease, requested_at);
     else
-      election_lost();
+      on_election_lost();
   });
 }
 
@@ -132,15 +133,15 @@
   runtime_.store(std::move(commit), kRequestTimeoutS,
                  [this, lease, lease_requested_at, epoch = epoch_](const wire::StoreReply &reply) {
                    if (epoch != epoch_) return;
-                   if (reply.status == 200) return elected(reply.revision, lease, lease_requested_at);
+                   if (reply.status == 200) return on_elected(reply.revision, lease, lease_requested_at);
                    // A commit whose outcome is unknown may still be applied later; revoking its lease prevents that.
                    lease_.revoke(lease);
-                   election_lost();
+                   on_election_lost();
                  });
 }
 
-void Leadership::elected(std::uint64_t term, StateServiceLease::Id lease, double lease_requested_at) {
-  become(Role::Loading);
+void Leadership::on_elected(std::uint64_t term, StateServiceLease::Id lease, double lease_requested_at) {
+  change_role(Role::Loading);
   term_ = term;
   highest_term_ = std::max(highest_term_, term_);
   lease_.hold(lease);
@@ -154,8 +155,8 @@
   events_.publish(LeaderElected{term_, unaccounted_until});
 }
 
-void Leadership::election_lost() {
-  become(Role::Follower);
+void Leadership::on_election_lost() {
+  change_role(Role::Follower);
   abstain_until_ = runtime_.now() + kMaxBackoffAfterLostElectionS * runtime_.random();
   next_poll_at_ = runtime_.now() + kPollAfterLostElectionS;
 }
@@ -182,11 +183,12 @@
 }
 
 void Leadership::begin_term() {
-  become(Role::Leading);
+  change_role(Role::Leading);
   leading_since_ = runtime_.now();
   leading_since_wall_ = runtime_.wall();
   leader_name_ = settings_.node;
-  failover_at_ = leader_term_ > 0 ? runtime_.now() : -1e9;
+  const bool replaced_another_leader = leader_term_ > 0;
+  failover_at_ = replaced_another_leader ? runtime_.now() : -1e9;
   leader_term_ = 0;
   leader_absent_since_.reset();
   events_.publish(TermStarted{term_});
@@ -201,7 +203,7 @@
 void Leadership::step_down(std::string_view reason) {
   if (role_ == Role::Follower) return;
   events_.publish(TermEnded{term_, std::string(reason)});
-  become(Role::Follower);
+  change_role(Role::Follower);
   lease_valid_until_ = -1e9;
   lease_.revoke();
   leader_name_.clear();
--- a/src/core/heartbeats/heartbeat_forwarder.cpp
+++ b/src/core/heartbeats/heartbeat_forwarder.cpp
@@ -5,7 +5,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kSuspensionS = 2.0; // time for the redirected workers to reach the leader
+constexpr double kSuspensionS = 2.0; // time in which the redirected workers can contact the leader
 constexpr double kPruneIntervalS = 1.0;
 } // namespace
 
@@ -23,8 +23,8 @@
   return pending_.add(request, now + kResponseTimeoutS, worker);
 }
 
-std::optional<RequestId> HeartbeatForwarder::complete(std::uint64_t number, bool worker_stays) {
-  const auto heartbeat = pending_.complete(number);
+std::optional<RequestId> HeartbeatForwarder::complete(std::uint64_t request_number, bool worker_stays) {
+  const auto heartbeat = pending_.complete(request_number);
   if (!heartbeat) return std::nullopt;
   if (!worker_stays) forget(heartbeat->context);
   return heartbeat->request;
@@ -42,10 +42,10 @@
 
 std::vector<RequestId> HeartbeatForwarder::give_up_all() {
   const double previous_suspended_until = suspended_until_;
-  auto expired = expire(std::numeric_limits<double>::infinity());
-  suspended_until_ = previous_suspended_until;
+  auto requests = expire(std::numeric_limits<double>::infinity());
+  suspended_until_ = previous_suspended_until; // `expire` suspends forwarding
   workers_.clear();
-  return expired;
+  return requests;
 }
 
 } // namespace loftrouter::core
--- a/src/core/heartbeats/heartbeat_handler.cpp
+++ b/src/core/heartbeats/heartbeat_handler.cpp
@@ -7,18 +7,18 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kStatusValidityS = 1.2;       // of a replica's status
-constexpr double kLeaderKeyValidityS = 3.0;    // of the leader key as last read
-constexpr double kMinRedirectIntervalS = 60.0; // for the same worker
-constexpr double kForwardingAfterOutageS = 30.0;
+constexpr double kStatusValidityS = 1.2;         // age up to which a replica's status is used
+constexpr double kLeaderKeyValidityS = 3.0;      // age up to which the leader key as last read is used
+constexpr double kMinRedirectIntervalS = 60.0;   // for the same worker
+constexpr double kForwardingAfterOutageS = 30.0; // for how long forwarding stays enabled
 
 // Shares of the process's file descriptors that worker connections may use.
 constexpr double kForwarderConnectionShare = 0.6;
 constexpr double kLeaderConnectionShare = 0.4;
 constexpr double kMinConnections = 4.0;
 
-// Direct heartbeats per second and processor core that a leader accepts. Beyond that, other replicas forward them,
-// which leaves most of the processor for scheduling. See docs/fleet-scale.md.
+// Direct heartbeats per second and processor core above which a leader wants other replicas to forward heartbeats, so
+// that most of the processor is left for scheduling. See docs/fleet-scale.md.
 constexpr double kDirectHeartbeatsPerCore = 600; // per second
 
 constexpr int kStatusOk = 200;
@@ -27,8 +27,8 @@
 
 constexpr std::string_view kHigherTermReported = "a worker reported a higher term";
 
-std::size_t connection_limit(const Settings &settings, double share) {
-  return static_cast<std::size_t>(std::max(kMinConnections, share * settings.fd_limit));
+std::size_t connection_limit(const Settings &settings, double fd_share) {
+  return static_cast<std::size_t>(std::max(kMinConnections, fd_share * settings.fd_limit));
 }
 
 double worker_expiry_s(const Settings &settings) {
@@ -101,8 +101,8 @@
   if (position < redirected_at_.size()) redirected_at_[position] = -1e9;
 }
 
-// Whether a heartbeat is not a delayed duplicate, which would not show that the worker can reach this replica. Only a
-// leader can tell; a follower returns true.
+// Whether a heartbeat is newer than the last one of its worker. An older one was delayed, so it does not show that the
+// worker can still reach this replica. Only a leader can tell; a follower returns true.
 bool HeartbeatHandler::newer_than_known(const Heartbeat &heartbeat) const {
   const MachineIndex known = leadership_.leading() ? workers_.index(heartbeat.machine) : MachineIndex();
   if (!known.valid()) return true;
@@ -125,12 +125,12 @@
   const ReplicaIndex forwarder = replicas_.by_sender(cmd.message.sender);
   if (!forwarder.valid()) return std::nullopt; // not a configured replica
   connectivity_.forwarded_heartbeat_received();
-  return accept({.link = cmd.link, .number = cmd.message.nonce, .forwarder = forwarder}, cmd.message.heartbeat);
+  return accept({.link = cmd.link, .request_number = cmd.message.nonce, .forwarder = forwarder}, cmd.message.heartbeat);
 }
 
 std::string_view HeartbeatHandler::reason_to_refuse(const Heartbeat &heartbeat) const {
-  if (!replicas_.may_answer_heartbeats()) return "leadership is being renewed";
-  // A heartbeat of a machine that has been scaled in was delayed in the network.
+  if (!replicas_.may_answer_heartbeats()) return "this leader may not renew worker leases at present";
+  // A machine that has been scaled in sends no heartbeats, so this one was delayed in the network.
   if (workers_.removed_at(heartbeat.machine)) return "this machine has been scaled in";
   if (refusal_condition_ && refusal_condition_(heartbeat)) return "delegated tasks on this machine are being confirmed";
   return {};
@@ -171,8 +171,8 @@
 }
 
 void HeartbeatHandler::respond(AcceptedHeartbeat &&heartbeat) {
-  const bool may_start = leadership_.active() && replicas_.may_answer_heartbeats();
-  workers_.build_response(heartbeat.machine, may_start, heartbeat.commands);
+  const bool may_start_tasks = leadership_.active() && replicas_.may_answer_heartbeats();
+  workers_.build_response(heartbeat.machine, may_start_tasks, heartbeat.commands);
   if (heartbeat.source.direct())
     runtime_.reply(heartbeat.source.request, kStatusOk, wire::encode_commands(leadership_.term(), heartbeat.commands));
   else
@@ -200,34 +200,34 @@
 void HeartbeatHandler::send_to_forwarder(const HeartbeatSource &source, int status, std::vector<TaskCommand> commands) {
   wire::PeerMessage message;
   message.kind = wire::PeerMessage::Kind::Commands;
-  message.nonce = source.number;
+  message.nonce = source.request_number;
   message.term = status == kStatusOk ? leadership_.term() : leadership_.highest_term();
   message.sender = replicas_.own_sender_number();
   message.status = static_cast<std::uint16_t>(status);
   message.commands = std::move(commands);
-  runtime_.send({ReplicaIndex(), source.link, std::move(message)});
+  runtime_.send({.replica = {}, .link = source.link, .message = std::move(message)});
 }
 
 void HeartbeatHandler::forward(HeartbeatCommand &&cmd) {
   leadership_.observe_term(cmd.report.fencing_token, kHigherTermReported);
   const ReplicaIndex target = forwarding_target(); // observing the term may have changed it
-  const auto number =
+  const auto request_number =
       target.valid() ? forwarder_.add(cmd.req, cmd.report.machine, runtime_.now()) : std::optional<std::uint64_t>();
-  if (!number) return redirect_to_leader(cmd.req);
+  if (!request_number) return redirect_to_leader(cmd.req);
   balancer_.count_direct();
   wire::PeerMessage message;
   message.kind = wire::PeerMessage::Kind::Heartbeat;
-  message.nonce = *number;
+  message.nonce = *request_number;
   message.term = leadership_.highest_term();
   message.sender = replicas_.own_sender_number();
   message.heartbeat = std::move(cmd.report);
-  runtime_.send({target, 0, std::move(message)});
+  runtime_.send({.replica = target, .link = 0, .message = std::move(message)});
 }
 
 void HeartbeatHandler::handle_response(const wire::PeerMessage &message) {
   const bool worker_stays = message.status != kStatusRedirect;
   const auto request = forwarder_.complete(message.nonce, worker_stays);
-  if (!request) return; // expired
+  if (!request) return; // already answered or expired
   if (message.status == kStatusOk && message.term >= leadership_.highest_term())
     return runtime_.reply(*request, kStatusOk, wire::encode_commands(message.term, message.commands));
   if (message.status == kStatusRefused) return runtime_.refuse(*request, "the leader refused this heartbeat");
--- a/src/core/liveness/failure_detector.cpp
+++ b/src/core/liveness/failure_detector.cpp
@@ -14,7 +14,7 @@
 constexpr double kWorkerRetryS = 5.0;    // time that a worker spends on an unresponsive replica
 // Minimum time allowed for a running machine's first heartbeat to a new leader.
 constexpr double kMinFirstHeartbeatS = 10.0;
-constexpr std::size_t kDirectPath = 0; // then 1 + replica index, then unknown
+constexpr std::size_t kDirectPath = 0;
 } // namespace
 
 std::size_t FailureDetector::path_of(const Machine &machine) const {
@@ -25,8 +25,8 @@
 
 std::optional<double> FailureDetector::overdue_since(const Machine &machine) const {
   if (machine.returning() || machine.listing.failed || machine.type < 0) return std::nullopt;
-  const bool boots = !machine.heartbeat.received() && !machine.listing.running;
-  if (boots) return std::nullopt;
+  const bool booting = !machine.heartbeat.received() && !machine.listing.running;
+  if (booting) return std::nullopt;
   const double since = machine.heartbeat.received() ? machine.heartbeat.last_accepted_at : machine.known_since;
   return runtime_.now() - since > heartbeat_timeout_s(settings_) ? std::optional(since) : std::nullopt;
 }
@@ -39,10 +39,10 @@
   if (!leadership_.leading() || runtime_.now() < next_count_at_) return;
   next_count_at_ = runtime_.now() + kCountIntervalS;
   count_machines();
-  mark_unreachable_groups();
-  const std::string unreachable = unreachable_group_names();
-  outage_detected_ = !unreachable.empty();
-  log_change(unreachable);
+  update_outages();
+  const std::string unreachable_groups = unreachable_group_names();
+  outage_detected_ = !unreachable_groups.empty();
+  log_change(unreachable_groups);
 }
 
 void FailureDetector::count_machines() {
@@ -55,14 +55,14 @@
     if (machine.type < 0 || machine.returning() || machine.listing.failed) return;
     const bool overdue = overdue_since(machine).has_value();
     if (!machine.heartbeat.received() && !overdue) return;
-    const GroupCount machine_count{.known = 1, .overdue = overdue ? std::size_t(1) : 0};
-    paths_[path_of(machine)].count.add(machine_count);
-    grown(zones_, machine.zone).count.add(machine_count);
-    totals_.add(machine_count);
+    const GroupCount this_machine{.known = 1, .overdue = overdue ? std::size_t(1) : 0};
+    paths_[path_of(machine)].count.add(this_machine);
+    grown(zones_, machine.zone).count.add(this_machine);
+    totals_.add(this_machine);
   });
 }
 
-void FailureDetector::mark_unreachable_groups() {
+void FailureDetector::update_outages() {
   for (auto *groups : {&paths_, &zones_})
     for (Group &group : *groups)
       if (group.count.unreachable()) group.unreachable_at = runtime_.now();
@@ -78,7 +78,7 @@
 std::string FailureDetector::unreachable_group_names() const {
   if (totals_.unreachable()) return "all";
   std::vector<std::string> groups;
-  const std::size_t known_paths = paths_.size() - 1;
+  const std::size_t known_paths = paths_.size() - 1; // the last is unknown
   for (std::size_t i = 0; i < known_paths; ++i) {
     if (!paths_[i].count.unreachable()) continue;
     groups.push_back(i == kDirectPath ? "direct" : "forwarded by " + settings_.replicas[i - 1].node);
@@ -88,22 +88,22 @@
   return fmt::format("{}", fmt::join(groups, ", "));
 }
 
-void FailureDetector::log_change(const std::string &unreachable) {
-  if (unreachable == logged_groups_) return;
-  logged_groups_ = unreachable;
-  if (unreachable.empty())
+void FailureDetector::log_change(const std::string &unreachable_groups) {
+  if (unreachable_groups == logged_groups_) return;
+  logged_groups_ = unreachable_groups;
+  if (unreachable_groups.empty())
     runtime_.log(LogLevel::Info, "heartbeats_resumed", {{"machines", totals_.known}, {"overdue", totals_.overdue}});
   else
     runtime_.log(LogLevel::Info, "heartbeats_lost",
-                 {{"groups", unreachable}, {"machines", totals_.known}, {"overdue", totals_.overdue}});
+                 {{"groups", unreachable_groups}, {"machines", totals_.known}, {"overdue", totals_.overdue}});
 }
 
 bool FailureDetector::recently_unreachable(double unreachable_at) const {
   return runtime_.now() - unreachable_at < heartbeat_timeout_s(settings_);
 }
 
-bool FailureDetector::recently_unreachable(const std::vector<Group> &groups, std::size_t group) const {
-  return group < groups.size() && recently_unreachable(groups[group].unreachable_at);
+bool FailureDetector::recently_unreachable(const std::vector<Group> &groups, std::size_t group_index) const {
+  return group_index < groups.size() && recently_unreachable(groups[group_index].unreachable_at);
 }
 
 FailureDetector::Cause FailureDetector::cause_of(MachineIndex machine_index) const {
@@ -128,9 +128,9 @@
   if (!since) return false;
   const double silence_s = runtime_.now() - *since;
   if (cause_of(machine_index) != Cause::Machine) return silence_s < replacement_cost_s(machine);
-  const double first_heartbeat_s =
+  const double first_heartbeat_timeout_s =
       std::max(kMinFirstHeartbeatS, settings_.lease_s + 2 * settings_.heartbeat_interval_s);
-  return !machine.heartbeat.received() && silence_s < first_heartbeat_s;
+  return !machine.heartbeat.received() && silence_s < first_heartbeat_timeout_s;
 }
 
 bool FailureDetector::must_not_replace(MachineIndex machine_index) const {
@@ -141,7 +141,7 @@
   switch (cause_of(machine_index)) {
   case Cause::All:
     return silence_s < replacement_cost_s(machine);
-  case Cause::Path: { // workers have tried every replica by then
+  case Cause::Path: { // a reachable worker has tried every replica by then
     const double all_replicas_tried_s =
         kWorkerRetryS * static_cast<double>(paths_.size() - 1) + 2 * settings_.heartbeat_interval_s;
     return silence_s < std::min(replacement_cost_s(machine), all_replicas_tried_s);
@@ -151,6 +151,7 @@
   case Cause::Zone:
     break;
   }
+  // A running machine is allowed more time for its first heartbeat.
   return !machine.heartbeat.received() && silence_s < 2 * heartbeat_timeout_s(settings_);
 }
 
--- a/tests/connectivity_test.cpp
+++ b/tests/connectivity_test.cpp
@@ -1,6 +1,6 @@
-// Simulation tests of connectivity faults: sets of broken links between three replicas, the state service and the
-// workers, with checks of the safety rules and of progress. LOFTROUTER_LINKS=N simulates every N-th set (1: all);
-// docs/measurements.md has the results of a full run.
+// Simulation tests of connectivity faults between the replicas, the state service, the cloud provider and the workers,
+// with checks of the safety rules and of progress. LOFTROUTER_LINKS=N simulates every N-th set of broken links (1:
+// all); docs/measurements.md has the results of a full run.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,15 +22,15 @@
 constexpr double kCutDurationS = 60;
 constexpr double kEndS = 170;
 
-// A set of broken links of three replicas. Replicas are numbered relative to the leader at the time of the fault, which
-// is 0. Peer links are indexed by the dialling replica first.
+// A set of links of three replicas that are broken at the same time. A replica is identified by its offset from the
+// leader at the time of the fault, which has offset 0. Peer links are indexed by the dialling replica first.
 struct BrokenLinks {
-  static constexpr unsigned kSets = 1U << 12;
+  static constexpr unsigned kSetCount = 1U << 12;
   bool state_service[kReplicas] = {};
   bool workers[kReplicas] = {};
   bool peer[kReplicas][kReplicas] = {};
 
-  // Each bit of `set` stands for a link.
+  // Each bit of `set` is 1 if a certain link is broken.
   explicit BrokenLinks(unsigned set) {
     int bit = 0;
     for (bool &broken : state_service)
@@ -42,8 +42,8 @@
         if (i != j) peer[i][j] = set >> bit++ & 1;
   }
 
-  // Whether workers can reach, directly or by forwarding, some replica that can lead.
-  bool served() const {
+  // Whether workers can reach some replica that can lead, directly or by forwarding.
+  bool can_be_served() const {
     for (int i = 0; i < kReplicas; ++i)
       for (int j = 0; j < kReplicas; ++j)
         if (!state_service[i] && !workers[j] && (i == j || !peer[j][i])) return true;
@@ -52,17 +52,17 @@
 
   // Whether this replica can answer user requests.
   bool can_answer(int replica) const {
-    bool can = !state_service[replica];
+    bool answers = !state_service[replica];
     for (int other = 0; other < kReplicas; ++other)
-      can |= other != replica && !state_service[other] && !peer[replica][other];
-    return can;
+      answers |= other != replica && !state_service[other] && !peer[replica][other];
+    return answers;
   }
 };
 
 struct Result {
   double longest_gap_s = 0;        // between task starts, while links were broken
   double longest_healed_gap_s = 0; // between task starts, after the links were restored
-  int refused = 0;                 // responses other than 200 from replicas that can answer, from 6 s after the cut
+  int refused = 0;                 // look-ups not answered with 200 by replicas that can answer, from 6 s after the cut
   int scaled_out = 0;              // machines rented since the cut
   int scaled_in = 0;               // machines returned since the cut
   std::string broken_rules;
@@ -78,13 +78,13 @@
     });
 }
 
-// Breaks these links, each with a random kind of cut.
+// Breaks the links, each with a random kind of cut.
 void break_links(World &world, const BrokenLinks &broken, int leader, std::mt19937_64 &rng) {
   const auto random_cut = [&rng] {
     constexpr Cut kCuts[] = {Cut::Drop, Cut::Refuse, Cut::Hold};
     return kCuts[rng() % 3];
   };
-  const auto node = [leader](int place) { return (leader + place) % kReplicas; };
+  const auto node = [leader](int offset) { return (leader + offset) % kReplicas; };
   for (int i = 0; i < kReplicas; ++i) {
     if (broken.state_service[i]) world.cut_state(node(i), kCutDurationS, random_cut());
     if (broken.workers[i]) world.cut_workers(node(i), kCutDurationS, random_cut());
@@ -121,11 +121,11 @@
     result.scaled_out = -world.rented;
     result.scaled_in = -world.returned;
     break_links(world, broken, leader, rng);
-    for (int place = 0; place < kReplicas; ++place) {
-      if (!broken.can_answer(place)) continue;
+    for (int offset = 0; offset < kReplicas; ++offset) {
+      if (!broken.can_answer(offset)) continue;
       for (int i = 0; i < 20; ++i)
-        world.at(kCutAtS + 6 + 2.5 * i, [&world, &answers, &job_id, at = (leader + place) % kReplicas] {
-          answers.push_back(world.look_up(at, job_id));
+        world.at(kCutAtS + 6 + 2.5 * i, [&world, &answers, &job_id, node = (leader + offset) % kReplicas] {
+          answers.push_back(world.look_up(node, job_id));
         });
     }
   });
@@ -158,27 +158,27 @@
   unsigned parts = 1;
   if (part_setting) std::sscanf(part_setting, "%u/%u", &part, &parts);
   int simulated_sets = 0;
-  for (unsigned set = 1 + 3 * (stride > 1); set < BrokenLinks::kSets; set += stride) {
+  for (unsigned set = 1 + 3 * (stride > 1); set < BrokenLinks::kSetCount; set += stride) {
     if (set % parts != part) continue;
     const BrokenLinks broken(set);
     const Result result = simulate(set, 1000 + set);
     ++simulated_sets;
     if (stride_setting)
-      std::printf("set %u served %d gap %.1f healed %.1f refused %d rented %d returned %d\n", set, broken.served(),
-                  result.longest_gap_s, result.longest_healed_gap_s, result.refused, result.scaled_out,
-                  result.scaled_in);
+      std::printf("set %u served %d gap %.1f healed %.1f refused %d rented %d returned %d\n", set,
+                  broken.can_be_served(), result.longest_gap_s, result.longest_healed_gap_s, result.refused,
+                  result.scaled_out, result.scaled_in);
     EXPECT_EQ(result.broken_rules, "") << "set " << set;
-    if (broken.served()) {
+    if (broken.can_be_served()) {
       EXPECT_LE(result.longest_gap_s, 40) << "set " << set;
     }
     EXPECT_LE(result.longest_healed_gap_s, 20) << "set " << set;
-    EXPECT_LE(result.refused, 1) << "set " << set; // rate limits may refuse one
+    EXPECT_LE(result.refused, 1) << "set " << set; // one may exceed a rate limit
   }
   EXPECT_GT(simulated_sets, 0);
 }
 
-// Without peer links, a leader that no worker reaches learns of better connected replicas from the state service.
-// Guards against worker leases expiring and reachable machines being replaced.
+// A leader that no worker reaches learns of better connected replicas from the state service if all peer links are
+// down. Guards against worker leases expiring and reachable machines being replaced.
 TEST(Connectivity, LeaderWithoutWorkersStepsDownWithoutPeerLinks) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     WorldOptions options;
@@ -286,7 +286,7 @@
     });
     world.run(119);
     EXPECT_EQ(world.rented, rented) << seed;
-    EXPECT_LE(world.returned, returned + 1) << seed; // one may have been leaving already
+    EXPECT_LE(world.returned, returned + 1) << seed; // one may have been scaled in already
     world.run(400);
     EXPECT_TRUE(world.broken.empty()) << all(world);
     EXPECT_TRUE(world.all_over());
@@ -323,7 +323,7 @@
   for (int i = 0; i < 3; ++i)
     if (i != connected) world.cut_cloud(i, 150, Cut::Drop);
   world.run(85);
-  EXPECT_EQ(world.leader(), leader) << "must wait for the provider to recover";
+  EXPECT_EQ(world.leader(), leader) << "the leader must allow the provider some time to recover";
   world.run(140);
   EXPECT_EQ(world.leader(), connected);
   world.run(300);
@@ -332,14 +332,14 @@
 
 namespace {
 
-// Cuts a link selected by these random bits.
-void cut_some_link(World &world, std::uint64_t bits, double duration_s) {
+// Cuts one link. The link, the node and the kind of cut are derived from `random_bits`.
+void cut_some_link(World &world, std::uint64_t random_bits, double duration_s) {
   constexpr int kNodes = 5;
-  const int first = static_cast<int>(bits % kNodes);
-  const int second = static_cast<int>(bits / 5 % kNodes);
-  const auto cut = static_cast<Cut>(bits / 25 % 5);
-  const int node = world.leader() >= 0 && bits / 125 % 2 ? world.leader() : first;
-  switch (bits / 250 % 4) {
+  const int first = static_cast<int>(random_bits % kNodes);
+  const int second = static_cast<int>(random_bits / 5 % kNodes);
+  const auto cut = static_cast<Cut>(random_bits / 25 % 5);
+  const int node = world.leader() >= 0 && random_bits / 125 % 2 ? world.leader() : first;
+  switch (random_bits / 250 % 4) {
   case 0:
     return world.cut_state(node, duration_s, cut);
   case 1:
@@ -354,7 +354,7 @@
 
 } // namespace
 
-// Cuts random links within a round trip of a crash, stall, outage or cancellation, when the safety rules are most at
+// Cuts random links within milliseconds of a crash, stall, outage or cancellation, when the safety rules are most at
 // risk.
 class FiveReplicaConnectivity : public ::testing::TestWithParam<int> {};
 TEST_P(FiveReplicaConnectivity, RandomLinkCutsBreakNoRule) {
@@ -364,24 +364,25 @@
   World world(seed + 5000, options);
   mixed_load(world, 30);
   std::mt19937_64 rng(seed * 31 + 7);
-  const auto pick = [&rng](int count) { return static_cast<int>(rng() % static_cast<unsigned>(count)); };
+  const auto random_below = [&rng](int count) { return static_cast<int>(rng() % static_cast<unsigned>(count)); };
   for (int i = 0; i < 14; ++i) {
-    const double at = 10 + pick(150);
-    const double duration_s = 2 + pick(30);
-    const auto bits = rng();
-    const auto more_bits = rng();
-    const int kind = pick(5);
-    world.at(at, [&world, kind, bits, more_bits, duration_s] {
-      const int node = static_cast<int>(bits % 5);
+    const double at = 10 + random_below(150);
+    const double duration_s = 2 + random_below(30);
+    const auto random_bits = rng();
+    const auto more_random_bits = rng();
+    const int kind = random_below(5);
+    world.at(at, [&world, kind, random_bits, more_random_bits, duration_s] {
+      const int node = static_cast<int>(random_bits % 5);
       if (kind == 0) world.crash(std::max(0, world.leader()), 3);
-      if (kind == 1) world.stall(node, duration_s / 2, bits & 64);
+      if (kind == 1) world.stall(node, duration_s / 2, random_bits & 64);
       if (kind == 2) world.outage(duration_s / 2);
       if (kind == 3) world.cancel(world.submit(world.job(Shape::Array, 3, 1, 20)));
-      const double first_cut_s = 0.002 * static_cast<double>(more_bits % 8);
-      const double second_cut_s = 0.002 * static_cast<double>(more_bits / 8 % 8);
-      world.at(world.now() + first_cut_s, [&world, bits, duration_s] { cut_some_link(world, bits, duration_s); });
+      const double first_cut_s = 0.002 * static_cast<double>(more_random_bits % 8);
+      const double second_cut_s = 0.002 * static_cast<double>(more_random_bits / 8 % 8);
+      world.at(world.now() + first_cut_s,
+               [&world, random_bits, duration_s] { cut_some_link(world, random_bits, duration_s); });
       world.at(world.now() + second_cut_s,
-               [&world, more_bits, duration_s] { cut_some_link(world, more_bits, duration_s); });
+               [&world, more_random_bits, duration_s] { cut_some_link(world, more_random_bits, duration_s); });
     });
   }
   world.run(500);
--- a/tests/heartbeat_forwarder_test.cpp
+++ b/tests/heartbeat_forwarder_test.cpp
@@ -1,4 +1,4 @@
-// Unit tests of `HeartbeatForwarder`. Guards against a response being matched to another heartbeat than its own.
+// Unit tests of `HeartbeatForwarder`. Guards against a response being matched to a heartbeat that it does not answer.
 #include <gtest/gtest.h>
 
 #include "loftrouter/core/heartbeats/heartbeat_forwarder.hpp"
@@ -13,12 +13,12 @@
 class HeartbeatForwarderTest : public ::testing::Test {
 protected:
   HeartbeatForwarderTest() {
-    EXPECT_TRUE(first && second);
-    EXPECT_NE(first, second);
+    EXPECT_TRUE(first_number && second_number);
+    EXPECT_NE(first_number, second_number);
   }
   HeartbeatForwarder forwarder{kMaxWorkers, kWorkerExpiryS, 100};
-  std::optional<std::uint64_t> first = forwarder.add(1, "m-1", 0);
-  std::optional<std::uint64_t> second = forwarder.add(2, "m-2", 0.1);
+  std::optional<std::uint64_t> first_number = forwarder.add(1, "m-1", 0);
+  std::optional<std::uint64_t> second_number = forwarder.add(2, "m-2", 0.1);
 };
 } // namespace
 
@@ -29,16 +29,16 @@
 }
 
 TEST_F(HeartbeatForwarderTest, ResponseIsMatchedOnceToItsHeartbeat) {
-  EXPECT_EQ(forwarder.complete(*second), 2U);
-  EXPECT_FALSE(forwarder.complete(*second));
-  EXPECT_EQ(forwarder.complete(*first), 1U);
+  EXPECT_EQ(forwarder.complete(*second_number), 2U);
+  EXPECT_FALSE(forwarder.complete(*second_number));
+  EXPECT_EQ(forwarder.complete(*first_number), 1U);
 }
 
 TEST_F(HeartbeatForwarderTest, ResponseAfterExpiryIsIgnored) {
-  EXPECT_EQ(forwarder.complete(*second), 2U);
+  EXPECT_EQ(forwarder.complete(*second_number), 2U);
   EXPECT_TRUE(forwarder.expire(1.0).empty());
   EXPECT_EQ(forwarder.expire(2.0), (std::vector<RequestId>{1}));
-  EXPECT_FALSE(forwarder.complete(*first)) << "the worker has been redirected by then";
+  EXPECT_FALSE(forwarder.complete(*first_number)) << "the worker has been redirected by then";
 }
 
 TEST_F(HeartbeatForwarderTest, MissingResponseSuspendsForwardingTemporarily) {
@@ -58,6 +58,6 @@
 }
 
 TEST_F(HeartbeatForwarderTest, RedirectedWorkerMakesRoomForAnotherWorker) {
-  EXPECT_EQ(forwarder.complete(*first, /*worker_stays=*/false), 1U);
+  EXPECT_EQ(forwarder.complete(*first_number, /*worker_stays=*/false), 1U);
   EXPECT_TRUE(forwarder.add(5, "m-3", 0.3));
 }
--- a/tests/leadership_fixture.hpp
+++ b/tests/leadership_fixture.hpp
@@ -5,10 +5,10 @@
 
 namespace loftrouter::test {
 
-// Answers all pending requests as a state service without a leader key that grants every request, and returns their
-// number. `revision` is incremented for each.
+// Answers all pending requests, and those that follow from the answers, like a state service that has no leader key and
+// accepts every lease and commit. Increments `revision` for each request, and returns their number.
 inline int grant_everything(core::Runtime &runtime, std::uint64_t &revision) {
-  int request_count = 0;
+  int answered = 0;
   for (auto requests = runtime.take_effects().store; !requests.empty(); requests = runtime.take_effects().store)
     for (const auto &request : requests) {
       wire::StoreReply reply;
@@ -16,12 +16,12 @@
       reply.lease = 7;
       reply.revision = ++revision;
       runtime.complete(core::StoreReplyCommand{request.op, reply});
-      ++request_count;
+      ++answered;
     }
-  return request_count;
+  return answered;
 }
 
-// Lets a follower win an election without opposition, up to the role Loading.
+// Lets a follower win an election that no other replica takes part in; its role is then Loading.
 inline void win_election(core::Runtime &runtime, core::Leadership &leadership) {
   std::uint64_t revision = 0;
   leadership.tick();
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-constexpr double kStart = 100;
+constexpr double kStartS = 100;
 
 class LeadershipTest : public ::testing::Test {
 protected:
-  LeadershipTest() { set_time(kStart); }
+  LeadershipTest() { set_time(kStartS); }
 
   void set_time(double now) { runtime.begin_batch({now, 1.7e9 + now}); }
   // Returns the state service requests made since the last call.
-  std::vector<StoreOp> requests() { return runtime.take_effects().store; }
+  std::vector<StoreOp> take_requests() { return runtime.take_effects().store; }
   void answer(const StoreOp &request, int status, std::uint64_t lease = 0, std::uint64_t revision = 0) {
     wire::StoreReply reply;
     reply.status = status;
@@ -27,15 +27,15 @@
     reply.revision = revision;
     runtime.complete(StoreReplyCommand{request.op, reply});
   }
-  void lead() {
+  void become_leader() {
     win_election(runtime, leadership);
     leadership.begin_term();
   }
-  // Ticks at `now` and returns the lease renewal that must be due then.
+  // Ticks at `now` and returns the lease renewal, which must be the only request.
   StoreOp renewal_at(double now) {
     set_time(now);
     leadership.tick();
-    const auto renewals = requests();
+    const auto renewals = take_requests();
     EXPECT_EQ(renewals.size(), 1U);
     EXPECT_TRUE(std::holds_alternative<StoreLeaseRenew>(renewals.at(0).request));
     return renewals.at(0);
@@ -52,19 +52,19 @@
 
 TEST_F(LeadershipTest, TermIsRevisionOfLeaderKeyCommit) {
   leadership.tick();
-  const auto poll = requests();
+  const auto poll = take_requests();
   ASSERT_EQ(poll.size(), 1U);
   answer(poll[0], 404);
-  const auto grant = requests();
+  const auto grant = take_requests();
   ASSERT_EQ(grant.size(), 1U);
   answer(grant[0], 200, 7);
-  const auto commit = requests();
+  const auto commit = take_requests();
   ASSERT_EQ(commit.size(), 1U);
-  const auto &create = std::get<StoreCommit>(commit[0].request);
-  ASSERT_EQ(create.preconditions.size(), 1U);
-  EXPECT_EQ(create.preconditions[0].key, "leader");
-  EXPECT_EQ(create.preconditions[0].mod_revision, 0U) << "the commit must require that the key does not exist";
-  EXPECT_EQ(create.writes.at(0).lease, 7U);
+  const auto &key_commit = std::get<StoreCommit>(commit[0].request);
+  ASSERT_EQ(key_commit.preconditions.size(), 1U);
+  EXPECT_EQ(key_commit.preconditions[0].key, "leader");
+  EXPECT_EQ(key_commit.preconditions[0].mod_revision, 0U) << "the commit must require that the key does not exist";
+  EXPECT_EQ(key_commit.writes.at(0).lease, 7U);
   EXPECT_EQ(leadership.role(), Role::Candidate);
   answer(commit[0], 200, 0, 42);
   EXPECT_EQ(leadership.role(), Role::Loading);
@@ -75,31 +75,31 @@
 
 TEST_F(LeadershipTest, LeaseIsRevokedWhenCommitGetsNoResponse) {
   leadership.tick();
-  answer(requests().at(0), 404);
-  answer(requests().at(0), 200, 7);
-  const auto commit = requests();
+  answer(take_requests().at(0), 404);
+  answer(take_requests().at(0), 200, 7);
+  const auto commit = take_requests();
   answer(commit.at(0), 0);
   EXPECT_EQ(leadership.role(), Role::Follower);
-  const auto revoke = requests();
+  const auto revoke = take_requests();
   ASSERT_EQ(revoke.size(), 1U);
   EXPECT_EQ(std::get<StoreLeaseRevoke>(revoke[0].request).lease, 7U);
 }
 
 TEST_F(LeadershipTest, LeaseValidityCountsFromSendingOfRenewal) {
-  lead();
-  const StoreOp renewal = renewal_at(kStart + 1);
-  set_time(kStart + 1.9);
+  become_leader();
+  const StoreOp renewal = renewal_at(kStartS + 1);
+  set_time(kStartS + 1.9);
   answer(renewal, 200);
-  set_time(kStart + 4.9);
+  set_time(kStartS + 4.9);
   EXPECT_TRUE(leadership.active());
-  set_time(kStart + 4.98);
+  set_time(kStartS + 4.98);
   EXPECT_FALSE(leadership.active()) << "valid for 4 s from sending, less the clock drift and 20 ms";
 }
 
 TEST_F(LeadershipTest, ExpiredLeasePausesLeaderUntilRenewalIsConfirmed) {
-  lead();
-  answer(renewal_at(kStart + 1), 0);
-  const StoreOp renewal = renewal_at(kStart + 6);
+  become_leader();
+  answer(renewal_at(kStartS + 1), 0);
+  const StoreOp renewal = renewal_at(kStartS + 6);
   EXPECT_FALSE(leadership.active());
   EXPECT_TRUE(leadership.leading());
   answer(renewal, 200);
@@ -107,16 +107,16 @@
 }
 
 TEST_F(LeadershipTest, TermEndsWhenLeaseNoLongerExists) {
-  lead();
+  become_leader();
   const auto epoch = leadership.epoch();
-  answer(renewal_at(kStart + 1), 404);
+  answer(renewal_at(kStartS + 1), 404);
   EXPECT_EQ(leadership.role(), Role::Follower);
   EXPECT_FALSE(leadership.lease_valid());
   EXPECT_NE(leadership.epoch(), epoch);
 }
 
 TEST_F(LeadershipTest, HigherTermEndsOwnTermImmediately) {
-  lead();
+  become_leader();
   leadership.observe_term(leadership.term(), "same term");
   EXPECT_TRUE(leadership.leading());
   leadership.observe_term(leadership.term() + 1, "higher term");
@@ -130,19 +130,19 @@
   leadership.tick();
   grant_everything(runtime, revision);
   EXPECT_EQ(leadership.role(), Role::Follower);
-  set_time(kStart + 2.9);
+  set_time(kStartS + 2.9);
   leadership.tick();
   grant_everything(runtime, revision);
   EXPECT_EQ(leadership.role(), Role::Follower);
-  set_time(kStart + 3.5);
+  set_time(kStartS + 3.5);
   leadership.tick();
   grant_everything(runtime, revision);
   EXPECT_EQ(leadership.role(), Role::Loading);
 }
 
 TEST_F(LeadershipTest, ReplicaWithoutInstanceTypesDoesNotRun) {
-  const InstanceTypeCatalog unknown({"a"});
-  Leadership follower{runtime, events, settings, unknown};
+  const InstanceTypeCatalog empty_catalog({"a"});
+  Leadership follower{runtime, events, settings, empty_catalog};
   win_election(runtime, follower);
   EXPECT_EQ(follower.role(), Role::Follower);
 }
