--- a/src/core/connectivity/connectivity_monitor.cpp
+++ b/src/core/connectivity/connectivity_monitor.cpp
@@ -62,10 +62,11 @@
 std::vector<std::pair<std::string, double>> ConnectivityMonitor::workers_by_zone() const {
   std::vector<std::pair<std::string, double>> workers;
   const auto heartbeats = direct_heartbeats_.by_zone(runtime_.now());
-  for (std::size_t i = 1; i < heartbeats.size(); ++i) {
+  for (std::size_t i = 1; i < heartbeats.size(); ++i) { // without unknown zones
     if (heartbeats[i] == 0) continue;
-    const double count = std::ceil(heartbeats[i] * settings_.heartbeat_interval_s / direct_heartbeats_.window_s());
-    workers.emplace_back(catalog_.zone_name(static_cast<int>(i) - 1), count);
+    const double worker_count =
+        std::ceil(heartbeats[i] * settings_.heartbeat_interval_s / direct_heartbeats_.window_s());
+    workers.emplace_back(catalog_.zone_name(static_cast<int>(i) - 1), worker_count);
   }
   return workers;
 }
@@ -73,8 +74,8 @@
 void ConnectivityMonitor::update_own_record(std::size_t workers_forwarded) {
   const double now = runtime_.now();
   const std::uint32_t heartbeats = direct_heartbeats_.total(now);
-  const double workers = std::ceil(heartbeats * settings_.heartbeat_interval_s / direct_heartbeats_.window_s());
-  own_record_.machines = static_cast<std::uint16_t>(std::min(kMaxReportedWorkers, workers));
+  const double worker_count = std::ceil(heartbeats * settings_.heartbeat_interval_s / direct_heartbeats_.window_s());
+  own_record_.machines = static_cast<std::uint16_t>(std::min(kMaxReportedWorkers, worker_count));
   own_record_.last_heartbeat_age_s = std::min(ConnectivityRecord::kMaxAgeS, now - last_direct_heartbeat_at_);
   own_record_.last_forwardable_heartbeat_age_s = ConnectivityRecord::kMaxAgeS;
   for (const ReplicaIndex replica : replicas_.indices()) {
--- a/src/core/connectivity/step_down_policy.cpp
+++ b/src/core/connectivity/step_down_policy.cpp
@@ -52,6 +52,7 @@
   const double forwarding_delay_s = reachable_by_forwarding(observation.own_record, settings_) ? kForwardingDelayS : 0;
   assessment.all_workers_lost =
       totals.known > 0 && assessment.heartbeat_gap_s >= step_down_delay_s + forwarding_delay_s;
+  // At least two thirds of the workers are overdue.
   assessment.most_workers_lost = !assessment.all_workers_lost && !assessment.recent_failover &&
                                  totals.known >= 2 * kMinWorkers && 3 * totals.overdue >= 2 * totals.known &&
                                  now - observation.stall_ended_at > step_down_delay_s;
@@ -65,7 +66,7 @@
 std::optional<std::string> StepDownPolicy::reason_to_step_down(const Assessment &assessment, ReplicaIndex replica,
                                                                const ReplicaConnectivity &other) const {
   const ConnectivityRecord &record = other.record;
-  const bool direct = record.workers == WorkerReachability::Reachable;
+  const bool directly_reachable = record.workers == WorkerReachability::Reachable;
   const bool reachable = reachable_by_workers(record, settings_);
   if (record.workers == WorkerReachability::Unreachable && !reachable) return std::nullopt;
 
@@ -79,7 +80,8 @@
     if (reachable || (assessment.enough_workers && !assessment.recent_failover))
       return "no worker reaches this replica";
   }
-  if (assessment.most_workers_lost && direct && record.machines > 2 * assessment.reachable_workers + kMinWorkers &&
+  if (assessment.most_workers_lost && directly_reachable &&
+      record.machines > 2 * assessment.reachable_workers + kMinWorkers &&
       !replicas_[replica].service_status.can_forward)
     return fmt::format("only {} of {} workers reach this replica", assessment.reachable_workers,
                        assessment.known_workers);
