--- a/include/loftrouter/core/jobs/job_table.hpp
+++ b/include/loftrouter/core/jobs/job_table.hpp
@@ -92,7 +92,7 @@
   // for.
   double unaccounted_until() const { return unaccounted_until_; }
   // Grows whenever a job comes or a task becomes free to be placed.
-  std::uint64_t arrivals() const { return arrivals_; }
+  std::uint64_t pending_work_version() const { return arrivals_; }
   bool consistent(JobIndex job_index) const; // counts agree with states; for asserts and tests
 
   // ---- jobs ----
--- a/include/loftrouter/core/runtime/name_index.hpp
+++ b/include/loftrouter/core/runtime/name_index.hpp
@@ -11,7 +11,7 @@
 class NameIndex {
 public:
   // The number of a name, which is added if it is new.
-  int get(const std::string &name) {
+  int find_or_add(const std::string &name) {
     const auto [it, added] = numbers_.try_emplace(name, size());
     if (added) names_.push_back(name);
     return it->second;
--- a/src/core/heartbeats/heartbeat_forwarder.cpp
+++ b/src/core/heartbeats/heartbeat_forwarder.cpp
@@ -5,7 +5,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kSuspensionS = 2.0; // long enough for the workers concerned to reach the leader
+constexpr double kSuspensionS = 2.0; // time in which the redirected workers can contact the leader
 constexpr double kPruneIntervalS = 1.0;
 } // namespace
 
@@ -23,29 +23,29 @@
   return pending_.add(request, now + kResponseTimeoutS, worker);
 }
 
-std::optional<RequestId> HeartbeatForwarder::complete(std::uint64_t number, bool worker_stays) {
-  const auto heartbeat = pending_.complete(number);
+std::optional<RequestId> HeartbeatForwarder::complete(std::uint64_t request_number, bool worker_stays) {
+  const auto heartbeat = pending_.complete(request_number);
   if (!heartbeat) return std::nullopt;
   if (!worker_stays) forget(heartbeat->context);
   return heartbeat->request;
 }
 
 std::vector<RequestId> HeartbeatForwarder::expire(double now) {
-  std::vector<RequestId> given_up;
+  std::vector<RequestId> expired;
   for (const auto &heartbeat : pending_.expire(now)) {
-    given_up.push_back(heartbeat.request);
+    expired.push_back(heartbeat.request);
     forget(heartbeat.context);
   }
-  if (!given_up.empty()) suspended_until_ = now + kSuspensionS;
-  return given_up;
+  if (!expired.empty()) suspended_until_ = now + kSuspensionS;
+  return expired;
 }
 
 std::vector<RequestId> HeartbeatForwarder::give_up_all() {
-  const double suspended_until = suspended_until_;
-  auto given_up = expire(std::numeric_limits<double>::infinity());
-  suspended_until_ = suspended_until;
+  const double previous_suspended_until = suspended_until_;
+  auto requests = expire(std::numeric_limits<double>::infinity());
+  suspended_until_ = previous_suspended_until; // `expire` suspends forwarding
   workers_.clear();
-  return given_up;
+  return requests;
 }
 
 } // namespace loftrouter::core
--- a/src/core/jobs/job_table.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -45,7 +45,7 @@
 
 JobTable::JobTable(Runtime &runtime, Events &events, const Settings &settings) : runtime_(runtime), events_(events) {
   for (const auto &team : settings.teams)
-    team_names_.get(team.name);
+    team_names_.find_or_add(team.name);
 }
 
 JobIndex JobTable::index(const std::string &id) const {
@@ -90,7 +90,7 @@
   job.tasks.resize(job.spec.tasks);
   if (record.delegated) accept_delegation(job_index, std::move(*record.delegated));
   job.team = team_names_.find(job.spec.team);
-  job.image = image_names_.get(job.spec.image);
+  job.image = image_names_.find_or_add(job.spec.image);
   index_[job.spec.id] = job_index;
   ++arrivals_;
   return job_index;
