--- a/include/loftrouter/core/autoscaling/autoscaler.hpp
+++ b/include/loftrouter/core/autoscaling/autoscaler.hpp
@@ -28,8 +28,8 @@
   // Asks the cloud something, so that it is known whether it answers this node; seldom.
   void probe() { catalog_loader_.probe(); }
   // The cloud had none of this kind to give, lately.
-  bool refused(const MachineKind &kind) const { return scale_out_.refused(kind); }
-  std::vector<MachineKind> refused_kinds() const { return scale_out_.refused_kinds(); }
+  bool lacks_capacity(const MachineKind &kind) const { return scale_out_.lacks_capacity(kind); }
+  std::vector<MachineKind> kinds_without_capacity() const { return scale_out_.kinds_without_capacity(); }
   void on(const TermStarted &);
   void on(const TermEnded &);
 
--- a/include/loftrouter/core/autoscaling/scale_out.hpp
+++ b/include/loftrouter/core/autoscaling/scale_out.hpp
@@ -28,8 +28,8 @@
   // As far as the budget goes; the rest is asked for again when it is still wanted.
   void request(const CapacityRequest &wanted);
   // The cloud had none of this kind to give, lately.
-  bool refused(const MachineKind &kind) const;
-  std::vector<MachineKind> refused_kinds() const;
+  bool lacks_capacity(const MachineKind &kind) const;
+  std::vector<MachineKind> kinds_without_capacity() const;
   // Machines asked for and not answered yet.
   const std::map<MachineKind, int> &in_flight() const { return in_flight_; }
   bool in_flight(const MachineKind &kind) const;
--- a/include/loftrouter/core/catalog/instance_type_catalog.hpp
+++ b/include/loftrouter/core/catalog/instance_type_catalog.hpp
@@ -36,7 +36,7 @@
   static double cpu_price(const MachineType &type, bool spot) {
     return (spot ? type.spot_price : type.price) / std::max(0.01, type.size.cpus);
   }
-  double cheapest_cpu() const;
+  double cheapest_cpu_price() const;
 
 private:
   std::vector<MachineType> types_; // by index of their names
--- a/include/loftrouter/core/scheduling/fleet_snapshot.hpp
+++ b/include/loftrouter/core/scheduling/fleet_snapshot.hpp
@@ -30,7 +30,7 @@
 private:
   bool in_service(const Machine &machine) const;
   bool reachable(const Machine &machine) const;
-  PlacementMachine view(MachineIndex machine_index, const Machine &machine, double cheapest_cpu) const;
+  PlacementMachine view(MachineIndex machine_index, const Machine &machine, double cheapest_cpu_price) const;
   bool is_small(const Allocation &allocation) const;
   bool holds_only_small(MachineIndex machine_index) const;
   void open_surplus_reserved(std::vector<PlacementMachine> &machines) const;
--- a/include/loftrouter/core/scheduling/placement.hpp
+++ b/include/loftrouter/core/scheduling/placement.hpp
@@ -21,7 +21,7 @@
   int zone = 0;
   bool spot = false;
   bool reserved_for_large = false; // wanted whole by a job class that fits nowhere else
-  Resources small_work_room;       // of a reserved one: what small work may still take without being in the way
+  Resources small_task_headroom;   // of a reserved one: what small work may still take without being in the way
   JobIndex nominated_for;          // being emptied for this job (`PlacementJob::index`): takes nothing else
   double price_premium = 0;        // 0: a CPU is as cheap here as anywhere; towards 1: much more expensive
   std::vector<int> images;         // cached or being fetched
--- a/include/loftrouter/core/scheduling/placement_queue.hpp
+++ b/include/loftrouter/core/scheduling/placement_queue.hpp
@@ -25,7 +25,7 @@
   // Nobody wants it at a certain time, nor waits with it.
   bool deferrable(JobIndex job_index) const;
   // None of its waiting tasks has got a place for long.
-  bool passed_over(JobIndex job_index) const;
+  bool starved(JobIndex job_index) const;
   double age_s(JobIndex job_index) const; // since it could start
 
   void note_waiting(JobIndex job_index, double round_interval_s); // in a round over all machines
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -100,7 +100,7 @@
     k.cpus += machine.size.cpus;
     k.used += machine.used.cpus;
   });
-  for (const auto &kind : autoscaler_.refused_kinds())
+  for (const auto &kind : autoscaler_.kinds_without_capacity())
     kinds[kind].refused = true;
   for (auto &[key, k] : kinds) {
     const auto [type, zone, spot] = key;
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -143,7 +143,7 @@
           up += s->second.up;
           starting += s->second.starting;
         }
-        refused &= autoscaler_.refused(kind);
+        refused &= autoscaler_.lacks_capacity(kind);
       }
   const std::string what = fmt::format("{:g} CPUs and {:g} GB{}", n.spec.need.cpus, n.spec.need.memory,
                                        n.spec.zone ? " in " + *n.spec.zone : "");
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -207,7 +207,7 @@
   auto placement = placement_of(job_index);
   if (!placement) return;
   const PlacementQueue &queue = context_.scheduler.queue();
-  if (!queue.deferrable(job_index) || queue.passed_over(job_index))
+  if (!queue.deferrable(job_index) || queue.starved(job_index))
     plan_.waiting_cpus += placement->pending * placement->need.cpus;
   Demand demand = demand_of(job_index, std::move(*placement));
   // What is on its way takes them first. Tasks that must be in one zone count on that of the place that is chosen.
@@ -315,7 +315,7 @@
     for (bool spot : {true, false}) {
       if (spot && !demand.job.spot) continue;
       const MachineKind kind{type_index, zone, spot};
-      if (scale_out_.refused(kind) || scale_out_.in_flight(kind)) continue;
+      if (scale_out_.lacks_capacity(kind) || scale_out_.in_flight(kind)) continue;
       const double price = spot ? type.spot_price : type.price;
       const double missing = shortage(demand, zone, horizon_s(demand, type, price / tasks, cheapest));
       if (missing < kMinShortage) continue;
--- a/src/core/autoscaling/scale_in.cpp
+++ b/src/core/autoscaling/scale_in.cpp
@@ -107,7 +107,7 @@
   double hold_s = boot_s * (reserved ? kReservedHoldBoots : context_.operators.tunables().idle_boots);
   if (!reserved && machine.type >= 0 && machine.size.cpus > 0) { // expensive ones are held for less
     const double price = InstanceTypeCatalog::cpu_price(context_.catalog.type(machine.type), machine.spot);
-    hold_s *= std::min(1.0, context_.catalog.cheapest_cpu() / price);
+    hold_s *= std::min(1.0, context_.catalog.cheapest_cpu_price() / price);
   }
   return machine.draining() ? std::min(hold_s, kDrainingHold) : hold_s;
 }
@@ -132,7 +132,7 @@
     // Most expensive first. Of the same price those go on draining that have begun, then those with least on them.
     auto rank() const { return std::tuple(-price, !machine->draining(), used_share); }
   };
-  const double cheapest_cpu = context_.catalog.cheapest_cpu();
+  const double cheapest_cpu_price = context_.catalog.cheapest_cpu_price();
   const auto &reservations = context_.scheduler.large_task_reservations();
   std::vector<Candidate> candidates;
   double used_cpus = waiting_cpus;
@@ -150,7 +150,7 @@
     }
     const double price = InstanceTypeCatalog::cpu_price(context_.catalog.type(machine.type), machine.spot);
     const bool charged = context_.runtime.now() - machine.rented_at >= kMinimumCharge;
-    if (charged && price >= kExpensiveRatio * cheapest_cpu)
+    if (charged && price >= kExpensiveRatio * cheapest_cpu_price)
       candidates.push_back({price, machine.used.cpus / std::max(0.01, machine.size.cpus), machine_index, &machine});
     else
       context_.workers.set_draining(machine_index, false);
--- a/src/core/autoscaling/scale_out.cpp
+++ b/src/core/autoscaling/scale_out.cpp
@@ -14,12 +14,12 @@
 constexpr int kTries = 3;
 } // namespace
 
-bool ScaleOut::refused(const MachineKind &kind) const {
+bool ScaleOut::lacks_capacity(const MachineKind &kind) const {
   const auto it = no_capacity_until_.find(kind);
   return it != no_capacity_until_.end() && context_.runtime.now() < it->second;
 }
 
-std::vector<MachineKind> ScaleOut::refused_kinds() const {
+std::vector<MachineKind> ScaleOut::kinds_without_capacity() const {
   std::vector<MachineKind> kinds;
   for (const auto &[kind, until] : no_capacity_until_)
     if (context_.runtime.now() < until) kinds.push_back(kind);
--- a/src/core/catalog/instance_type_catalog.cpp
+++ b/src/core/catalog/instance_type_catalog.cpp
@@ -20,7 +20,7 @@
   known_ = true;
 }
 
-double InstanceTypeCatalog::cheapest_cpu() const {
+double InstanceTypeCatalog::cheapest_cpu_price() const {
   double cheapest = std::numeric_limits<double>::infinity();
   for (const auto &type : types_)
     cheapest = std::min({cheapest, cpu_price(type, true), cpu_price(type, false)});
--- a/src/core/federation/capacity_survey.cpp
+++ b/src/core/federation/capacity_survey.cpp
@@ -37,7 +37,7 @@
         if (kind.zone < 0) continue;
         Lot &lot = lots[kind];
         lot.size = catalog_.types()[t].size;
-        lot.refused = autoscaler_.refused(kind);
+        lot.refused = autoscaler_.lacks_capacity(kind);
       }
   lots_.clear();
   for (auto &[kind, l] : lots) {
@@ -56,7 +56,7 @@
   waits_.assign(jobs_.index_limit(), 0);
   std::fill(std::begin(wait_by_urgency_), std::end(wait_by_urgency_), 0);
   own_waiting_cpus_ = 0;
-  const double cheapest = catalog_.cheapest_cpu();
+  const double cheapest = catalog_.cheapest_cpu_price();
   for (JobIndex job_index : order) {
     const Job &job = jobs_[job_index];
     const auto work = work_of(job_index);
--- a/src/core/scheduling/fleet_snapshot.cpp
+++ b/src/core/scheduling/fleet_snapshot.cpp
@@ -11,11 +11,11 @@
 
 std::vector<PlacementMachine> FleetSnapshot::all(const IncludeUnreachable &include_unreachable) const {
   std::vector<PlacementMachine> machines;
-  const double cheapest_cpu = context_.catalog.cheapest_cpu();
+  const double cheapest_cpu_price = context_.catalog.cheapest_cpu_price();
   context_.workers.each([&](MachineIndex machine_index, const Machine &machine) {
     if (!in_service(machine)) return;
     const bool included = reachable(machine) || (include_unreachable && include_unreachable(machine_index));
-    if (included) machines.push_back(view(machine_index, machine, cheapest_cpu));
+    if (included) machines.push_back(view(machine_index, machine, cheapest_cpu_price));
   });
   open_surplus_reserved(machines);
   return machines;
@@ -24,7 +24,7 @@
 std::optional<PlacementMachine> FleetSnapshot::one(MachineIndex machine_index) const {
   const Machine *machine = context_.workers.find(machine_index);
   if (!machine || !in_service(*machine) || !reachable(*machine)) return std::nullopt;
-  PlacementMachine out = view(machine_index, *machine, context_.catalog.cheapest_cpu());
+  PlacementMachine out = view(machine_index, *machine, context_.catalog.cheapest_cpu_price());
   // As it was decided when all machines were looked at.
   if (const auto *nomination = nominations_.find(machine_index)) out.reserved_for_large &= !nomination->open_to_small;
   return out;
@@ -42,7 +42,8 @@
          machine.downlink.accepts_commands();
 }
 
-PlacementMachine FleetSnapshot::view(MachineIndex machine_index, const Machine &machine, double cheapest_cpu) const {
+PlacementMachine FleetSnapshot::view(MachineIndex machine_index, const Machine &machine,
+                                     double cheapest_cpu_price) const {
   const auto &type = context_.catalog.type(machine.type);
   const double cpu_price = InstanceTypeCatalog::cpu_price(type, machine.spot);
   PlacementMachine out;
@@ -53,7 +54,7 @@
   out.type = machine.type;
   out.zone = machine.zone;
   out.spot = machine.spot;
-  out.price_premium = 1 - cheapest_cpu / std::max(cheapest_cpu, cpu_price);
+  out.price_premium = 1 - cheapest_cpu_price / std::max(cheapest_cpu_price, cpu_price);
   out.fetch_gb_per_s = type.fetch_gb_per_s;
   for (const auto &[image, image_gb] : machine.images)
     out.images.push_back(image);
@@ -63,10 +64,10 @@
   const auto *reservation = machine.spot ? nullptr : reservations_.find(machine.type, kReservedFor);
   if (!reservation) return out;
   out.reserved_for_large = true;
-  out.small_work_room = machine.size;
-  out.small_work_room.add(reservation->need, -1);
+  out.small_task_headroom = machine.size;
+  out.small_task_headroom.add(reservation->need, -1);
   for (const auto &allocation : machine.allocations)
-    if (!allocation.completed() && is_small(allocation)) out.small_work_room.add(allocation.need, -1);
+    if (!allocation.completed() && is_small(allocation)) out.small_task_headroom.add(allocation.need, -1);
   return out;
 }
 
--- a/src/core/scheduling/placement.cpp
+++ b/src/core/scheduling/placement.cpp
@@ -34,7 +34,7 @@
 
 bool has_room(const PlacementJob &job, const PlacementMachine &machine) {
   if (!job.need.fits(machine.free)) return false;
-  return !machine.reserved_for_large || !job.small || job.need.fits(machine.small_work_room);
+  return !machine.reserved_for_large || !job.small || job.need.fits(machine.small_task_headroom);
 }
 
 double fit_score(const PlacementJob &job, const PlacementMachine &machine) {
@@ -277,7 +277,7 @@
 
 void Round::occupy(const PlacementJob &job, PlacementMachine &machine, double times) const {
   machine.free.add(job.need, -times);
-  if (machine.reserved_for_large && job.small) machine.small_work_room.add(job.need, -times);
+  if (machine.reserved_for_large && job.small) machine.small_task_headroom.add(job.need, -times);
 }
 
 // ---- drafts ----
--- a/src/core/scheduling/placement_queue.cpp
+++ b/src/core/scheduling/placement_queue.cpp
@@ -24,7 +24,7 @@
                                         context_.dependencies.deadline(job_index), age_s(job_index));
 }
 
-bool PlacementQueue::passed_over(JobIndex job_index) const {
+bool PlacementQueue::starved(JobIndex job_index) const {
   if (job_index.position() >= waits_.size()) return false;
   const Wait &wait = waits_[job_index.position()];
   return wait.serial == context_.jobs[job_index].serial && wait.last_seen_at - wait.since > kPassedOver;
@@ -125,7 +125,7 @@
 // machine is up for run. What is rented does not follow: places that are there anyhow cost nothing.
 PlacementJob PlacementQueue::candidate(JobIndex job_index) const {
   PlacementJob out = job(job_index);
-  if (!passed_over(job_index)) return out;
+  if (!starved(job_index)) return out;
   out.max_price_premium = 1;
   out.small = false;
   return out;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -30,7 +30,7 @@
     m.zone = pick(2);
     m.spot = pick(2);
     m.reserved_for_large = !m.spot && m.type == 1 && pick(2);
-    m.small_work_room = {2.0 + pick(6), 1, 40};
+    m.small_task_headroom = {2.0 + pick(6), 1, 40};
     m.price_premium = 0.2 * pick(5);
     if (pick(2)) m.images.push_back(pick(3));
     c.machines.push_back(m);
@@ -82,7 +82,7 @@
         for (int m = 0; m < static_cast<int>(trial.size()); ++m) {
           auto &x = trial[static_cast<std::size_t>(m)];
           if (!allowed(jobs[j], x) || !jobs[j].need.fits(x.free)) continue;
-          if (x.reserved_for_large && jobs[j].small && !jobs[j].need.fits(x.small_work_room)) continue;
+          if (x.reserved_for_large && jobs[j].small && !jobs[j].need.fits(x.small_task_headroom)) continue;
           double f = placement_score(jobs[j], x, o);
           if (f > top) {
             top = f;
@@ -91,7 +91,7 @@
         }
         if (at < 0) break;
         trial[static_cast<std::size_t>(at)].free.add(jobs[j].need, -1);
-        if (jobs[j].small) trial[static_cast<std::size_t>(at)].small_work_room.add(jobs[j].need, -1);
+        if (jobs[j].small) trial[static_cast<std::size_t>(at)].small_task_headroom.add(jobs[j].need, -1);
         plan.push_back(at);
         sum += top;
       }
@@ -110,7 +110,7 @@
       auto &x = ms[static_cast<std::size_t>(m)];
       x.free.add(jobs[static_cast<std::size_t>(best)].need, -1);
       if (jobs[static_cast<std::size_t>(best)].small)
-        x.small_work_room.add(jobs[static_cast<std::size_t>(best)].need, -1);
+        x.small_task_headroom.add(jobs[static_cast<std::size_t>(best)].need, -1);
       int image = jobs[static_cast<std::size_t>(best)].image;
       if (std::find(x.images.begin(), x.images.end(), image) == x.images.end()) x.images.push_back(image);
       out.emplace_back(best, m);
