--- a/include/loftrouter/core/scheduling/scheduler.hpp
+++ b/include/loftrouter/core/scheduling/scheduler.hpp
@@ -29,7 +29,7 @@
   void place_if_something_changed(); // a round if there is new work or room, at the end of each batch
   // A round for one machine alone, whose heartbeat has just been accepted: it lets the next start leave with the very
   // response, if the task is recorded ahead. Otherwise the machine would stay empty for a whole heartbeat interval.
-  void place_on(MachineIndex machine_index);
+  void place_on_machine(MachineIndex machine_index);
 
   const PlacementQueue &queue() const { return queue_; }
   const FleetSnapshot &snapshot() const { return snapshot_; }
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -170,7 +170,7 @@
 void Core::answer(std::optional<AcceptedHeartbeat> report) {
   if (!report) return;
   deliver();
-  scheduler_.place_on(report->machine);
+  scheduler_.place_on_machine(report->machine);
   heartbeats_.respond(std::move(*report));
 }
 
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -116,7 +116,7 @@
   return out;
 }
 
-void Scheduler::place_on(MachineIndex machine_index) {
+void Scheduler::place_on_machine(MachineIndex machine_index) {
   const Machine &machine = context_.workers[machine_index];
   if (!something_changed() || machine.returning() || !machine.downlink.accepts_commands()) return;
   if (!context_.leadership.active() || !context_.quotas.ready() || last_round_.empty()) return;
