--- a/include/loftrouter/core/autoscaling/autoscaler.hpp
+++ b/include/loftrouter/core/autoscaling/autoscaler.hpp
@@ -1,8 +1,8 @@
-// The size of the fleet: what to rent, what to return, and what the cloud's list of machines says.
+// Sizes the fleet: requests machines from the cloud, returns them, and reads the cloud's list of machines.
 //
-// Owns the budget of calls to the cloud, with its parts the calls under way; used by the core's thread alone.
-// Invariants: no call is made beyond the cloud's limit, a request that is repeated has the same name, and a machine
-// counts as gone only when the cloud has said so (ran_twice).
+// Owns the rate limiter of cloud API calls and, through its parts, the calls in flight. Core thread only.
+// Invariants: calls stay within the cloud's rate limit, a retried request keeps its name (idempotent), and a machine
+// counts as gone only once the cloud has confirmed it (docs/safety.md "ran_twice").
 #pragma once
 
 #include <string>
@@ -20,34 +20,34 @@
 class Autoscaler {
 public:
   explicit Autoscaler(const AutoscalingContext &context);
-  // Its parts refer to one another.
+  // Not copyable: its members refer to one another.
   Autoscaler(const Autoscaler &) = delete;
   Autoscaler &operator=(const Autoscaler &) = delete;
 
   void tick();
-  // Asks the cloud something, so that it is known whether it answers this node; seldom.
+  // Calls the cloud at most every few seconds to find out whether this node can reach it.
   void probe() { catalog_loader_.probe(); }
-  // The cloud had none of this kind to give, lately.
+  // Returns whether the cloud recently reported no capacity for this kind.
   bool lacks_capacity(const MachineKind &kind) const { return scale_out_.lacks_capacity(kind); }
   std::vector<MachineKind> kinds_without_capacity() const { return scale_out_.kinds_without_capacity(); }
   void on(const TermStarted &);
   void on(const TermEnded &);
 
 private:
-  void list_machines(const std::string &from);
-  void take_listed(const ListedMachine &listed);
+  void list_machines(const std::string &after_name);
+  void update_listed_machine(const ListedMachine &listed);
   void scale();
 
   const AutoscalingContext context_;
-  TokenBucket calls_;
+  TokenBucket call_limiter_;
   CatalogLoader catalog_loader_;
   ScaleIn scale_in_;
   ScaleOut scale_out_;
   CapacityPlanner planner_;
-  bool listing_ = false; // a list is being read
-  double next_list_ = 0; // monotonic
-  double next_scale_ = 0;
-  double listed_at_ = -1; // when the machines were first listed as a whole in this term; -1: not yet
+  bool listing_ = false;        // a machine list is being read
+  double next_list_ = 0;        // monotonic
+  double next_scale_ = 0;       // monotonic
+  double first_listed_at_ = -1; // monotonic; when the first complete list of this term was read; -1: not yet
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/autoscaling/autoscaling_context.hpp
+++ b/include/loftrouter/core/autoscaling/autoscaling_context.hpp
@@ -1,4 +1,4 @@
-// The parts of the core that autoscaling is made from. Owns nothing: all of them outlive the autoscaler.
+// References to the components that autoscaling uses. All of them outlive the autoscaler.
 #pragma once
 
 #include "loftrouter/core/liveness/failure_detector.hpp"
@@ -21,7 +21,6 @@
   const JobObjectives &objectives;
 };
 
-// What a machine costs at least, however soon it is returned, by the cloud's protocol: seconds.
-constexpr double kMinimumCharge = 60.0;
+constexpr double kMinimumChargeS = 60.0; // the cloud bills each machine for at least this long
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/autoscaling/capacity_planner.hpp
+++ b/include/loftrouter/core/autoscaling/capacity_planner.hpp
@@ -1,7 +1,7 @@
-// Which machines to rent for the jobs that wait: sizes the fleet.
+// Decides which machines to request for pending jobs.
 //
-// Owns nothing; each plan is made from what is known at the time. No rule rests on it: at worst too much is paid, or
-// jobs wait longer.
+// Stateless: each plan is computed from the present state. Safety doesn't depend on it; a bad plan costs money or
+// delays jobs.
 #pragma once
 
 #include <vector>
@@ -12,8 +12,8 @@
 namespace loftrouter::core {
 
 struct CapacityPlan {
-  std::vector<CapacityRequest> requests; // in the order of the jobs that want them first
-  double waiting_cpus = 0;               // of tasks without a place, deferrable ones left out
+  std::vector<CapacityRequest> requests; // ordered by the first job that needs each
+  double waiting_cpus = 0;               // CPUs of pending tasks, without deferrable ones
 };
 
 class CapacityPlanner {
--- a/include/loftrouter/core/autoscaling/catalog_loader.hpp
+++ b/include/loftrouter/core/autoscaling/catalog_loader.hpp
@@ -1,7 +1,7 @@
-// Keeps the instance type catalog up to date, from the cloud and from the state service.
+// Keeps the instance type catalog up to date from the cloud and the state service.
 //
-// Owns when it is loaded next. The types are kept in the state service too, so that a node can judge jobs while the
-// cloud does not answer.
+// Owns the load schedule. The state service holds a copy of the types, so that a node can validate jobs while the cloud
+// is unreachable.
 #pragma once
 
 #include "loftrouter/core/autoscaling/autoscaling_context.hpp"
@@ -11,20 +11,21 @@
 
 class CatalogLoader {
 public:
-  // `calls`: the budget of calls to the cloud.
-  CatalogLoader(const AutoscalingContext &context, TokenBucket &calls) : context_(context), calls_(calls) {}
+  CatalogLoader(const AutoscalingContext &context, TokenBucket &call_limiter)
+      : context_(context), call_limiter_(call_limiter) {}
 
   void tick();
-  void probe(); // asks the cloud something, so that it is known whether it answers this node; seldom
+  // Calls the cloud at most every few seconds to find out whether this node can reach it.
+  void probe();
 
 private:
   void load();
   void load_from_state_service();
   void load_from_cloud();
-  void take_from_cloud(const wire::CloudReply &reply);
+  void on_cloud_types(const wire::CloudReply &reply);
 
   const AutoscalingContext &context_;
-  TokenBucket &calls_;
+  TokenBucket &call_limiter_;
   bool loading_ = false;
   double next_load_ = 0;  // monotonic
   double next_probe_ = 0; // monotonic
--- a/include/loftrouter/core/autoscaling/scale_in.hpp
+++ b/include/loftrouter/core/autoscaling/scale_in.hpp
@@ -1,7 +1,7 @@
-// Returns machines to the cloud: scale in.
+// Returns machines to the cloud.
 //
-// Owns the call that is under way. A machine counts as gone only when the cloud has said so; until then what runs there
-// may still run (ran_twice).
+// Owns the call in flight. A machine counts as gone only once the cloud has confirmed it; until then its tasks may
+// still be running (docs/safety.md "ran_twice").
 #pragma once
 
 #include <string>
@@ -14,18 +14,20 @@
 
 class ScaleIn {
 public:
-  // `calls`: the budget of calls to the cloud.
-  ScaleIn(const AutoscalingContext &context, TokenBucket &calls) : context_(context), calls_(calls) {}
+  ScaleIn(const AutoscalingContext &context, TokenBucket &call_limiter)
+      : context_(context), call_limiter_(call_limiter) {}
 
   void return_machines();
-  // Drains expensive machines that the others could do without. `waiting_cpus`: of tasks without a place.
+  // Drains expensive machines whose load the rest of the fleet can take. `waiting_cpus`: see
+  // `CapacityPlan`.
   void drain_surplus(double waiting_cpus);
-  // This leader can place nothing at present: no machine is idle for want of work.
-  void note_placing_stopped() { placing_stopped_until_ = context_.runtime.now(); }
+  // Records that this node can't place tasks now, so that machines don't count as idle for lack of work.
+  void note_scheduling_paused() { scheduling_paused_until_ = context_.runtime.now(); }
   void on(const TermEnded &) { call_in_flight_ = false; }
 
 private:
-  struct FleetCounts { // of machines that have sent heartbeats
+  // Counts machines that have sent at least one heartbeat.
+  struct FleetCounts {
     int available = 0;
     int lost = 0;
     int downlink_lost = 0;
@@ -35,15 +37,15 @@
   bool should_return(MachineIndex machine_index, const Machine &machine, const FleetCounts &fleet) const;
   bool never_came_up(const Machine &machine, double boot_s) const;
   bool lost_for_good(const Machine &machine, const FleetCounts &fleet) const;
-  bool reclaimed(const Machine &machine) const;
+  bool reclaimed_by_cloud(const Machine &machine) const;
   bool idle_too_long(const Machine &machine, double boot_s) const;
   double idle_hold_s(const Machine &machine, double boot_s) const;
   bool downlink_lost_too_long(const Machine &machine, double boot_s, const FleetCounts &fleet) const;
 
   const AutoscalingContext &context_;
-  TokenBucket &calls_;
+  TokenBucket &call_limiter_;
   bool call_in_flight_ = false;
-  double placing_stopped_until_ = -1e9; // monotonic
+  double scheduling_paused_until_ = -1e9; // monotonic
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/autoscaling/scale_out.hpp
+++ b/include/loftrouter/core/autoscaling/scale_out.hpp
@@ -1,7 +1,7 @@
-// Rents machines: scale out.
+// Requests machines from the cloud.
 //
-// Owns the requests to the cloud that are not answered yet, and which kinds it had none of lately. A request that is
-// repeated has the same name, and no two leaders share one, so nothing is rented twice.
+// Owns the requests in flight and the kinds for which the cloud recently had no capacity. A retried request keeps its
+// name and names contain the leader's term, so no request is fulfilled twice.
 #pragma once
 
 #include <cstdint>
@@ -13,35 +13,36 @@
 
 namespace loftrouter::core {
 
-struct CapacityRequest { // for machines of one kind
+// A request for machines of one kind.
+struct CapacityRequest {
   MachineKind kind;
   int machines = 0;
   int jobs = 0;
-  JobIndex first_job; // that wants them
+  JobIndex first_job; // the first of the jobs it is for
 };
 
 class ScaleOut {
 public:
-  // `calls`: the budget of calls to the cloud.
-  ScaleOut(const AutoscalingContext &context, TokenBucket &calls) : context_(context), calls_(calls) {}
+  ScaleOut(const AutoscalingContext &context, TokenBucket &call_limiter)
+      : context_(context), call_limiter_(call_limiter) {}
 
-  // As far as the budget goes; the rest is asked for again when it is still wanted.
+  // Sends as much of the request as the rate limit allows. The next plan repeats the rest if it is still needed.
   void request(const CapacityRequest &wanted);
-  // The cloud had none of this kind to give, lately.
+  // Returns whether the cloud recently reported no capacity for this kind.
   bool lacks_capacity(const MachineKind &kind) const;
   std::vector<MachineKind> kinds_without_capacity() const;
-  // Machines asked for and not answered yet.
+  // Numbers of machines in requests that the cloud hasn't answered yet.
   const std::map<MachineKind, int> &in_flight() const { return in_flight_; }
   bool in_flight(const MachineKind &kind) const;
   void on(const TermEnded &) { in_flight_.clear(); }
 
 private:
-  void send(const CloudScaleOut &call, const MachineKind &kind, int tries);
+  void send(const CloudScaleOut &call, const MachineKind &kind, int attempts_left);
   void finish(const CloudScaleOut &call, const MachineKind &kind, const wire::CloudReply &reply);
 
   const AutoscalingContext &context_;
-  TokenBucket &calls_;
-  std::uint64_t requests_ = 0;
+  TokenBucket &call_limiter_;
+  std::uint64_t last_request_number_ = 0;
   std::map<MachineKind, int> in_flight_;
   std::map<MachineKind, double> no_capacity_until_; // monotonic
 };
--- a/include/loftrouter/core/scheduling/fleet_snapshot.hpp
+++ b/include/loftrouter/core/scheduling/fleet_snapshot.hpp
@@ -1,7 +1,6 @@
-// What a placement round sees of the machines: those that may take tasks, with what is free on them.
+// Lists the machines that may take tasks, with their free resources, for a placement round.
 //
-// Owns nothing. Quota and placement rules don't rest on it: it only leaves machines out on which a task would probably
-// not start.
+// Owns nothing. Safety doesn't depend on it: it only excludes machines on which a task would probably not start.
 #pragma once
 
 #include <functional>
@@ -17,23 +16,25 @@
 
 class FleetSnapshot {
 public:
-  // Says of a machine that is not reachable at present whether it is taken all the same.
+  // Decides whether to include a machine that is unreachable at present.
   using IncludeUnreachable = std::function<bool(MachineIndex)>;
 
   FleetSnapshot(const SchedulingContext &context, const LargeTaskReservations &reservations,
                 const Nominations &nominations)
       : context_(context), reservations_(reservations), nominations_(nominations) {}
 
-  std::vector<PlacementMachine> all(const IncludeUnreachable &include_unreachable = {}) const;
-  std::optional<PlacementMachine> one(MachineIndex machine_index) const; // nothing: it takes no tasks
+  std::vector<PlacementMachine> schedulable_machines(const IncludeUnreachable &include_unreachable = {}) const;
+  // Returns no value if the machine takes no tasks.
+  std::optional<PlacementMachine> schedulable_machine(MachineIndex machine_index) const;
 
 private:
   bool in_service(const Machine &machine) const;
   bool reachable(const Machine &machine) const;
-  PlacementMachine view(MachineIndex machine_index, const Machine &machine, double cheapest_cpu_price) const;
+  PlacementMachine placement_machine(MachineIndex machine_index, const Machine &machine,
+                                     double cheapest_cpu_price) const;
   bool is_small(const Allocation &allocation) const;
-  bool holds_only_small(MachineIndex machine_index) const;
-  void open_surplus_reserved(std::vector<PlacementMachine> &machines) const;
+  bool runs_only_small_tasks(MachineIndex machine_index) const;
+  void release_surplus_reserved(std::vector<PlacementMachine> &machines) const;
 
   const SchedulingContext &context_;
   const LargeTaskReservations &reservations_;
--- a/include/loftrouter/core/scheduling/large_task_reservations.hpp
+++ b/include/loftrouter/core/scheduling/large_task_reservations.hpp
@@ -1,7 +1,8 @@
-// Instance types that some job class needs whole, as it fits no other type.
+// Tracks the instance types whose machines are reserved for large tasks, which fit no other type and need a whole
+// machine.
 //
-// Owns, by type, when such a job last came and what it needs. Small work that can go elsewhere keeps off such machines
-// (`FleetSnapshot`). No rule rests on it: at worst a machine is idle, or a large task waits for small ones.
+// Small tasks that can run elsewhere avoid such machines (`FleetSnapshot`). Safety doesn't depend on it: at worst a
+// machine is idle, or a large task waits for small ones.
 #pragma once
 
 #include <unordered_map>
@@ -13,20 +14,20 @@
 class LargeTaskReservations {
 public:
   struct Reservation {
-    double last_wanted_at = 0; // monotonic: when such a job last came
-    Resources need;            // the largest such job's
+    double last_wanted_at = 0; // monotonic; when a job with large tasks was last accepted
+    Resources need;            // maximum over these jobs, for each resource
   };
   explicit LargeTaskReservations(const SchedulingContext &context) : context_(context) {}
 
-  // Of a type that was wanted within so many seconds; null: none.
+  // Returns the type's reservation if a job wanted it within the last `within_s` seconds, otherwise null.
   const Reservation *find(int type, double within_s) const;
   void on(const JobAccepted &event);
 
 private:
-  int only_fitting_type(const JobSpec &spec) const; // -1: none, or several
+  int only_fitting_type(const JobSpec &spec) const; // -1 if none or several fit
 
   const SchedulingContext &context_;
-  std::unordered_map<int, Reservation> reservations_; // by type
+  std::unordered_map<int, Reservation> reservations_; // by type index
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/scheduling/nominations.hpp
+++ b/include/loftrouter/core/scheduling/nominations.hpp
@@ -1,7 +1,7 @@
-// Machines that are kept free for a job: emptied by preemption, or kept for one that has waited too long.
+// Records machines nominated for a job, on which nothing else is placed: those being cleared by preemption, and those
+// kept for a job that has waited too long.
 //
-// Owns them, by machine. Guards against a machine being refilled with small work while the last tasks on it are being
-// stopped. They run out by themselves.
+// Guards against a machine being refilled with small tasks while its victims are still stopping. Nominations expire.
 #pragma once
 
 #include <string>
@@ -17,11 +17,11 @@
 class Nominations {
 public:
   struct Nomination {
-    std::string job_id;         // the job that the machine is kept for
+    std::string job_id;
     double until = -1;          // monotonic
-    bool open_to_small = false; // at the last round over all machines: not reserved for large tasks
+    bool open_to_small = false; // not reserved for large tasks in the last full round
   };
-  // Null: nothing is known of the machine.
+  // Returns null if the machine has no entry; an entry may have expired.
   const Nomination *find(MachineIndex machine) const {
     return machine.position() < nominations_.size() ? &nominations_[machine.position()] : nullptr;
   }
--- a/include/loftrouter/core/scheduling/placement.hpp
+++ b/include/loftrouter/core/scheduling/placement.hpp
@@ -1,8 +1,8 @@
-// One placement round (bin packing) as a pure function of a snapshot. See docs/design.md for what comes from the paper
-// and what is ours.
+// Computes one placement round (bin packing) as a pure function of a snapshot. docs/design.md says which parts come
+// from the paper.
 //
-// Owns nothing and has no side effects. Positions in the vectors passed to `place_round` name jobs and machines within
-// a round; what they stand for outside of it is `PlacementJob::index` and `PlacementMachine::id`.
+// Within a round, jobs and machines are identified by their positions in the vectors passed to `place_round`; elsewhere
+// by `PlacementJob::index` and `PlacementMachine::id`.
 #pragma once
 
 #include <cstdint>
@@ -14,86 +14,87 @@
 namespace loftrouter::core {
 
 struct PlacementMachine {
-  MachineIndex id; // what `PlacementJob::avoided_machines` names
+  MachineIndex id; // matched against `PlacementJob::avoided_machines`
   Resources size;
   Resources free;
   int type = 0;
   int zone = 0;
   bool spot = false;
-  bool reserved_for_large = false; // wanted whole by a job class that fits nowhere else
-  Resources small_task_headroom;   // of a reserved one: what small work may still take without being in the way
-  JobIndex nominated_for;          // being emptied for this job (`PlacementJob::index`): takes nothing else
-  double price_premium = 0;        // 0: a CPU is as cheap here as anywhere; towards 1: much more expensive
+  bool reserved_for_large = false; // kept for tasks that need a whole machine of this type
+  Resources small_task_headroom;   // if reserved: what small tasks may still use
+  JobIndex nominated_for;          // no other job (`PlacementJob::index`) may be placed here
+  double price_premium = 0;        // 1 - cheapest CPU price / this machine's; 0 to 1
   std::vector<int> images;         // cached or being fetched
   double fetch_gb_per_s = 1;
 };
 
 struct PlacementJob {
-  JobIndex index; // compared with `PlacementMachine::nominated_for`
+  JobIndex index; // matched against `PlacementMachine::nominated_for`
   Resources need; // of each task
   int team = 0;
 
-  // Where its tasks may go.
+  // Constraints.
   std::vector<char> types; // by type index: allowed
-  int zone = -1;           // only this zone, or -1
+  int zone = -1;           // required zone; -1: any
   bool spot = false;       // may use spot machines
-  bool gang = false;       // all of `pending` or nothing
+  bool gang = false;       // places all of `pending` or nothing
   bool one_zone = false;
-  int max_per_zone = -1;      // most tasks in a zone (spread), or -1
-  std::vector<int> zone_used; // tasks of the job on machines, by zone
-  std::vector<MachineIndex> avoided_machines;
-  bool small = false;           // low urgency and spot-tolerant: keeps off reserved machines
-  double max_price_premium = 1; // keeps off on-demand machines that are more expensive
+  int max_per_zone = -1;                      // spread constraint; -1: none
+  std::vector<int> zone_used;                 // already placed tasks, by zone index
+  std::vector<MachineIndex> avoided_machines; // where its tasks have failed
+  bool small = false;                         // low priority and spot-tolerant: avoids reserved machines
+  double max_price_premium = 1;               // avoids on-demand machines with a higher one
 
-  // How many.
   std::uint32_t pending = 0; // tasks to place
-  std::uint32_t limit = 0;   // most of them that may be placed now
+  std::uint32_t limit = 0;   // maximum to place now
 
-  // How it ranks.
+  // Ranking.
   Urgency urgency = Urgency::Normal;
-  bool guaranteed = false;     // within its team's guarantee
-  bool delegated_here = false; // another cell's: after all of this cell's own work
+  bool guaranteed = false;     // within its team's guaranteed quota
+  bool delegated_here = false; // from another cell: ranks below all local jobs
   double wait_s = 0;
   bool started = false; // some of its tasks have been placed
-  bool in_time = false; // placed now, its tasks would end in time
+  bool in_time = false; // would meet its completion target if placed now
 
   int image = -1;
   double image_gb = 0;
 };
 
 struct PlacementOptions {
-  double full_plan_bonus = 10; // the plan fits whole
-  double age_weight = 0.05;    // per second waited
-  double image_weight = 0.3;   // beside F: the machine holds the image
-  double price_weight = 1.0;   // beside F: more expensive than the cheapest
-  double reserve_after_s = 120;
-  double in_time_bonus = 30; // the plan's tasks would end in time: late jobs do not make others late
+  double full_plan_bonus = 10;  // for a plan that places all pending tasks
+  double age_weight = 0.05;     // per second waited
+  double image_weight = 0.3;    // for a machine that holds the image
+  double price_weight = 1.0;    // times the machine's price premium
+  double reserve_after_s = 120; // wait after which a job that hasn't started gets machines reserved
+  double in_time_bonus = 30;    // for `PlacementJob::in_time`, so that late jobs don't delay those still in time
 };
 
-struct Assignment { // of a task, by positions
+// Assigns a task of a job to a machine, both by position.
+struct Assignment {
   int job = 0;
   int machine = 0;
 };
-struct Reservation { // of a machine for a job that has waited too long
+// Keeps a machine for a job that has waited too long.
+struct Reservation {
   JobIndex job;
   MachineIndex machine;
 };
 
-// By rules alone: type, zone, spot, price, nomination, failures. Room is not looked at.
+// Checks constraints (type, zone, spot, price, nomination, earlier failures), not free resources.
 bool allowed(const PlacementJob &job, const PlacementMachine &machine);
-// For one more task.
+// Checks free resources for one more task.
 bool has_room(const PlacementJob &job, const PlacementMachine &machine);
-double fit_score(const PlacementJob &job, const PlacementMachine &machine); // F of the paper
+double fit_score(const PlacementJob &job, const PlacementMachine &machine); // F in the paper
 double placement_score(const PlacementJob &job, const PlacementMachine &machine, const PlacementOptions &options);
 
-// Places until nothing more fits. `team_room`: CPUs and GPUs left under each team's limit, or negative for none; it is
-// used up along the way. `reserved`: which machines a job that has waited too long keeps for itself; until the next
-// round over all machines nothing else may be placed there.
+// Places tasks until nothing more fits. `team_headroom`: CPUs and GPUs left under each team's limit, negative: no
+// limit. `reserved` receives the machines kept for jobs that have waited too long; nothing else may be placed there
+// until the next round over all machines.
 std::vector<Assignment> place_round(std::vector<PlacementMachine> machines,
-                                    const std::vector<const PlacementJob *> &jobs, std::vector<Resources> team_room,
+                                    const std::vector<const PlacementJob *> &jobs, std::vector<Resources> team_headroom,
                                     const PlacementOptions &options, std::vector<Reservation> *reserved = nullptr);
 std::vector<Assignment> place_round(std::vector<PlacementMachine> machines, const std::vector<PlacementJob> &jobs,
-                                    std::vector<Resources> team_room, const PlacementOptions &options,
+                                    std::vector<Resources> team_headroom, const PlacementOptions &options,
                                     std::vector<Reservation> *reserved = nullptr);
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/scheduling/preemption.hpp
+++ b/include/loftrouter/core/scheduling/preemption.hpp
@@ -1,7 +1,7 @@
-// Makes room for jobs that fit nowhere, by stopping tasks of lower urgency where the least work is lost.
+// Preempts tasks of lower priority for jobs that fit nowhere, choosing the victims that lose the least work.
 //
-// Owns nothing but uses the nominations: a machine that is being emptied is kept for the job. Tasks stopped count
-// against their team until a heartbeat shows them gone (quota).
+// Owns nothing. Nominates the machines that it clears for the preempting job. Victims count against their team's quota
+// until a heartbeat shows that they are gone (docs/safety.md "quota").
 #pragma once
 
 #include <cstddef>
@@ -21,20 +21,21 @@
              Nominations &nominations, TaskPlacer &placer)
       : context_(context), snapshot_(snapshot), queue_(queue), nominations_(nominations), placer_(placer) {}
 
-  // For jobs none of whose tasks found room in a round.
+  // `unplaced`: jobs of which the round placed no task.
   void make_room(std::vector<JobIndex> unplaced);
-  // Where an operator wants it so, the running tasks of a team whose budget is spent are stopped, with time to save.
+  // Stops the running tasks of teams whose budget is exhausted and set to stop, with time to save a checkpoint.
   void stop_teams_over_budget();
 
 private:
-  struct Offer;
-  using Offers = std::vector<Offer>;
-  Offer offer_of(const PlacementJob &job, const PlacementMachine &machine, std::size_t position) const;
-  Offers cheapest_offers(const PlacementJob &job, const std::vector<PlacementMachine> &machines, int zone) const;
-  Offers best_offers(const PlacementJob &job, const std::vector<PlacementMachine> &machines) const;
-  bool may_start_at_once(const PlacementJob &job, const Offers &offers) const;
+  struct Candidate;
+  using Candidates = std::vector<Candidate>;
+  Candidate candidate_for(const PlacementJob &job, const PlacementMachine &machine, std::size_t position) const;
+  Candidates cheapest_candidates(const PlacementJob &job, const std::vector<PlacementMachine> &machines,
+                                 int zone) const;
+  Candidates best_candidates(const PlacementJob &job, const std::vector<PlacementMachine> &machines) const;
+  bool can_start_immediately(const PlacementJob &job, const Candidates &candidates) const;
   void make_room_for(JobIndex job_index, std::vector<PlacementMachine> &machines);
-  void stop_victims(const Offer &offer, MachineIndex machine_index, const std::string &preemptor_id);
+  void stop_victims(const Candidate &candidate, MachineIndex machine_index, const std::string &preemptor_id);
 
   const SchedulingContext &context_;
   const FleetSnapshot &snapshot_;
--- a/include/loftrouter/core/scheduling/scheduler.hpp
+++ b/include/loftrouter/core/scheduling/scheduler.hpp
@@ -1,8 +1,9 @@
-// The placement rounds: which tasks go where, and when.
+// Decides when to run placement rounds and applies their results.
 //
-// Owns the queue of the last round over all machines, and with its parts the nominations and reservations of machines;
-// used by the core's thread alone. Tasks go only where their job allows, within their team's limit counting all that
-// may be on a machine (quota, wrong_place). What it places is not started before it is recorded (ran_twice).
+// Owns the queue of the last full round (a round over all machines) and, through its parts, the nominations and
+// reservations of machines. Core thread only. Invariants (docs/safety.md): tasks are placed only where their job's
+// constraints allow ("wrong_place") and within their team's limit, counting every task that may still be on a machine
+// ("quota"). A placed task starts only after the placement is recorded ("ran_twice").
 #pragma once
 
 #include <cstdint>
@@ -21,14 +22,16 @@
 class Scheduler {
 public:
   explicit Scheduler(const SchedulingContext &context);
-  // Its parts refer to one another.
+  // Not copyable: its members refer to one another.
   Scheduler(const Scheduler &) = delete;
   Scheduler &operator=(const Scheduler &) = delete;
 
-  void tick();                       // a round if one is due
-  void place_if_something_changed(); // a round if there is new work or room, at the end of each batch
-  // A round for one machine alone, whose heartbeat has just been accepted: it lets the next start leave with the very
-  // response, if the task is recorded ahead. Otherwise the machine would stay empty for a whole heartbeat interval.
+  void tick(); // runs a full round if one is due
+  // Runs a full round, no sooner than the round interval allows, if jobs have arrived or tasks have exited. Called at
+  // the end of each batch.
+  void place_if_something_changed();
+  // Runs a round for one machine whose heartbeat has just been accepted, so that the response can start the next task
+  // if it is prerecorded. Otherwise the machine would be idle for a heartbeat interval.
   void place_on_machine(MachineIndex machine_index);
 
   const PlacementQueue &queue() const { return queue_; }
@@ -44,15 +47,15 @@
 private:
   struct QueuedJob {
     PlacementJob placement;
-    std::uint64_t serial = 0; // of the job: its index may be another's by now
+    std::uint64_t serial = 0; // detects that the job index has been reused
   };
   bool something_changed() const { return room_freed_ || context_.jobs.arrivals() != arrivals_seen_; }
-  void mark_seen();
-  void place_on_all();
+  void mark_changes_seen();
+  void run_full_round();
   void fill_queue(const std::vector<JobIndex> &jobs);
   std::vector<JobIndex> unplaced(const std::vector<JobIndex> &jobs, const std::vector<std::uint32_t> &placed) const;
   bool refresh(QueuedJob &queued) const;
-  void record_ahead();
+  void prerecord_tasks();
   PlacementOptions options() const;
 
   const SchedulingContext context_;
@@ -63,11 +66,11 @@
   TaskPlacer placer_;
   Preemption preemption_;
 
-  double next_round_ = 0;        // monotonic
-  double next_record_ahead_ = 0; // monotonic
-  bool room_freed_ = false;      // a task has exited since the last round
+  double next_round_ = 0;     // monotonic
+  double next_prerecord_ = 0; // monotonic
+  bool room_freed_ = false;   // a task has exited since the last full round
   std::uint64_t arrivals_seen_ = 0;
-  std::vector<QueuedJob> last_round_; // jobs with tasks to place at the last round over all machines, oldest first
+  std::vector<QueuedJob> last_round_queue_; // waiting jobs at the last full round, oldest first
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/scheduling/scheduling_context.hpp
+++ b/include/loftrouter/core/scheduling/scheduling_context.hpp
@@ -1,4 +1,4 @@
-// The parts of the core that scheduling is made from. Owns nothing: all of them outlive the scheduler.
+// References to the components that scheduling uses. All of them outlive the scheduler.
 #pragma once
 
 #include "loftrouter/core/catalog/instance_type_catalog.hpp"
--- a/include/loftrouter/core/scheduling/task_placer.hpp
+++ b/include/loftrouter/core/scheduling/task_placer.hpp
@@ -1,8 +1,8 @@
-// Binds single tasks to machines, with attempt numbers.
+// Binds tasks to machines and assigns attempt numbers.
 //
-// Owns the counter of attempts. Promises that no two attempts of a task have the same number, also across leaders, as
-// numbers hold the term; and that what is placed is to be recorded, which it has to be before it is started
-// (ran_twice).
+// Owns the attempt counter. Invariants: no two attempts of a task share a number, also across leaders, as numbers
+// contain the term; and each placement is queued for recording, which must complete before the task starts
+// (docs/safety.md "ran_twice").
 #pragma once
 
 #include <cstdint>
@@ -17,23 +17,23 @@
 public:
   TaskPlacer(const SchedulingContext &context, PlacementQueue &queue) : context_(context), queue_(queue) {}
 
-  // `task_index` has to be pending.
+  // The task must be pending.
   void place(JobIndex job_index, std::uint32_t task_index, MachineIndex machine_index);
-  // The plan of a round. `jobs` and `machines`: what its positions stand for. Returns by position how many tasks of
-  // each job were placed.
+  // Applies the plan of a round. `jobs` and `machines` map the plan's positions to indices. Returns how many tasks were
+  // placed, by job position.
   std::vector<std::uint32_t> place_all(const std::vector<Assignment> &plan, const std::vector<JobIndex> &jobs,
                                        const std::vector<MachineIndex> &machines);
 
 private:
-  std::uint64_t fresh_attempt();
+  std::uint64_t new_attempt();
   std::uint64_t attempt_for(JobIndex job_index);
 
   const SchedulingContext &context_;
   PlacementQueue &queue_;
-  std::uint64_t attempts_ = 0;
+  std::uint64_t attempt_counter_ = 0;
 };
 
-// The first pending task of the job from `task_index` on, or the number of its tasks.
+// Returns the first pending task from `task_index` on, or the number of tasks if there is none.
 std::uint32_t next_pending_task(const Job &job, std::uint32_t task_index);
 
 } // namespace loftrouter::core
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -5,31 +5,33 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kScaleInterval = 1.0;  // s
-constexpr double kFirstScale = 1.0;     // s, after this leader could place nothing: once what waits has been placed
-constexpr double kListInterval = 3.0;   // s
-constexpr double kListDeadline = 3.0;   // s, of a page
-constexpr double kAfterFirstList = 1.0; // s, until machines are rented
-constexpr double kListLags = 4.0;       // of the cloud's list: a machine removed may be on it for that long
-constexpr double kListLagMargin = 5.0;  // s
-constexpr double kCallsShare = 0.7;     // of the cloud's limit
+constexpr double kScaleIntervalS = 1.0;
+// Delay after the leader becomes able to place tasks, so that pending tasks are placed before the fleet is sized.
+constexpr double kFirstScaleDelayS = 1.0;
+constexpr double kListIntervalS = 3.0;
+constexpr double kListDeadlineS = 3.0;        // for one page
+constexpr double kScaleDelayAfterListS = 1.0; // between the first complete list and the first scaling decision
+// A removed machine may stay in the cloud's list for this many times the list's usual lag, plus the margin.
+constexpr double kListLagFactor = 4.0;
+constexpr double kListLagMarginS = 5.0;
+constexpr double kCallRateShare = 0.7; // of the cloud's rate limit
 } // namespace
 
 Autoscaler::Autoscaler(const AutoscalingContext &context)
-    : context_(context),
-      calls_(kCallsShare * context.settings.cloud_rps, std::max(1.0, kCallsShare * context.settings.cloud_rps)),
-      catalog_loader_(context_, calls_), scale_in_(context_, calls_), scale_out_(context_, calls_),
+    : context_(context), call_limiter_(kCallRateShare * context.settings.cloud_rps,
+                                       std::max(1.0, kCallRateShare * context.settings.cloud_rps)),
+      catalog_loader_(context_, call_limiter_), scale_in_(context_, call_limiter_), scale_out_(context_, call_limiter_),
       planner_(context_, scale_out_) {}
 
 void Autoscaler::on(const TermStarted &) {
   next_list_ = context_.runtime.now();
-  next_scale_ = context_.runtime.now() + kFirstScale;
-  listed_at_ = -1;
+  next_scale_ = context_.runtime.now() + kFirstScaleDelayS;
+  first_listed_at_ = -1;
 }
 
 void Autoscaler::on(const TermEnded &event) {
   listing_ = false;
-  listed_at_ = -1;
+  first_listed_at_ = -1;
   scale_in_.on(event);
   scale_out_.on(event);
 }
@@ -38,25 +40,25 @@
   const double now = context_.runtime.now();
   catalog_loader_.tick();
   if (!context_.leadership.active()) {
-    scale_in_.note_placing_stopped();
-    next_scale_ = now + kFirstScale;
+    scale_in_.note_scheduling_paused();
+    next_scale_ = now + kFirstScaleDelayS;
     return;
   }
-  if (!listing_ && now >= next_list_ && calls_.take(now)) {
+  if (!listing_ && now >= next_list_ && call_limiter_.take(now)) {
     listing_ = true;
-    next_list_ = now + kListInterval;
+    next_list_ = now + kListIntervalS;
     list_machines("");
   }
   scale_in_.return_machines();
   if (now >= next_scale_) {
-    next_scale_ = now + kScaleInterval;
+    next_scale_ = now + kScaleIntervalS;
     scale();
   }
 }
 
-// Not before the machines that are there are known.
+// Waits for a complete machine list, so that machines that already exist are not requested again.
 void Autoscaler::scale() {
-  if (listed_at_ < 0 || context_.runtime.now() - listed_at_ < kAfterFirstList) return;
+  if (first_listed_at_ < 0 || context_.runtime.now() - first_listed_at_ < kScaleDelayAfterListS) return;
   if (context_.failure_detector.all_unreachable()) return;
   const CapacityPlan plan = planner_.plan();
   for (const auto &request : plan.requests)
@@ -64,32 +66,30 @@
   scale_in_.drain_surplus(plan.waiting_cpus);
 }
 
-// ---- the cloud's list ----
-
-// `from`: the name after which the page begins; empty: the first page.
-void Autoscaler::list_machines(const std::string &from) {
+// Reads the list page by page. `after_name`: last name of the previous page; empty for the first page.
+void Autoscaler::list_machines(const std::string &after_name) {
   const auto epoch = context_.leadership.epoch();
-  context_.runtime.cloud(CloudList{from}, kListDeadline, [this, epoch](const wire::CloudReply &reply) {
+  context_.runtime.cloud(CloudList{after_name}, kListDeadlineS, [this, epoch](const wire::CloudReply &reply) {
     if (epoch != context_.leadership.epoch()) return;
     if (reply.status != 200) {
       listing_ = false;
       return;
     }
     for (const auto &listed : reply.machines)
-      take_listed(listed);
+      update_listed_machine(listed);
     if (reply.more && !reply.machines.empty()) return list_machines(reply.machines.back().name);
     listing_ = false;
-    if (listed_at_ < 0) listed_at_ = context_.runtime.now();
+    if (first_listed_at_ < 0) first_listed_at_ = context_.runtime.now();
   });
 }
 
-void Autoscaler::take_listed(const ListedMachine &listed) {
+void Autoscaler::update_listed_machine(const ListedMachine &listed) {
   const double now = context_.runtime.now();
   WorkerRegistry &workers = context_.workers;
   if (const auto removed_at = workers.removed_at(listed.name)) {
-    const double lag_s = kListLags * context_.settings.cloud_list_lag_s + kListLagMargin;
+    const double lag_s = kListLagFactor * context_.settings.cloud_list_lag_s + kListLagMarginS;
     if (now - *removed_at < lag_s) return;
-    workers.forget_removal(listed.name); // still there: it is returned again
+    workers.forget_removal(listed.name); // the removal failed: return it again
     workers.mark_returning(workers.find_or_add(listed.name, listed.type, listed.zone, listed.spot));
     return;
   }
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -12,31 +12,31 @@
 
 namespace {
 
-constexpr double kSlackShare = 0.7; // of the time left, what the queue may take
-constexpr double kVeryLate = 8.0;   // times the time a job was given
-// How often a rented machine's place may be used for one backlog: as often as the time left allows.
-constexpr double kWavesShare = 0.5;
+constexpr double kQueueSlackShare = 0.7; // of the time left until the target, the part that queueing may use
+constexpr double kVeryLateFactor = 8.0;  // multiple of a job's target time
+// Number of tasks of one backlog that run one after the other in a slot of a new machine.
+constexpr double kWaveTimeShare = 0.5; // of the time left until the target
 constexpr double kMinWaves = 2.0;
 constexpr double kMaxWaves = 6.0;
-constexpr double kMinEstimate = 8.0;       // s, of a task
-constexpr double kMinRemaining = 5.0;      // s, of a task that runs
-constexpr double kUnresolvedStart = 0.5;   // s, until a job can start whose dependencies are being looked up
-constexpr double kBootCostShare = 0.003;   // of the price, for each second that a type takes to boot
-constexpr double kMinShortage = 0.5;       // of a task: less is met by what is there
-constexpr double kPlacesWithoutNeed = 100; // on a machine, of tasks that need no CPU
-constexpr double kRounding = 1e-6;
+constexpr double kMinEstimateS = 8.0;           // of a task's run time
+constexpr double kMinRemainingS = 5.0;          // of a running task
+constexpr double kUnresolvedStartS = 0.5;       // assumed wait of a job whose dependencies are being looked up
+constexpr double kBootCostPerS = 0.003;         // share of the price added per second of boot time
+constexpr double kMinShortageTasks = 0.5;       // running machines absorb a smaller shortage
+constexpr double kSlotsWithoutCpuRequest = 100; // per machine, for tasks that request no CPU
+constexpr double kRoundingTolerance = 1e-6;
 
 constexpr double kInfinite = std::numeric_limits<double>::infinity();
 
-// A machine that is on its way, and what is left of it for later jobs.
+// A machine that is requested or booting, with the resources not yet set aside for jobs planned earlier.
 struct BootingMachine {
   Resources free;
   MachineKind kind;
 };
 
-// Machines already up that are alike, and the CPU seconds that they are expected to still spend.
+// Running machines that are equal for planning, with the CPU seconds that their work still needs.
 struct MachineGroup {
-  PlacementMachine machine; // one of them
+  PlacementMachine machine; // a representative
   double count = 0;
   double busy_cpu_s = 0;
 };
@@ -49,22 +49,21 @@
   auto operator<=>(const MachineGroupKey &) const = default;
 };
 
-// What a job asks of the fleet.
+// A job's demand for machines.
 struct Demand {
   JobIndex job_index;
   PlacementJob job;
-  double starts_in_s = 0; // 0: it can
-  double estimate_s = 0;
-  double target_s = 0; // after it could start
-  double left_s = 0;   // until then
-  bool low = false;    // of low urgency
-  // A gang needs all its places at the same time, perhaps in one zone: none serves two of its tasks, one after the
-  // other. Counting so from the start rents more than others leave time for (measured: worse); a gang that has waited
-  // long is what the easier count does not serve.
-  bool strict = false;
-  bool in_zone = false; // strict, and in one zone
-  double waves = 1;     // tasks that one place serves, one after the other
-  double waiting = 0;   // tasks that nothing is there for yet
+  double starts_in_s = 0; // 0: it can start now
+  double estimate_s = 0;  // run time of a task
+  double target_s = 0;    // completion target, counted from when the job could start
+  double left_s = 0;      // until the target
+  bool low_priority = false;
+  // A gang needs all its slots at the same time, so no slot serves two of its tasks. Only gangs that have waited long
+  // are planned so: the looser estimate costs less and usually suffices.
+  bool simultaneous = false;
+  bool same_zone = false;    // simultaneous, and all tasks in one zone
+  double waves = 1;          // tasks that one slot runs, one after the other
+  double unserved_tasks = 0; // tasks without planned capacity
 };
 
 struct Choice {
@@ -73,24 +72,24 @@
   double cost = kInfinite;
 };
 
-// One run of the planner.
-class Planning {
+// Computes one plan.
+class PlanBuilder {
 public:
-  Planning(const AutoscalingContext &context, const ScaleOut &scale_out);
-  CapacityPlan run();
+  PlanBuilder(const AutoscalingContext &context, const ScaleOut &scale_out);
+  CapacityPlan build();
 
 private:
   void list_booting();
-  void list_up();
-  std::vector<JobIndex> jobs_by_urgency() const;
-  std::vector<double> starts_in() const;
+  void list_running();
+  std::vector<JobIndex> jobs_by_priority() const;
+  std::vector<double> start_delays() const;
   double max_boot_s() const;
 
   void plan_job(JobIndex job_index);
-  std::optional<PlacementJob> placement_of(JobIndex job_index) const;
-  Demand demand_of(JobIndex job_index, PlacementJob job) const;
+  std::optional<PlacementJob> placement_for(JobIndex job_index) const;
+  Demand demand_for(JobIndex job_index, PlacementJob job) const;
   bool allowed_on(const Demand &demand, const MachineKind &kind) const;
-  void fill(Demand &demand, BootingMachine &machine) const;
+  void assign_to_booting(Demand &demand, BootingMachine &machine) const;
 
   double tasks_per_machine(const Demand &demand, const MachineType &type) const;
   double cheapest_task_price(const Demand &demand) const;
@@ -98,45 +97,45 @@
   void consider_type(const Demand &demand, int type, double cheapest, Choice &best) const;
   double horizon_s(const Demand &demand, const MachineType &type, double task_price, double cheapest) const;
   double shortage(const Demand &demand, int zone, double horizon_s) const;
-  double booked_in_zone(const Demand &demand, int zone) const;
-  double carried(const Demand &demand, int zone, double horizon_s) const;
-  double carried_by(const Demand &demand, const PlacementMachine &machine, double count, double busy_cpu_s, int zone,
-                    double horizon_s) const;
+  double booting_slots_in_zone(const Demand &demand, int zone) const;
+  double served_by_running(const Demand &demand, int zone, double horizon_s) const;
+  double served_by(const Demand &demand, const PlacementMachine &machine, double count, double busy_cpu_s, int zone,
+                   double horizon_s) const;
 
-  void count_on_machines_up(const Demand &demand);
+  void add_work_to_running(const Demand &demand);
   void add_request(Demand &demand, const Choice &choice);
 
   const AutoscalingContext &context_;
   const ScaleOut &scale_out_;
   std::vector<BootingMachine> booting_;
-  std::vector<PlacementMachine> up_;
-  std::vector<double> busy_cpu_s_; // of each machine that is up, for work that needs them whole
+  std::vector<PlacementMachine> running_;
+  // Remaining CPU seconds of work on each machine, by position in `running_`. Used for jobs above low priority; those
+  // of low priority use the sums in `groups_`.
+  std::vector<double> busy_cpu_s_;
   std::map<MachineGroupKey, MachineGroup> groups_;
-  std::vector<double> starts_in_s_; // by job
+  std::vector<double> starts_in_s_; // by job index
   double max_boot_s_ = 0;
   CapacityPlan plan_;
 };
 
-Planning::Planning(const AutoscalingContext &context, const ScaleOut &scale_out)
+PlanBuilder::PlanBuilder(const AutoscalingContext &context, const ScaleOut &scale_out)
     : context_(context), scale_out_(scale_out) {
   list_booting();
-  list_up();
-  starts_in_s_ = starts_in();
+  list_running();
+  starts_in_s_ = start_delays();
   max_boot_s_ = max_boot_s();
 }
 
-CapacityPlan Planning::run() {
-  for (JobIndex job_index : jobs_by_urgency())
+CapacityPlan PlanBuilder::build() {
+  for (JobIndex job_index : jobs_by_priority())
     plan_job(job_index);
   return std::move(plan_);
 }
 
-// ---- what is there ----
-
-void Planning::list_booting() {
+void PlanBuilder::list_booting() {
   context_.workers.each([this](MachineIndex, const Machine &machine) {
-    const bool is_up = machine.heartbeat.received() || machine.listing.running;
-    if (!is_up && !machine.returning() && machine.type >= 0)
+    const bool is_running = machine.heartbeat.received() || machine.listing.running;
+    if (!is_running && !machine.returning() && machine.type >= 0)
       booting_.push_back({machine.size, {machine.type, machine.zone, machine.spot}});
   });
   for (const auto &[kind, count] : scale_out_.in_flight())
@@ -144,32 +143,32 @@
       booting_.push_back({context_.catalog.type(kind.type).size, kind});
 }
 
-void Planning::list_up() {
-  up_ = context_.scheduler.snapshot().all([this](MachineIndex machine_index) {
+void PlanBuilder::list_running() {
+  running_ = context_.scheduler.snapshot().schedulable_machines([this](MachineIndex machine_index) {
     const Machine &machine = context_.workers[machine_index];
-    // One that is available and not verified yet is so within a heartbeat or two.
+    // An available machine is verified within a heartbeat or two.
     const bool soon_verified = machine.available() && !machine.downlink.verified() && !machine.downlink.lost();
     return soon_verified || context_.failure_detector.must_not_replace(machine_index);
   });
-  busy_cpu_s_.assign(up_.size(), 0);
-  for (std::size_t i = 0; i < up_.size(); ++i) {
-    const PlacementMachine &machine = up_[i];
+  busy_cpu_s_.assign(running_.size(), 0);
+  for (std::size_t i = 0; i < running_.size(); ++i) {
+    const PlacementMachine &machine = running_[i];
     auto &group =
         groups_[{machine.type, machine.zone, machine.spot, machine.reserved_for_large, machine.nominated_for}];
     group.machine = machine;
-    group.machine.id = {}; // it stands for others, on which the job may not have failed
+    group.machine.id = {}; // `avoided_machines` must not match the representative
     ++group.count;
     for (const auto &allocation : context_.workers[machine.id].allocations) {
       if (!allocation.job.valid() || allocation.completed()) continue;
       const double ran_s = allocation.running_since >= 0 ? context_.runtime.now() - allocation.running_since : 0;
-      const double remaining_s = std::max(kMinRemaining, context_.jobs[allocation.job].spec.estimate_s - ran_s);
+      const double remaining_s = std::max(kMinRemainingS, context_.jobs[allocation.job].spec.estimate_s - ran_s);
       busy_cpu_s_[i] += remaining_s * allocation.need.cpus;
     }
     group.busy_cpu_s += busy_cpu_s_[i];
   }
 }
 
-std::vector<JobIndex> Planning::jobs_by_urgency() const {
+std::vector<JobIndex> PlanBuilder::jobs_by_priority() const {
   std::vector<JobIndex> order;
   context_.jobs.each([&order](JobIndex job_index, const Job &) { order.push_back(job_index); });
   const auto rank = [this](JobIndex job_index) {
@@ -179,8 +178,8 @@
   return order;
 }
 
-// Seconds until each job can probably start; 0: it can. By its owners' estimates, so never beyond what is being run.
-std::vector<double> Planning::starts_in() const {
+// Estimates in how many seconds each job can start (0: now), from the run time estimates along its critical path.
+std::vector<double> PlanBuilder::start_delays() const {
   const Dependencies &dependencies = context_.dependencies;
   auto path = dependencies.critical_path([&](JobIndex job_index) {
     const double age_s = dependencies.ready(job_index) ? std::max(0.0, context_.scheduler.queue().age_s(job_index)) : 0;
@@ -189,75 +188,75 @@
   context_.jobs.each([&](JobIndex job_index, const Job &) {
     if (dependencies.ready(job_index)) return;
     double &starts_in_s = path.starts_in_s[job_index.position()];
-    starts_in_s = std::max(starts_in_s, kUnresolvedStart);
+    starts_in_s = std::max(starts_in_s, kUnresolvedStartS);
   });
   return std::move(path.starts_in_s);
 }
 
-double Planning::max_boot_s() const {
+double PlanBuilder::max_boot_s() const {
   double boot_s = 0;
   for (const auto &type : context_.catalog.types())
     boot_s = std::max(boot_s, type.boot_s);
   return boot_s;
 }
 
-// ---- one job ----
-
-void Planning::plan_job(JobIndex job_index) {
-  auto placement = placement_of(job_index);
+void PlanBuilder::plan_job(JobIndex job_index) {
+  auto placement = placement_for(job_index);
   if (!placement) return;
   const PlacementQueue &queue = context_.scheduler.queue();
   if (!queue.deferrable(job_index) || queue.starved(job_index))
     plan_.waiting_cpus += placement->pending * placement->need.cpus;
-  Demand demand = demand_of(job_index, std::move(*placement));
-  // What is on its way takes them first. Tasks that must be in one zone count on that of the place that is chosen.
+  Demand demand = demand_for(job_index, std::move(*placement));
+  // Booting machines serve the demand first. A demand bound to one zone uses those of the chosen zone only
+  // (`add_request`).
   for (auto &machine : booting_)
-    if (!demand.in_zone && allowed_on(demand, machine.kind)) fill(demand, machine);
-  if (demand.waiting < 1) return;
+    if (!demand.same_zone && allowed_on(demand, machine.kind)) assign_to_booting(demand, machine);
+  if (demand.unserved_tasks < 1) return;
   const Choice choice = cheapest_choice(demand);
-  count_on_machines_up(demand);
+  add_work_to_running(demand);
   if (choice.machines > 0) add_request(demand, choice);
 }
 
-// Nothing if no machines are to be rented for it.
-std::optional<PlacementJob> Planning::placement_of(JobIndex job_index) const {
+// Returns no value for a job that no machines are requested for.
+std::optional<PlacementJob> PlanBuilder::placement_for(JobIndex job_index) const {
   const Job &job = context_.jobs[job_index];
   PlacementJob placement = context_.scheduler.queue().job(job_index);
-  // What will be able to start within a boot: machines for it are on their way by then.
+  // Requests machines ahead for a job whose dependencies complete within a boot time.
   const double starts_in_s = starts_in_s_[job_index.position()];
   const bool starts_soon = starts_in_s > 0 && starts_in_s <= max_boot_s_;
   if (placement.limit == 0 && starts_soon && !job.cancelled && !job.ending && job.team >= 0)
     placement.limit = placement.pending;
   if (placement.limit == 0) return std::nullopt;
   if (!context_.failure_attribution.suspected(job_index)) return placement;
-  // For work that fails everywhere nothing is rented, unless it could never be tried again.
+  // A suspected job gets new machines only if no running machine could retry it.
   placement.avoided_machines.clear();
-  const bool can_be_tried = std::any_of(up_.begin(), up_.end(), [&placement](const PlacementMachine &machine) {
-    return allowed(placement, machine) && placement.need.fits(machine.size);
-  });
+  const bool can_be_tried =
+      std::any_of(running_.begin(), running_.end(), [&placement](const PlacementMachine &machine) {
+        return allowed(placement, machine) && placement.need.fits(machine.size);
+      });
   return can_be_tried ? std::nullopt : std::optional(std::move(placement));
 }
 
-Demand Planning::demand_of(JobIndex job_index, PlacementJob job) const {
+Demand PlanBuilder::demand_for(JobIndex job_index, PlacementJob job) const {
   const JobSpec &spec = context_.jobs[job_index].spec;
   Demand demand;
   demand.job_index = job_index;
   demand.starts_in_s = starts_in_s_[job_index.position()];
-  demand.estimate_s = std::max(kMinEstimate, spec.estimate_s);
+  demand.estimate_s = std::max(kMinEstimateS, spec.estimate_s);
   demand.target_s = context_.objectives.achievable_target(spec, context_.dependencies.deadline(job_index),
                                                           context_.scheduler.queue().age_s(job_index));
   demand.left_s = demand.target_s - job.wait_s;
-  demand.low = job.urgency == Urgency::Low;
-  demand.strict = job.gang && job.wait_s > context_.operators.tunables().reserve_after_s;
-  demand.in_zone = demand.strict && job.one_zone;
-  if (demand.low && !demand.strict)
-    demand.waves = std::clamp(kWavesShare * demand.left_s / demand.estimate_s, kMinWaves, kMaxWaves);
-  demand.waiting = job.pending;
+  demand.low_priority = job.urgency == Urgency::Low;
+  demand.simultaneous = job.gang && job.wait_s > context_.operators.tunables().reserve_after_s;
+  demand.same_zone = demand.simultaneous && job.one_zone;
+  if (demand.low_priority && !demand.simultaneous)
+    demand.waves = std::clamp(kWaveTimeShare * demand.left_s / demand.estimate_s, kMinWaves, kMaxWaves);
+  demand.unserved_tasks = job.pending;
   demand.job = std::move(job);
   return demand;
 }
 
-bool Planning::allowed_on(const Demand &demand, const MachineKind &kind) const {
+bool PlanBuilder::allowed_on(const Demand &demand, const MachineKind &kind) const {
   PlacementMachine machine;
   machine.type = kind.type;
   machine.zone = kind.zone;
@@ -265,24 +264,22 @@
   return allowed(demand.job, machine);
 }
 
-void Planning::fill(Demand &demand, BootingMachine &machine) const {
-  while (demand.waiting >= 1 && demand.job.need.fits(machine.free)) {
+void PlanBuilder::assign_to_booting(Demand &demand, BootingMachine &machine) const {
+  while (demand.unserved_tasks >= 1 && demand.job.need.fits(machine.free)) {
     machine.free.add(demand.job.need, -1);
-    demand.waiting -= demand.waves;
+    demand.unserved_tasks -= demand.waves;
   }
 }
 
-// ---- what to rent ----
-
-double Planning::tasks_per_machine(const Demand &demand, const MachineType &type) const {
+double PlanBuilder::tasks_per_machine(const Demand &demand, const MachineType &type) const {
   const Resources &need = demand.job.need;
-  double tasks = need.cpus > 0 ? std::floor(type.size.cpus / need.cpus + kRounding) : kPlacesWithoutNeed;
-  if (need.memory > 0) tasks = std::min(tasks, std::floor(type.size.memory / need.memory + kRounding));
-  if (need.gpus > 0) tasks = std::min(tasks, std::floor(type.size.gpus / need.gpus + kRounding));
+  double tasks = need.cpus > 0 ? std::floor(type.size.cpus / need.cpus + kRoundingTolerance) : kSlotsWithoutCpuRequest;
+  if (need.memory > 0) tasks = std::min(tasks, std::floor(type.size.memory / need.memory + kRoundingTolerance));
+  if (need.gpus > 0) tasks = std::min(tasks, std::floor(type.size.gpus / need.gpus + kRoundingTolerance));
   return std::max(1.0, tasks);
 }
 
-double Planning::cheapest_task_price(const Demand &demand) const {
+double PlanBuilder::cheapest_task_price(const Demand &demand) const {
   double cheapest = kInfinite;
   const auto &types = context_.catalog.types();
   for (std::size_t i = 0; i < types.size(); ++i) {
@@ -294,7 +291,7 @@
   return cheapest;
 }
 
-Choice Planning::cheapest_choice(const Demand &demand) const {
+Choice PlanBuilder::cheapest_choice(const Demand &demand) const {
   Choice best;
   const double cheapest = cheapest_task_price(demand);
   const auto &types = context_.catalog.types();
@@ -306,7 +303,7 @@
   return best;
 }
 
-void Planning::consider_type(const Demand &demand, int type_index, double cheapest, Choice &best) const {
+void PlanBuilder::consider_type(const Demand &demand, int type_index, double cheapest, Choice &best) const {
   const MachineType &type = context_.catalog.type(type_index);
   const double tasks = tasks_per_machine(demand, type);
   for (const auto &zone_name : type.zones) {
@@ -318,105 +315,104 @@
       if (scale_out_.lacks_capacity(kind) || scale_out_.in_flight(kind)) continue;
       const double price = spot ? type.spot_price : type.price;
       const double missing = shortage(demand, zone, horizon_s(demand, type, price / tasks, cheapest));
-      if (missing < kMinShortage) continue;
+      if (missing < kMinShortageTasks) continue;
       const int machines = static_cast<int>(std::ceil(std::ceil(missing / demand.waves) / tasks));
-      const double cost = price * machines * (1 + kBootCostShare * type.boot_s);
+      const double cost = price * machines * (1 + kBootCostPerS * type.boot_s);
       if (cost < best.cost) best = {kind, machines, cost};
     }
   }
 }
 
-// How long the job may wait for machines that are up. Cheap places are rented for whatever would wait longer than their
-// boot. Expensive ones only where they come early enough to save a deadline that the queue endangers, or against
-// waiting without end.
-double Planning::horizon_s(const Demand &demand, const MachineType &type, double task_price, double cheapest) const {
-  const double horizon_s = type.boot_s + (demand.low ? demand.estimate_s : 0.0);
-  if (!demand.low || task_price <= kExpensiveRatio * cheapest) return horizon_s;
-  const bool can_meet = kSlackShare * demand.left_s > horizon_s;
-  const double patience_s = can_meet ? demand.left_s : kVeryLate * demand.target_s - demand.job.wait_s;
-  return std::max(horizon_s, kSlackShare * patience_s);
+// Returns how long the job should wait for running machines before this type is requested. That is the
+// type's boot time, plus the run time of a task for a low-priority job. For the latter, expensive types are requested
+// only if they can save a target that queueing would miss, or if the job would otherwise be very late.
+double PlanBuilder::horizon_s(const Demand &demand, const MachineType &type, double task_price, double cheapest) const {
+  const double horizon_s = type.boot_s + (demand.low_priority ? demand.estimate_s : 0.0);
+  if (!demand.low_priority || task_price <= kExpensiveRatio * cheapest) return horizon_s;
+  const bool can_meet = kQueueSlackShare * demand.left_s > horizon_s;
+  const double patience_s = can_meet ? demand.left_s : kVeryLateFactor * demand.target_s - demand.job.wait_s;
+  return std::max(horizon_s, kQueueSlackShare * patience_s);
 }
 
-// Tasks that would find no place within the horizon.
-double Planning::shortage(const Demand &demand, int zone, double horizon_s) const {
-  const double on_machines_up = carried(demand, zone, horizon_s);
-  const double booked = demand.in_zone ? booked_in_zone(demand, zone) : 0;
-  return demand.waiting - booked - (demand.low ? on_machines_up : std::floor(on_machines_up));
+// Returns how many tasks neither running nor booting machines can serve within the horizon.
+double PlanBuilder::shortage(const Demand &demand, int zone, double horizon_s) const {
+  const double served = served_by_running(demand, zone, horizon_s);
+  const double booting_slots = demand.same_zone ? booting_slots_in_zone(demand, zone) : 0;
+  return demand.unserved_tasks - booting_slots - (demand.low_priority ? served : std::floor(served));
 }
 
-// Places on their way in this zone.
-double Planning::booked_in_zone(const Demand &demand, int zone) const {
-  double places = 0;
+// Returns the slots for the job's tasks on requested and booting machines of a zone.
+double PlanBuilder::booting_slots_in_zone(const Demand &demand, int zone) const {
+  double slots = 0;
   for (BootingMachine machine : booting_) {
     if (machine.kind.zone != zone || !allowed_on(demand, machine.kind)) continue;
     while (demand.job.need.fits(machine.free)) {
       machine.free.add(demand.job.need, -1);
-      ++places;
+      ++slots;
     }
   }
-  return places;
+  return slots;
 }
 
-// Tasks that machines already up get to within the horizon.
-double Planning::carried(const Demand &demand, int zone, double horizon_s) const {
+// Returns how many tasks the running machines can serve within the horizon.
+double PlanBuilder::served_by_running(const Demand &demand, int zone, double horizon_s) const {
   double tasks = 0;
-  if (demand.low) {
+  if (demand.low_priority) {
     for (const auto &[key, group] : groups_)
-      tasks += carried_by(demand, group.machine, group.count, group.busy_cpu_s, zone, horizon_s);
+      tasks += served_by(demand, group.machine, group.count, group.busy_cpu_s, zone, horizon_s);
     return tasks;
   }
-  for (std::size_t i = 0; i < up_.size(); ++i)
-    tasks += carried_by(demand, up_[i], 1, busy_cpu_s_[i], zone, horizon_s);
+  for (std::size_t i = 0; i < running_.size(); ++i)
+    tasks += served_by(demand, running_[i], 1, busy_cpu_s_[i], zone, horizon_s);
   return tasks;
 }
 
-double Planning::carried_by(const Demand &demand, const PlacementMachine &machine, double count, double busy_cpu_s,
-                            int zone, double horizon_s) const {
+double PlanBuilder::served_by(const Demand &demand, const PlacementMachine &machine, double count, double busy_cpu_s,
+                              int zone, double horizon_s) const {
   const PlacementJob &job = demand.job;
   if (!allowed(job, machine) || !job.need.fits(machine.size)) return 0;
   if (machine.reserved_for_large && job.small) return 0;
-  if (demand.in_zone && machine.zone != zone) return 0;
+  if (demand.same_zone && machine.zone != zone) return 0;
   const double cpus = std::max(job.need.cpus, 0.01);
-  const double places = count * std::floor(machine.size.cpus / cpus + kRounding);
-  const double tasks = std::max(0.0, places * cpus * horizon_s - busy_cpu_s) / (cpus * demand.estimate_s);
-  return demand.strict ? std::min(tasks, places) : tasks;
+  const double slots = count * std::floor(machine.size.cpus / cpus + kRoundingTolerance);
+  const double tasks = std::max(0.0, slots * cpus * horizon_s - busy_cpu_s) / (cpus * demand.estimate_s);
+  return demand.simultaneous ? std::min(tasks, slots) : tasks;
 }
 
-// ---- what that leaves for the next job ----
-
-// Work counted here is not counted again for later jobs: it lies on the machines that may take it, by their CPUs.
-void Planning::count_on_machines_up(const Demand &demand) {
+// Adds the job's work to the running machines that may take it, in proportion to their CPUs, so that jobs planned later
+// don't count the same capacity.
+void PlanBuilder::add_work_to_running(const Demand &demand) {
   const PlacementJob &job = demand.job;
-  const auto takes = [&job](const PlacementMachine &machine) {
+  const auto can_run = [&job](const PlacementMachine &machine) {
     return allowed(job, machine) && job.need.fits(machine.size);
   };
-  const auto group_takes = [&](const MachineGroup &group) {
-    return takes(group.machine) && !(group.machine.reserved_for_large && job.small);
+  const auto group_can_run = [&](const MachineGroup &group) {
+    return can_run(group.machine) && !(group.machine.reserved_for_large && job.small);
   };
   double cpus = 0;
   for (const auto &[key, group] : groups_)
-    if (group_takes(group)) cpus += group.count * group.machine.size.cpus;
-  const double cpu_s_per_cpu = cpus > 0 ? demand.waiting * demand.estimate_s * job.need.cpus / cpus : 0;
+    if (group_can_run(group)) cpus += group.count * group.machine.size.cpus;
+  const double cpu_s_per_cpu = cpus > 0 ? demand.unserved_tasks * demand.estimate_s * job.need.cpus / cpus : 0;
   for (auto &[key, group] : groups_)
-    if (group_takes(group)) group.busy_cpu_s += cpu_s_per_cpu * group.count * group.machine.size.cpus;
-  if (demand.low) return;
-  for (std::size_t i = 0; i < up_.size(); ++i)
-    if (takes(up_[i])) busy_cpu_s_[i] += cpu_s_per_cpu * up_[i].size.cpus;
+    if (group_can_run(group)) group.busy_cpu_s += cpu_s_per_cpu * group.count * group.machine.size.cpus;
+  if (demand.low_priority) return;
+  for (std::size_t i = 0; i < running_.size(); ++i)
+    if (can_run(running_[i])) busy_cpu_s_[i] += cpu_s_per_cpu * running_[i].size.cpus;
 }
 
-void Planning::add_request(Demand &demand, const Choice &choice) {
+void PlanBuilder::add_request(Demand &demand, const Choice &choice) {
   auto &requests = plan_.requests;
   auto request = std::find_if(requests.begin(), requests.end(),
-                              [&choice](const CapacityRequest &known) { return known.kind == choice.kind; });
+                              [&choice](const CapacityRequest &other) { return other.kind == choice.kind; });
   if (request == requests.end()) request = requests.insert(request, {choice.kind, 0, 0, demand.job_index});
   request->machines += choice.machines;
   ++request->jobs;
-  if (demand.in_zone)
+  if (demand.same_zone)
     for (auto &machine : booting_)
-      if (machine.kind.zone == choice.kind.zone && allowed_on(demand, machine.kind)) fill(demand, machine);
+      if (machine.kind.zone == choice.kind.zone && allowed_on(demand, machine.kind)) assign_to_booting(demand, machine);
   for (int i = 0; i < choice.machines; ++i) {
     BootingMachine machine{context_.catalog.type(choice.kind.type).size, choice.kind};
-    fill(demand, machine);
+    assign_to_booting(demand, machine);
     booting_.push_back(machine);
   }
 }
@@ -424,7 +420,7 @@
 } // namespace
 
 CapacityPlan CapacityPlanner::plan() const {
-  return Planning(context_, scale_out_).run();
+  return PlanBuilder(context_, scale_out_).build();
 }
 
 } // namespace loftrouter::core
--- a/src/core/autoscaling/scale_out.cpp
+++ b/src/core/autoscaling/scale_out.cpp
@@ -7,11 +7,11 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr int kMaxMachinesPerCall = 50;   // by the cloud's protocol
-constexpr double kCallsLeft = 1.0;        // of the budget, for the list and for returns
-constexpr double kNoCapacityPause = 12.0; // s
-constexpr double kDeadline = 3.0;         // s, of a call
-constexpr int kTries = 3;
+constexpr int kMaxMachinesPerCall = 50; // limit of the cloud's API
+constexpr double kReservedCalls = 1.0;  // left in the rate limiter for listing and returning machines
+constexpr double kNoCapacityPauseS = 12.0;
+constexpr double kCallDeadlineS = 3.0;
+constexpr int kCallAttempts = 3;
 } // namespace
 
 bool ScaleOut::lacks_capacity(const MachineKind &kind) const {
@@ -31,16 +31,15 @@
   return it != in_flight_.end() && it->second > 0;
 }
 
-// All that is wanted of one kind at once: a backlog of thousands of tasks is not to be met by a few machines a second.
 void ScaleOut::request(const CapacityRequest &wanted) {
   const Job &first_job = context_.jobs[wanted.first_job];
   int left = wanted.machines;
-  while (left > 0 && calls_.level(context_.runtime.now()) >= 1 + kCallsLeft) {
+  while (left > 0 && call_limiter_.level(context_.runtime.now()) >= 1 + kReservedCalls) {
     const int count = std::min(left, kMaxMachinesPerCall);
     left -= count;
     in_flight_[wanted.kind] += count;
-    ++requests_;
-    const CloudScaleOut call{fmt::format("r-{}-{}", context_.leadership.term(), requests_),
+    ++last_request_number_;
+    const CloudScaleOut call{fmt::format("r-{}-{}", context_.leadership.term(), last_request_number_),
                              context_.catalog.type_name(wanted.kind.type), context_.catalog.zone_name(wanted.kind.zone),
                              wanted.kind.spot, count};
     context_.runtime.log(LogLevel::Info, "scale_out_requested",
@@ -53,20 +52,20 @@
                           {"first_job", first_job.spec.id},
                           {"class", first_job.spec.job_class},
                           {"its_waiting_tasks", first_job.pending()}});
-    send(call, wanted.kind, kTries);
+    send(call, wanted.kind, kCallAttempts);
   }
 }
 
-void ScaleOut::send(const CloudScaleOut &call, const MachineKind &kind, int tries) {
-  if (!calls_.take(context_.runtime.now())) {
+void ScaleOut::send(const CloudScaleOut &call, const MachineKind &kind, int attempts_left) {
+  if (!call_limiter_.take(context_.runtime.now())) {
     in_flight_[kind] -= call.count;
     return;
   }
   const auto epoch = context_.leadership.epoch();
-  context_.runtime.cloud(call, kDeadline, [this, call, kind, tries, epoch](const wire::CloudReply &reply) {
+  context_.runtime.cloud(call, kCallDeadlineS, [this, call, kind, attempts_left, epoch](const wire::CloudReply &reply) {
     if (epoch != context_.leadership.epoch()) return;
     const bool unanswered = reply.status == 0;
-    if (unanswered && tries > 1) return send(call, kind, tries - 1);
+    if (unanswered && attempts_left > 1) return send(call, kind, attempts_left - 1);
     finish(call, kind, reply);
   });
 }
@@ -80,7 +79,7 @@
         context_.workers.mark_verified(context_.workers.find_or_add(name, call.type, call.zone, call.spot));
     no_capacity = static_cast<int>(reply.names.size()) < call.count;
   }
-  if (no_capacity) no_capacity_until_[kind] = context_.runtime.now() + kNoCapacityPause;
+  if (no_capacity) no_capacity_until_[kind] = context_.runtime.now() + kNoCapacityPauseS;
 }
 
 } // namespace loftrouter::core
--- a/src/core/scheduling/fleet_snapshot.cpp
+++ b/src/core/scheduling/fleet_snapshot.cpp
@@ -6,28 +6,29 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kReservedFor = 600.0; // s, that a type is reserved after a job has wanted it whole
+constexpr double kTypeReservationS = 600.0; // since the last job with large tasks for the type
 } // namespace
 
-std::vector<PlacementMachine> FleetSnapshot::all(const IncludeUnreachable &include_unreachable) const {
+std::vector<PlacementMachine> FleetSnapshot::schedulable_machines(const IncludeUnreachable &include_unreachable) const {
   std::vector<PlacementMachine> machines;
   const double cheapest_cpu_price = context_.catalog.cheapest_cpu_price();
   context_.workers.each([&](MachineIndex machine_index, const Machine &machine) {
     if (!in_service(machine)) return;
     const bool included = reachable(machine) || (include_unreachable && include_unreachable(machine_index));
-    if (included) machines.push_back(view(machine_index, machine, cheapest_cpu_price));
+    if (included) machines.push_back(placement_machine(machine_index, machine, cheapest_cpu_price));
   });
-  open_surplus_reserved(machines);
+  release_surplus_reserved(machines);
   return machines;
 }
 
-std::optional<PlacementMachine> FleetSnapshot::one(MachineIndex machine_index) const {
+std::optional<PlacementMachine> FleetSnapshot::schedulable_machine(MachineIndex machine_index) const {
   const Machine *machine = context_.workers.find(machine_index);
   if (!machine || !in_service(*machine) || !reachable(*machine)) return std::nullopt;
-  PlacementMachine out = view(machine_index, *machine, context_.catalog.cheapest_cpu_price());
-  // As it was decided when all machines were looked at.
-  if (const auto *nomination = nominations_.find(machine_index)) out.reserved_for_large &= !nomination->open_to_small;
-  return out;
+  PlacementMachine result = placement_machine(machine_index, *machine, context_.catalog.cheapest_cpu_price());
+  // `schedulable_machines` decides which reserved machines are open to small tasks; its last decision holds here.
+  if (const auto *nomination = nominations_.find(machine_index))
+    result.reserved_for_large &= !nomination->open_to_small;
+  return result;
 }
 
 bool FleetSnapshot::in_service(const Machine &machine) const {
@@ -35,40 +36,39 @@
          machine.type >= 0;
 }
 
-// The others are probably dead, hanging or cut off.
 bool FleetSnapshot::reachable(const Machine &machine) const {
   return machine.available() &&
          !machine.heartbeat_overdue(context_.runtime.now(), context_.settings.heartbeat_interval_s) &&
          machine.downlink.accepts_commands();
 }
 
-PlacementMachine FleetSnapshot::view(MachineIndex machine_index, const Machine &machine,
-                                     double cheapest_cpu_price) const {
+PlacementMachine FleetSnapshot::placement_machine(MachineIndex machine_index, const Machine &machine,
+                                                  double cheapest_cpu_price) const {
   const auto &type = context_.catalog.type(machine.type);
   const double cpu_price = InstanceTypeCatalog::cpu_price(type, machine.spot);
-  PlacementMachine out;
-  out.id = machine_index;
-  out.size = machine.size;
-  out.free = machine.size;
-  out.free.add(machine.used, -1);
-  out.type = machine.type;
-  out.zone = machine.zone;
-  out.spot = machine.spot;
-  out.price_premium = 1 - cheapest_cpu_price / std::max(cheapest_cpu_price, cpu_price);
-  out.fetch_gb_per_s = type.fetch_gb_per_s;
+  PlacementMachine result;
+  result.id = machine_index;
+  result.size = machine.size;
+  result.free = machine.size;
+  result.free.add(machine.used, -1);
+  result.type = machine.type;
+  result.zone = machine.zone;
+  result.spot = machine.spot;
+  result.price_premium = 1 - cheapest_cpu_price / std::max(cheapest_cpu_price, cpu_price);
+  result.fetch_gb_per_s = type.fetch_gb_per_s;
   for (const auto &[image, image_gb] : machine.images)
-    out.images.push_back(image);
+    result.images.push_back(image);
   const auto *nomination = nominations_.find(machine_index);
   if (nomination && context_.runtime.now() < nomination->until)
-    out.nominated_for = context_.jobs.index(nomination->job_id);
-  const auto *reservation = machine.spot ? nullptr : reservations_.find(machine.type, kReservedFor);
-  if (!reservation) return out;
-  out.reserved_for_large = true;
-  out.small_task_headroom = machine.size;
-  out.small_task_headroom.add(reservation->need, -1);
+    result.nominated_for = context_.jobs.index(nomination->job_id);
+  const auto *reservation = machine.spot ? nullptr : reservations_.find(machine.type, kTypeReservationS);
+  if (!reservation) return result;
+  result.reserved_for_large = true;
+  result.small_task_headroom = machine.size;
+  result.small_task_headroom.add(reservation->need, -1);
   for (const auto &allocation : machine.allocations)
-    if (!allocation.completed() && is_small(allocation)) out.small_task_headroom.add(allocation.need, -1);
-  return out;
+    if (!allocation.completed() && is_small(allocation)) result.small_task_headroom.add(allocation.need, -1);
+  return result;
 }
 
 bool FleetSnapshot::is_small(const Allocation &allocation) const {
@@ -77,18 +77,18 @@
   return core::is_small(spec, spec.urgency);
 }
 
-bool FleetSnapshot::holds_only_small(MachineIndex machine_index) const {
+bool FleetSnapshot::runs_only_small_tasks(MachineIndex machine_index) const {
   const auto &allocations = context_.workers[machine_index].allocations;
   return std::all_of(allocations.begin(), allocations.end(),
                      [this](const Allocation &allocation) { return allocation.completed() || is_small(allocation); });
 }
 
-// Of the reserved machines that hold no large task one a type, the one with least small work, is reserved for the next;
-// the others are open to small work rather than paid for nothing.
-void FleetSnapshot::open_surplus_reserved(std::vector<PlacementMachine> &machines) const {
+// Keeps, for each type, one of the reserved machines without large tasks reserved: the one with the most free CPUs.
+// Opens the others to small tasks, so that they don't stand idle.
+void FleetSnapshot::release_surplus_reserved(std::vector<PlacementMachine> &machines) const {
   std::unordered_map<int, PlacementMachine *> reserved; // by type
   for (auto &machine : machines) {
-    if (!machine.reserved_for_large || machine.nominated_for.valid() || !holds_only_small(machine.id)) continue;
+    if (!machine.reserved_for_large || machine.nominated_for.valid() || !runs_only_small_tasks(machine.id)) continue;
     const auto [it, first_of_type] = reserved.try_emplace(machine.type, &machine);
     if (first_of_type) continue;
     PlacementMachine &other = *it->second;
--- a/src/core/scheduling/large_task_reservations.cpp
+++ b/src/core/scheduling/large_task_reservations.cpp
@@ -10,7 +10,7 @@
   return context_.runtime.now() - it->second.last_wanted_at < within_s ? &it->second : nullptr;
 }
 
-// A job that may not use spot machines and fits only one type needs those machines whole when it comes.
+// Reserves a type for a job that can't use spot machines, fits no other type, and doesn't fit twice on one machine.
 void LargeTaskReservations::on(const JobAccepted &event) {
   const Job &job = context_.jobs[event.job];
   const JobSpec &spec = job.spec;
--- a/src/core/scheduling/placement.cpp
+++ b/src/core/scheduling/placement.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr double kMaxTasks = 1e6; // of one plan; keeps a quotient within an integer
-constexpr double kRounding = 1e-9;
+constexpr double kMaxTasks = 1e6; // per plan; keeps the conversion to an integer in range
+constexpr double kRoundingTolerance = 1e-9;
 
 bool holds_image(const PlacementMachine &machine, int image) {
   return std::find(machine.images.begin(), machine.images.end(), image) != machine.images.end();
@@ -38,12 +38,12 @@
 }
 
 double fit_score(const PlacementJob &job, const PlacementMachine &machine) {
-  const auto part = [](double free, double size, double need) {
+  const auto resource_score = [](double free, double size, double need) {
     return size > 0 ? std::max(0.0, free / size) * (need / size) : 0.0;
   };
-  return part(machine.free.cpus, machine.size.cpus, job.need.cpus) +
-         part(machine.free.gpus, machine.size.gpus, job.need.gpus) +
-         part(machine.free.memory, machine.size.memory, job.need.memory);
+  return resource_score(machine.free.cpus, machine.size.cpus, job.need.cpus) +
+         resource_score(machine.free.gpus, machine.size.gpus, job.need.gpus) +
+         resource_score(machine.free.memory, machine.size.memory, job.need.memory);
 }
 
 double placement_score(const PlacementJob &job, const PlacementMachine &machine, const PlacementOptions &options) {
@@ -54,33 +54,32 @@
 
 namespace {
 
-// Where the tasks of one job would go.
+// A tentative placement of one job's tasks.
 struct Plan {
-  std::vector<int> machines; // by position, one for each task
+  std::vector<int> machines; // positions, one for each task
   double score = 0;          // sum over the tasks
-  double first_score = 0;    // the first task's, and so the highest
-  bool whole = false;        // all pending tasks
+  double first_score = 0;    // of the first task; the highest
+  bool complete = false;     // places all pending tasks
 };
 
-// A plan, and what it was made of. Machines only fill up while a round goes on, so a plan stays the best one as long as
-// its own machines are untouched, and what it was worth bounds what a new one can be worth.
-struct Draft {
+// A job's plan, cached between commits. During a round machines only fill up, so a plan stays optimal while its own
+// machines are unchanged, and its value bounds the value of any later plan.
+struct CachedPlan {
   std::size_t job = 0;
   Plan plan;
-  double value = 0;            // of the plan
-  double bound = 0;            // of any later plan
-  std::size_t made_at = 0;     // the commit after which the plan was made
-  std::size_t verified_at = 0; // the commit after which it was still the best one
-  bool outdated = false;       // by more than what happened to its machines
+  double value = 0;
+  double bound = 0;            // upper bound on the value of any later plan
+  std::size_t computed_at = 0; // commit number
+  std::size_t verified_at = 0; // last commit number at which the plan was known to be optimal
+  bool outdated = false;       // another machine may have become better for the job
 
-  double key(std::size_t commit) const { return verified_at == commit ? value : bound; }
+  double best_possible_value(std::size_t commit) const { return verified_at == commit ? value : bound; }
 };
 
-// The state of one round over some machines.
 class Round {
 public:
   Round(std::vector<PlacementMachine> machines, const std::vector<const PlacementJob *> &jobs,
-        std::vector<Resources> team_room, const PlacementOptions &options, std::vector<Reservation> *reserved);
+        std::vector<Resources> team_headroom, const PlacementOptions &options, std::vector<Reservation> *reserved);
   std::vector<Assignment> run();
 
 private:
@@ -88,9 +87,9 @@
 
   PlacementMachine &machine(int position) { return machines_[static_cast<std::size_t>(position)]; }
   std::size_t &changed_at(int position) { return changed_at_[static_cast<std::size_t>(position)]; }
-  // The room left to the job's team; null: no limit.
-  Resources *team_room(const PlacementJob &job);
-  bool waits_long(const PlacementJob &job) const { return !job.started && job.wait_s > options_.reserve_after_s; }
+  // Returns null if no team limits apply.
+  Resources *team_headroom(const PlacementJob &job);
+  bool waited_too_long(const PlacementJob &job) const { return !job.started && job.wait_s > options_.reserve_after_s; }
   int rank(std::size_t job) const;
   void place_rank(Positions::const_iterator begin, Positions::const_iterator end);
 
@@ -99,33 +98,33 @@
   Plan one_zone_plan(const PlacementJob &job, std::uint32_t tasks);
   Plan plan(const PlacementJob &job);
 
-  void draw_up(Draft &draft);
-  bool still_best(const Draft &draft);
-  std::size_t best_of(const std::vector<Draft> &drafts) const;
-  void commit(const Draft &draft);
+  void compute_plan(CachedPlan &cached);
+  bool still_optimal(const CachedPlan &cached);
+  std::size_t best_position(const std::vector<CachedPlan> &cached_plans) const;
+  void commit(const CachedPlan &cached);
   void assign(const PlacementJob &job, std::size_t job_position, int machine_position);
-  void update_others(std::vector<Draft> &drafts, const PlacementJob &placed);
-  void reserve_without_plan(const PlacementJob &job);
+  void update_cached_plans(std::vector<CachedPlan> &cached_plans, const PlacementJob &placed);
+  void reserve_if_waited_too_long(const PlacementJob &job);
   void reserve(const PlacementJob &job);
-  void occupy(const PlacementJob &job, PlacementMachine &machine, double times) const;
+  void add_tasks(const PlacementJob &job, PlacementMachine &machine, double count) const;
 
   std::vector<PlacementMachine> machines_;
   const std::vector<const PlacementJob *> &jobs_;
-  std::vector<Resources> team_room_;
+  std::vector<Resources> team_headroom_;
   const PlacementOptions &options_;
   std::vector<Reservation> *reserved_;
-  // Where the fleet is full, which it is whenever much waits, a job is tried on a few machines and not on thousands.
-  Resources least_need_;                // no job of this round needs less of any resource
-  std::vector<int> open_machines_;      // ascending; never lacks a machine that has room for `least_need_`
-  std::vector<int> zones_;              // of all machines, each once
-  std::vector<std::size_t> changed_at_; // by machine: the commit that last touched it
-  std::size_t commit_ = 1;
+  // With a full fleet, which is usual when many tasks wait, only the few open machines are searched.
+  Resources least_need_;                // minimum over all jobs, for each resource
+  std::vector<int> open_machines_;      // positions, ascending; includes every machine that fits `least_need_`
+  std::vector<int> zones_;              // of all machines, without duplicates
+  std::vector<std::size_t> changed_at_; // by machine position: number of the last commit that changed it
+  std::size_t commit_number_ = 1;
   std::vector<Assignment> assignments_;
 };
 
 Round::Round(std::vector<PlacementMachine> machines, const std::vector<const PlacementJob *> &jobs,
-             std::vector<Resources> team_room, const PlacementOptions &options, std::vector<Reservation> *reserved)
-    : machines_(std::move(machines)), jobs_(jobs), team_room_(std::move(team_room)), options_(options),
+             std::vector<Resources> team_headroom, const PlacementOptions &options, std::vector<Reservation> *reserved)
+    : machines_(std::move(machines)), jobs_(jobs), team_headroom_(std::move(team_headroom)), options_(options),
       reserved_(reserved), changed_at_(machines_.size(), 0) {
   constexpr double infinite = std::numeric_limits<double>::infinity();
   least_need_ = {infinite, infinite, infinite};
@@ -140,18 +139,18 @@
   }
 }
 
-Resources *Round::team_room(const PlacementJob &job) {
+Resources *Round::team_headroom(const PlacementJob &job) {
   const auto team = static_cast<std::size_t>(job.team);
-  return team < team_room_.size() ? &team_room_[team] : nullptr;
+  return team < team_headroom_.size() ? &team_headroom_[team] : nullptr;
 }
 
 int Round::rank(std::size_t job) const {
   const PlacementJob &ranked = *jobs_[job];
   if (ranked.delegated_here) return -1;
-  return (waits_long(ranked) ? 100 : 0) + static_cast<int>(ranked.urgency) * 2 + (ranked.guaranteed ? 1 : 0);
+  return (waited_too_long(ranked) ? 100 : 0) + static_cast<int>(ranked.urgency) * 2 + (ranked.guaranteed ? 1 : 0);
 }
 
-// The most pressing rank is planned first; within it the best plan goes first.
+// Places jobs by descending rank; within a rank the plan with the highest value is committed first.
 std::vector<Assignment> Round::run() {
   Positions order(jobs_.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
@@ -167,53 +166,52 @@
 }
 
 void Round::place_rank(Positions::const_iterator begin, Positions::const_iterator end) {
-  std::vector<Draft> drafts;
+  std::vector<CachedPlan> cached_plans;
   for (auto job = begin; job != end; ++job) {
-    Draft draft;
-    draft.job = *job;
-    draw_up(draft);
-    if (draft.plan.machines.empty())
-      reserve_without_plan(*jobs_[draft.job]);
+    CachedPlan cached;
+    cached.job = *job;
+    compute_plan(cached);
+    if (cached.plan.machines.empty())
+      reserve_if_waited_too_long(*jobs_[cached.job]);
     else
-      drafts.push_back(std::move(draft));
+      cached_plans.push_back(std::move(cached));
   }
-  while (!drafts.empty()) {
-    const auto best = drafts.begin() + static_cast<std::ptrdiff_t>(best_of(drafts));
+  while (!cached_plans.empty()) {
+    const auto best = cached_plans.begin() + static_cast<std::ptrdiff_t>(best_position(cached_plans));
     const PlacementJob &job = *jobs_[best->job];
-    if (best->verified_at != commit_) {
-      if (still_best(*best))
-        best->verified_at = commit_;
+    if (best->verified_at != commit_number_) {
+      if (still_optimal(*best))
+        best->verified_at = commit_number_;
       else
-        draw_up(*best);
+        compute_plan(*best);
       if (best->plan.machines.empty()) {
-        reserve_without_plan(job);
-        drafts.erase(best);
+        reserve_if_waited_too_long(job);
+        cached_plans.erase(best);
       }
       continue;
     }
     commit(*best);
-    const bool whole = best->plan.whole;
-    drafts.erase(best);
-    if (!whole && waits_long(job)) {
+    const bool complete = best->plan.complete;
+    cached_plans.erase(best);
+    if (!complete && waited_too_long(job)) {
       reserve(job);
-      std::fill(changed_at_.begin(), changed_at_.end(), commit_);
+      std::fill(changed_at_.begin(), changed_at_.end(), commit_number_);
     }
-    update_others(drafts, job);
+    update_cached_plans(cached_plans, job);
   }
 }
 
-// ---- plans ----
-
 std::uint32_t Round::max_tasks(const PlacementJob &job) {
   std::uint32_t tasks = std::min(job.pending, job.limit);
-  const Resources *room = team_room(job);
-  if (!room) return tasks;
-  const auto cap = [&tasks](double left, double need) {
+  const Resources *headroom = team_headroom(job);
+  if (!headroom) return tasks;
+  const auto limit_tasks = [&tasks](double left, double need) {
     if (left < 0 || need <= 0) return;
-    tasks = std::min(tasks, static_cast<std::uint32_t>(std::min(kMaxTasks, std::floor(left / need + kRounding))));
+    tasks =
+        std::min(tasks, static_cast<std::uint32_t>(std::min(kMaxTasks, std::floor(left / need + kRoundingTolerance))));
   };
-  cap(room->cpus, job.need.cpus);
-  cap(room->gpus, job.need.gpus);
+  limit_tasks(headroom->cpus, job.need.cpus);
+  limit_tasks(headroom->gpus, job.need.gpus);
   return tasks;
 }
 
@@ -225,7 +223,7 @@
   return plan;
 }
 
-// In the zone of the tasks that it has already, or in the one that takes most.
+// Uses the zone of the tasks already placed, otherwise the one that takes most tasks.
 Plan Round::one_zone_plan(const PlacementJob &job, std::uint32_t tasks) {
   int used_zone = -1;
   for (std::size_t zone = 0; zone < job.zone_used.size(); ++zone)
@@ -240,8 +238,8 @@
   return best;
 }
 
-// Placing a task changes the score of its machine alone, so a heap of scores gives each task the best machine without
-// trying them all again; of equal scores the lower position wins. `only_zone`: -1 for any.
+// Gives each task the machine with the highest score. Placing a task changes the score of its machine only, so a heap
+// replaces a full search; on equal scores the lower position wins. `only_zone`: -1 for any.
 Plan Round::greedy_plan(const PlacementJob &job, std::uint32_t tasks, int only_zone) {
   Plan plan;
   const bool spread = job.max_per_zone >= 0;
@@ -259,8 +257,8 @@
     const auto [score, negative_position] = heap.back();
     heap.pop_back();
     PlacementMachine &best = machine(-negative_position);
-    if (spread && grown(zone_used, best.zone) >= job.max_per_zone) continue; // and stays so
-    occupy(job, best, 1);
+    if (spread && grown(zone_used, best.zone) >= job.max_per_zone) continue; // drops the machine: the zone stays full
+    add_tasks(job, best, 1);
     if (spread) ++grown(zone_used, best.zone);
     if (plan.machines.empty()) plan.first_score = score;
     plan.machines.push_back(-negative_position);
@@ -270,128 +268,125 @@
     std::push_heap(heap.begin(), heap.end());
   }
   for (int position : plan.machines)
-    occupy(job, machine(position), -1);
-  plan.whole = plan.machines.size() == job.pending && job.pending > 0;
+    add_tasks(job, machine(position), -1);
+  plan.complete = plan.machines.size() == job.pending && job.pending > 0;
   return plan;
 }
 
-void Round::occupy(const PlacementJob &job, PlacementMachine &machine, double times) const {
-  machine.free.add(job.need, -times);
-  if (machine.reserved_for_large && job.small) machine.small_task_headroom.add(job.need, -times);
+void Round::add_tasks(const PlacementJob &job, PlacementMachine &machine, double count) const {
+  machine.free.add(job.need, -count);
+  if (machine.reserved_for_large && job.small) machine.small_task_headroom.add(job.need, -count);
 }
 
-// ---- drafts ----
-
-void Round::draw_up(Draft &draft) {
-  const PlacementJob &job = *jobs_[draft.job];
-  draft.plan = plan(job);
-  draft.made_at = commit_;
-  draft.verified_at = commit_;
-  draft.outdated = false;
-  if (draft.plan.machines.empty()) return;
+void Round::compute_plan(CachedPlan &cached) {
+  const PlacementJob &job = *jobs_[cached.job];
+  cached.plan = plan(job);
+  cached.computed_at = commit_number_;
+  cached.verified_at = commit_number_;
+  cached.outdated = false;
+  if (cached.plan.machines.empty()) return;
   const double age = options_.age_weight * job.wait_s + (job.in_time ? options_.in_time_bonus : 0);
-  draft.value = draft.plan.score / static_cast<double>(draft.plan.machines.size()) +
-                (draft.plan.whole ? options_.full_plan_bonus : 0) + age;
-  // A plan that loses tasks loses the bonus, but its mean may rise up to the first task's score.
-  draft.bound = std::max(draft.value, draft.plan.first_score + age);
+  cached.value = cached.plan.score / static_cast<double>(cached.plan.machines.size()) +
+                 (cached.plan.complete ? options_.full_plan_bonus : 0) + age;
+  // A later plan with fewer tasks loses the bonus, but its mean score may rise to the first task's.
+  cached.bound = std::max(cached.value, cached.plan.first_score + age);
 }
 
-bool Round::still_best(const Draft &draft) {
-  if (draft.outdated) return false;
-  const Resources *room = team_room(*jobs_[draft.job]);
-  if (room && (room->cpus >= 0 || room->gpus >= 0)) return false;
-  return std::all_of(draft.plan.machines.begin(), draft.plan.machines.end(),
-                     [&](int position) { return changed_at(position) <= draft.made_at; });
+bool Round::still_optimal(const CachedPlan &cached) {
+  if (cached.outdated) return false;
+  const Resources *headroom = team_headroom(*jobs_[cached.job]);
+  if (headroom && (headroom->cpus >= 0 || headroom->gpus >= 0)) return false;
+  return std::all_of(cached.plan.machines.begin(), cached.plan.machines.end(),
+                     [&](int position) { return changed_at(position) <= cached.computed_at; });
 }
 
-std::size_t Round::best_of(const std::vector<Draft> &drafts) const {
+std::size_t Round::best_position(const std::vector<CachedPlan> &cached_plans) const {
   std::size_t best = 0;
-  for (std::size_t i = 1; i < drafts.size(); ++i)
-    if (drafts[i].key(commit_) > drafts[best].key(commit_)) best = i;
+  for (std::size_t i = 1; i < cached_plans.size(); ++i)
+    if (cached_plans[i].best_possible_value(commit_number_) > cached_plans[best].best_possible_value(commit_number_))
+      best = i;
   return best;
 }
 
-void Round::commit(const Draft &draft) {
-  ++commit_;
-  for (int position : draft.plan.machines)
-    assign(*jobs_[draft.job], draft.job, position);
-  // Machines only fill up while a round goes on.
+void Round::commit(const CachedPlan &cached) {
+  ++commit_number_;
+  for (int position : cached.plan.machines)
+    assign(*jobs_[cached.job], cached.job, position);
   std::erase_if(open_machines_, [this](int position) { return !least_need_.fits(machine(position).free); });
 }
 
 void Round::assign(const PlacementJob &job, std::size_t job_position, int machine_position) {
   PlacementMachine &assigned = machine(machine_position);
-  occupy(job, assigned, 1);
-  changed_at(machine_position) = commit_;
+  add_tasks(job, assigned, 1);
+  changed_at(machine_position) = commit_number_;
   if (job.image >= 0 && !holds_image(assigned, job.image)) assigned.images.push_back(job.image);
   assignments_.push_back({static_cast<int>(job_position), machine_position});
-  Resources *room = team_room(job);
-  if (!room) return;
-  if (room->cpus >= 0) room->cpus = std::max(0.0, room->cpus - job.need.cpus);
-  if (room->gpus >= 0) room->gpus = std::max(0.0, room->gpus - job.need.gpus);
+  Resources *headroom = team_headroom(job);
+  if (!headroom) return;
+  if (headroom->cpus >= 0) headroom->cpus = std::max(0.0, headroom->cpus - job.need.cpus);
+  if (headroom->gpus >= 0) headroom->gpus = std::max(0.0, headroom->gpus - job.need.gpus);
 }
 
-void Round::update_others(std::vector<Draft> &drafts, const PlacementJob &placed) {
-  if (machines_.size() == 1) // what no longer fits need not be planned again
-    std::erase_if(drafts, [this](const Draft &draft) { return !has_room(*jobs_[draft.job], machines_[0]); });
+void Round::update_cached_plans(std::vector<CachedPlan> &cached_plans, const PlacementJob &placed) {
+  if (machines_.size() == 1) // drops jobs that no longer fit
+    std::erase_if(cached_plans,
+                  [this](const CachedPlan &cached) { return !has_room(*jobs_[cached.job], machines_[0]); });
   if (placed.image < 0) return;
-  // The one thing that makes a machine better for another job: it now holds that job's image.
-  for (auto &draft : drafts) {
-    if (jobs_[draft.job]->image != placed.image) continue;
-    draft.outdated = true;
-    draft.bound += std::max(0.0, options_.image_weight);
+  // The machine now holds the image, which makes it better for other jobs that use the image.
+  for (auto &cached : cached_plans) {
+    if (jobs_[cached.job]->image != placed.image) continue;
+    cached.outdated = true;
+    cached.bound += std::max(0.0, options_.image_weight);
   }
 }
 
-// ---- reservations ----
-
-void Round::reserve_without_plan(const PlacementJob &job) {
-  if (!waits_long(job) || job.limit == 0) return;
+void Round::reserve_if_waited_too_long(const PlacementJob &job) {
+  if (!waited_too_long(job) || job.limit == 0) return;
   reserve(job);
-  ++commit_;
-  std::fill(changed_at_.begin(), changed_at_.end(), commit_);
+  ++commit_number_;
+  std::fill(changed_at_.begin(), changed_at_.end(), commit_number_);
 }
 
-// A job that has waited too long keeps machines for itself: those that could hold its tasks and are nearest to being
-// free take nothing else until it has started.
+// Reserves the machines with the most free CPUs that could hold the job's tasks, so that the job isn't starved by
+// smaller ones.
 void Round::reserve(const PlacementJob &job) {
-  std::vector<std::pair<double, int>> nearest; // -share of free CPUs, position
+  std::vector<std::pair<double, int>> most_free; // -share of free CPUs, position
   for (int i = 0; i < static_cast<int>(machines_.size()); ++i) {
     const PlacementMachine &candidate = machine(i);
     if (!allowed(job, candidate) || !job.need.fits(candidate.size)) continue;
     const double free_share = candidate.size.cpus > 0 ? candidate.free.cpus / candidate.size.cpus : 0;
-    nearest.emplace_back(-free_share, i);
+    most_free.emplace_back(-free_share, i);
   }
-  std::sort(nearest.begin(), nearest.end());
+  std::sort(most_free.begin(), most_free.end());
   std::uint32_t tasks = job.pending;
-  for (const auto &[negative_share, position] : nearest) {
+  for (const auto &[negative_share, position] : most_free) {
     if (tasks == 0) break;
-    PlacementMachine &kept = machine(position);
-    while (tasks > 0 && job.need.fits(kept.size)) {
-      kept.size.add(job.need, -1);
+    PlacementMachine &reserved_machine = machine(position);
+    while (tasks > 0 && job.need.fits(reserved_machine.size)) {
+      reserved_machine.size.add(job.need, -1);
       --tasks;
     }
-    kept.free = {};
-    if (reserved_) reserved_->push_back({job.index, kept.id});
+    reserved_machine.free = {};
+    if (reserved_) reserved_->push_back({job.index, reserved_machine.id});
   }
 }
 
 } // namespace
 
 std::vector<Assignment> place_round(std::vector<PlacementMachine> machines,
-                                    const std::vector<const PlacementJob *> &jobs, std::vector<Resources> team_room,
+                                    const std::vector<const PlacementJob *> &jobs, std::vector<Resources> team_headroom,
                                     const PlacementOptions &options, std::vector<Reservation> *reserved) {
-  return Round(std::move(machines), jobs, std::move(team_room), options, reserved).run();
+  return Round(std::move(machines), jobs, std::move(team_headroom), options, reserved).run();
 }
 
 std::vector<Assignment> place_round(std::vector<PlacementMachine> machines, const std::vector<PlacementJob> &jobs,
-                                    std::vector<Resources> team_room, const PlacementOptions &options,
+                                    std::vector<Resources> team_headroom, const PlacementOptions &options,
                                     std::vector<Reservation> *reserved) {
-  std::vector<const PlacementJob *> all;
-  all.reserve(jobs.size());
+  std::vector<const PlacementJob *> job_pointers;
+  job_pointers.reserve(jobs.size());
   for (const auto &job : jobs)
-    all.push_back(&job);
-  return place_round(std::move(machines), all, std::move(team_room), options, reserved);
+    job_pointers.push_back(&job);
+  return place_round(std::move(machines), job_pointers, std::move(team_headroom), options, reserved);
 }
 
 } // namespace loftrouter::core
--- a/src/core/scheduling/placement_queue.cpp
+++ b/src/core/scheduling/placement_queue.cpp
@@ -7,9 +7,9 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kPassedOver = 60.0;    // s, without a place, after which a job may have whatever has room
-constexpr int kUnknownZone = 1'000'000; // of a job that names a zone which is not known: no machine is there
-constexpr double kMissedRounds = 4;     // after which a job counts as new in the queue
+constexpr double kStarvedAfterS = 60.0;
+constexpr int kUnknownZone = 1'000'000; // matches no machine
+constexpr double kMaxMissedRounds = 4;  // a job missing for more rounds counts as new in the queue
 } // namespace
 
 double PlacementQueue::age_s(JobIndex job_index) const {
@@ -19,7 +19,7 @@
 bool PlacementQueue::deferrable(JobIndex job_index) const {
   const JobSpec &spec = context_.jobs[job_index].spec;
   const bool in_pipeline = !context_.dependencies.dependents(job_index).empty() || !spec.waits_for.empty();
-  if (in_pipeline) return false; // others wait with it
+  if (in_pipeline) return false;
   return context_.objectives.deferrable(spec, context_.dependencies.urgency(job_index),
                                         context_.dependencies.deadline(job_index), age_s(job_index));
 }
@@ -27,26 +27,26 @@
 bool PlacementQueue::starved(JobIndex job_index) const {
   if (job_index.position() >= waits_.size()) return false;
   const Wait &wait = waits_[job_index.position()];
-  return wait.serial == context_.jobs[job_index].serial && wait.last_seen_at - wait.since > kPassedOver;
+  return wait.serial == context_.jobs[job_index].serial && wait.last_seen_at - wait.since > kStarvedAfterS;
 }
 
-std::vector<JobIndex> PlacementQueue::waiting() const {
-  std::vector<JobIndex> waiting;
+std::vector<JobIndex> PlacementQueue::waiting_jobs() const {
+  std::vector<JobIndex> waiting_jobs;
   context_.jobs.each([&](JobIndex job_index, const Job &job) {
     if (job.team >= 0 && !job.cancelled && job.pending() > 0 && context_.dependencies.ready(job_index))
-      waiting.push_back(job_index);
+      waiting_jobs.push_back(job_index);
   });
-  std::sort(waiting.begin(), waiting.end(), [this](JobIndex left, JobIndex right) {
+  std::sort(waiting_jobs.begin(), waiting_jobs.end(), [this](JobIndex left, JobIndex right) {
     return context_.jobs[left].submit_wall < context_.jobs[right].submit_wall;
   });
-  return waiting;
+  return waiting_jobs;
 }
 
 void PlacementQueue::note_waiting(JobIndex job_index, double round_interval_s) {
   const double now = context_.runtime.now();
   const std::uint64_t serial = context_.jobs[job_index].serial;
   Wait &wait = grown(waits_, job_index);
-  if (wait.serial != serial || now - wait.last_seen_at > kMissedRounds * round_interval_s) wait = {serial, now, now};
+  if (wait.serial != serial || now - wait.last_seen_at > kMaxMissedRounds * round_interval_s) wait = {serial, now, now};
   wait.last_seen_at = now;
 }
 
@@ -54,81 +54,78 @@
   grown(waits_, job_index).since = context_.runtime.now();
 }
 
-// ---- what a job may place ----
-
 PlacementJob PlacementQueue::job(JobIndex job_index) const {
   const Job &job = context_.jobs[job_index];
   const JobSpec &spec = job.spec;
   const auto &types = context_.catalog.types();
   const bool suspected = context_.failure_attribution.suspected(job_index);
-  PlacementJob out;
-  out.index = job_index;
-  out.need = spec.need;
-  out.team = std::max(0, job.team);
-  out.types.assign(types.size(), 1);
+  PlacementJob result;
+  result.index = job_index;
+  result.need = spec.need;
+  result.team = std::max(0, job.team);
+  result.types.assign(types.size(), 1);
   for (std::size_t i = 0; spec.types && i < types.size(); ++i) {
     const bool named = std::find(spec.types->begin(), spec.types->end(), types[i].name) != spec.types->end();
-    out.types[i] = named ? 1 : 0;
+    result.types[i] = named ? 1 : 0;
   }
   if (spec.zone) {
     const int zone = context_.catalog.find_zone(*spec.zone);
-    out.zone = zone >= 0 ? zone : kUnknownZone;
+    result.zone = zone >= 0 ? zone : kUnknownZone;
   }
-  out.spot = spec.spot;
-  out.gang = spec.shape == Shape::Gang;
-  out.one_zone = spec.one_zone;
-  if (spec.spread) out.max_per_zone = static_cast<int>((spec.tasks + 1) / 2);
-  out.zone_used = job.zone_used;
-  out.avoided_machines = context_.failure_attribution.avoided_machines(job_index);
-  out.small = is_small(spec, spec.urgency); // whatever it is wanted for
-  // Work that nobody wants at a certain time waits for cheap places, of which it may have what others leave.
-  if (deferrable(job_index)) out.max_price_premium = 1 - 1 / kExpensiveRatio;
-  out.pending = job.pending();
-  if (suspected && !out.gang) out.pending = std::min(out.pending, 1U); // one try at a time
-  out.limit = held_back(job, job_index) ? 0 : out.pending;
-  out.urgency = context_.dependencies.urgency(job_index);
-  out.delegated_here = job.delegated_here.has_value();
-  out.wait_s = std::max(0.0, age_s(job_index));
-  // A suspected job reserves nothing, nor does another cell's.
-  out.started = job.placed + job.done > 0 || suspected || out.delegated_here;
-  out.in_time = ends_in_time(job, job_index, out);
-  out.image = job.image;
-  out.image_gb = spec.image_gb;
-  return out;
+  result.spot = spec.spot;
+  result.gang = spec.shape == Shape::Gang;
+  result.one_zone = spec.one_zone;
+  if (spec.spread) result.max_per_zone = static_cast<int>((spec.tasks + 1) / 2);
+  result.zone_used = job.zone_used;
+  result.avoided_machines = context_.failure_attribution.avoided_machines(job_index);
+  result.small = is_small(spec, spec.urgency); // the job's own priority, not that of its dependents
+  // Deferrable jobs use cheap machines only.
+  if (deferrable(job_index)) result.max_price_premium = 1 - 1 / kExpensiveRatio;
+  result.pending = job.pending();
+  if (suspected && !result.gang) result.pending = std::min(result.pending, 1U); // one retry at a time
+  result.limit = blocked(job, job_index) ? 0 : result.pending;
+  result.urgency = context_.dependencies.urgency(job_index);
+  result.delegated_here = job.delegated_here.has_value();
+  result.wait_s = std::max(0.0, age_s(job_index));
+  // Suspected jobs and those of other cells get no reservation.
+  result.started = job.placed + job.done > 0 || suspected || result.delegated_here;
+  result.in_time = would_finish_in_time(job, job_index, result);
+  result.image = job.image;
+  result.image_gb = spec.image_gb;
+  return result;
 }
 
-// Guards against tasks placed that must not run, or not yet.
-bool PlacementQueue::held_back(const Job &job, JobIndex job_index) const {
+// Returns whether no task of the job may be placed now.
+bool PlacementQueue::blocked(const Job &job, JobIndex job_index) const {
   if (job.cancelled || job.ending || job.paused) return true;
   if (context_.ledger.budget_exhausted(job.team) || !context_.dependencies.ready(job_index)) return true;
-  if (context_.failure_attribution.suspected(job_index)) { // one task, or one gang, at a time and seldom
-    const bool pausing = context_.runtime.now() < context_.failure_attribution.retry_at(job_index);
-    if (pausing || job.placed > 0 || job.unaccounted > 0) return true;
+  if (context_.failure_attribution.suspected(job_index)) { // retries one task or gang at a time, after a pause
+    const bool backing_off = context_.runtime.now() < context_.failure_attribution.retry_at(job_index);
+    if (backing_off || job.placed > 0 || job.unaccounted > 0) return true;
   }
-  // Where unaccounted tasks are is not known, so neither are their zones; a gang may still run elsewhere.
+  // Unaccounted tasks may still run on unknown machines, so their zones are unknown and a gang may be running.
   const bool gang = job.spec.shape == Shape::Gang;
   if (job.unaccounted > 0 && (job.spec.one_zone || job.spec.spread || gang)) return true;
-  return gang && job.placed > 0 && job.gang_closed; // the old attempt has to be gone first
+  return gang && job.placed > 0 && job.gang_closed; // the previous attempt must end first
 }
 
-// The last of its tasks starts once the others have had their turn on the fleet.
-bool PlacementQueue::ends_in_time(const Job &job, JobIndex job_index, const PlacementJob &placement) const {
+// Assumes that the job's tasks run in as many waves as they need on all available CPUs.
+bool PlacementQueue::would_finish_in_time(const Job &job, JobIndex job_index, const PlacementJob &placement) const {
   const auto deadline = context_.dependencies.deadline(job_index);
   if (!context_.objectives.completion_target(job.spec, deadline)) return false;
-  const double turns = 1 + placement.pending * placement.need.cpus / std::max(1.0, available_cpus_);
-  return placement.wait_s + job.spec.estimate_s * turns <=
+  const double waves = 1 + placement.pending * placement.need.cpus / std::max(1.0, available_cpus_);
+  return placement.wait_s + job.spec.estimate_s * waves <=
          context_.objectives.achievable_target(job.spec, deadline, age_s(job_index));
 }
 
-// What keeps work off places that have room for it (the price of small work, machines reserved for work that needs them
-// whole) puts it off and no more. Guards against a job that waits beside room for it, for as long as those that the
-// machine is up for run. What is rented does not follow: places that are there anyhow cost nothing.
-PlacementJob PlacementQueue::candidate(JobIndex job_index) const {
-  PlacementJob out = job(job_index);
-  if (!starved(job_index)) return out;
-  out.max_price_premium = 1;
-  out.small = false;
-  return out;
+// Guards against starvation: price limits and reservations for large tasks delay a job but must not keep it from free
+// resources indefinitely. Scale out uses `job` instead, as only capacity that exists anyway is free of charge.
+PlacementJob PlacementQueue::job_relaxed_if_starved(JobIndex job_index) const {
+  PlacementJob result = job(job_index);
+  if (!starved(job_index)) return result;
+  result.max_price_premium = 1;
+  result.small = false;
+  return result;
 }
 
 } // namespace loftrouter::core
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -7,139 +7,136 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kImageWorth = 2.0;    // a fetch spared, against the CPU seconds of work lost
-constexpr double kNominatedFor = 15.0; // s, that a machine emptied for a job stays free for it
-constexpr double kUnseenRun = 0.1;     // s, of a task that was not seen running yet
+constexpr double kImageFetchWeight = 2.0; // an avoided CPU second of image fetch, in CPU seconds of lost work
+constexpr double kNominationS = 15.0;
+constexpr double kUnconfirmedRunS = 0.1; // assumed run time of a task that no heartbeat has reported as running
 } // namespace
 
-// What a job that fits nowhere could take on one machine: the tasks of lower urgency that would go, the least work lost
-// first.
-struct Preemption::Offer {
+// A machine on which victims could be stopped for a job.
+struct Preemption::Candidate {
   struct Victim {
     double lost_cpu_s = 0;
-    std::size_t allocation = 0; // its position among the machine's
+    std::size_t allocation = 0; // position in the machine's allocations
     Resources need;
   };
   std::size_t machine = 0; // position in the snapshot
   Resources free;
-  std::vector<Victim> victims;
-  bool at_once = true;          // all that goes exits without saving
-  std::uint32_t places = 0;     // tasks that `victim_count` victims make room for
-  std::size_t victim_count = 0; // of the first victims
-  std::size_t tried_count = 0;  // so many make room for one task more, at `cost`
-  double cost = 0;
+  std::vector<Victim> victims;          // possible victims, the least work lost first
+  bool victims_exit_immediately = true; // every task that is stopping or may be stopped exits without a checkpoint
+  std::uint32_t slots = 0;              // tasks of the job that fit once the chosen victims are gone
+  std::size_t victim_count = 0;         // the chosen victims: this many from the front
+  std::size_t examined_count = 0;       // this many from the front make room for one more task
+  double cost = 0;                      // CPU seconds of work lost for that task, less the image fetch saved
 
   bool make_room(const Resources &need) {
     while (!need.fits(free)) {
-      if (tried_count == victims.size()) return false;
-      cost += victims[tried_count].lost_cpu_s;
-      free.add(victims[tried_count].need);
-      ++tried_count;
+      if (examined_count == victims.size()) return false;
+      cost += victims[examined_count].lost_cpu_s;
+      free.add(victims[examined_count].need);
+      ++examined_count;
     }
     return true;
   }
-  double lost_cpu_s(double sum) const {
+  double lost_cpu_s(double total) const {
     for (std::size_t i = 0; i < victim_count; ++i)
-      sum += victims[i].lost_cpu_s;
-    return sum;
+      total += victims[i].lost_cpu_s;
+    return total;
   }
 };
 
-// ---- what could be taken ----
-
-Preemption::Offer Preemption::offer_of(const PlacementJob &job, const PlacementMachine &machine,
-                                       std::size_t position) const {
-  Offer offer;
-  offer.machine = position;
-  offer.free = machine.free;
+Preemption::Candidate Preemption::candidate_for(const PlacementJob &job, const PlacementMachine &machine,
+                                                std::size_t position) const {
+  Candidate candidate;
+  candidate.machine = position;
+  candidate.free = machine.free;
   const auto &allocations = context_.workers[machine.id].allocations;
   for (std::size_t i = 0; i < allocations.size(); ++i) {
     const Allocation &allocation = allocations[i];
     if (allocation.completed()) continue;
     const Job *owner = allocation.job.valid() ? context_.jobs.find(allocation.job) : nullptr;
-    const bool exits_at_once = owner && owner->spec.checkpoint_s <= 0;
-    if (allocation.stop_requested()) { // going anyway
-      offer.free.add(allocation.need);
-      offer.at_once &= exits_at_once;
+    const bool owner_exits_immediately = owner && owner->spec.checkpoint_s <= 0;
+    if (allocation.stop_requested()) { // already stopping
+      candidate.free.add(allocation.need);
+      candidate.victims_exit_immediately &= owner_exits_immediately;
       continue;
     }
     if (!owner || owner->spec.shape != Shape::Array) continue;
     const bool yields = owner->delegated_here || context_.dependencies.urgency(allocation.job) < job.urgency;
     if (!yields) continue;
-    const double ran_s = allocation.running_since >= 0 ? context_.runtime.now() - allocation.running_since : kUnseenRun;
-    offer.victims.push_back({ran_s * allocation.need.cpus, i, allocation.need});
-    offer.at_once &= exits_at_once;
+    const double ran_s =
+        allocation.running_since >= 0 ? context_.runtime.now() - allocation.running_since : kUnconfirmedRunS;
+    candidate.victims.push_back({ran_s * allocation.need.cpus, i, allocation.need});
+    candidate.victims_exit_immediately &= owner_exits_immediately;
   }
-  std::sort(offer.victims.begin(), offer.victims.end(),
-            [](const Offer::Victim &left, const Offer::Victim &right) { return left.lost_cpu_s < right.lost_cpu_s; });
-  // A machine that holds the image spares its fetch, during which the places stand idle.
+  std::sort(
+      candidate.victims.begin(), candidate.victims.end(),
+      [](const Candidate::Victim &left, const Candidate::Victim &right) { return left.lost_cpu_s < right.lost_cpu_s; });
+  // A cached image saves the fetch, during which the resources would be idle.
   const auto &images = machine.images;
   if (job.image >= 0 && std::find(images.begin(), images.end(), job.image) != images.end())
-    offer.cost -= kImageWorth * job.need.cpus * job.image_gb / std::max(0.01, machine.fetch_gb_per_s);
-  return offer;
+    candidate.cost -= kImageFetchWeight * job.need.cpus * job.image_gb / std::max(0.01, machine.fetch_gb_per_s);
+  return candidate;
 }
 
-// The places that cost least, for as many of the job's tasks as there are places: for a gang all or none. `zone`: -1
-// for any.
-Preemption::Offers Preemption::cheapest_offers(const PlacementJob &job, const std::vector<PlacementMachine> &machines,
-                                               int zone) const {
-  Offers offers;
+// Chooses the victims that lose the least work for as many of the job's tasks as possible; for a gang all or none.
+// `zone`: -1 for any.
+Preemption::Candidates Preemption::cheapest_candidates(const PlacementJob &job,
+                                                       const std::vector<PlacementMachine> &machines, int zone) const {
+  Candidates candidates;
   for (std::size_t i = 0; i < machines.size(); ++i) {
     const PlacementMachine &machine = machines[i];
     if ((zone >= 0 && machine.zone != zone) || !allowed(job, machine) || !job.need.fits(machine.size)) continue;
-    Offer offer = offer_of(job, machine, i);
-    if (offer.make_room(job.need)) offers.push_back(std::move(offer));
+    Candidate candidate = candidate_for(job, machine, i);
+    if (candidate.make_room(job.need)) candidates.push_back(std::move(candidate));
   }
-  std::vector<std::pair<double, std::size_t>> heap; // -cost, offer
-  for (std::size_t i = 0; i < offers.size(); ++i)
-    heap.emplace_back(-offers[i].cost, i);
+  std::vector<std::pair<double, std::size_t>> heap; // -cost, position in `candidates`
+  for (std::size_t i = 0; i < candidates.size(); ++i)
+    heap.emplace_back(-candidates[i].cost, i);
   std::make_heap(heap.begin(), heap.end());
-  std::uint32_t places = 0;
-  for (; places < job.pending && !heap.empty(); ++places) {
+  std::uint32_t slots = 0;
+  for (; slots < job.pending && !heap.empty(); ++slots) {
     std::pop_heap(heap.begin(), heap.end());
-    Offer &offer = offers[heap.back().second];
-    ++offer.places;
-    offer.victim_count = offer.tried_count;
-    offer.free.add(job.need, -1);
-    offer.cost = 0;
-    if (offer.make_room(job.need)) {
-      heap.back().first = -offer.cost;
+    Candidate &candidate = candidates[heap.back().second];
+    ++candidate.slots;
+    candidate.victim_count = candidate.examined_count;
+    candidate.free.add(job.need, -1);
+    candidate.cost = 0;
+    if (candidate.make_room(job.need)) {
+      heap.back().first = -candidate.cost;
       std::push_heap(heap.begin(), heap.end());
     } else {
       heap.pop_back();
     }
   }
-  if (job.gang && places < job.pending) return {};
-  std::erase_if(offers, [](const Offer &offer) { return offer.places == 0; });
-  return offers;
+  if (job.gang && slots < job.pending) return {};
+  std::erase_if(candidates, [](const Candidate &candidate) { return candidate.slots == 0; });
+  return candidates;
 }
 
-// Of a job that has to be in one zone those of the zone where least work is lost.
-Preemption::Offers Preemption::best_offers(const PlacementJob &job,
-                                           const std::vector<PlacementMachine> &machines) const {
-  if (!job.one_zone) return cheapest_offers(job, machines, -1);
+// For a job that must be in one zone, chooses the zone where the least work is lost.
+Preemption::Candidates Preemption::best_candidates(const PlacementJob &job,
+                                                   const std::vector<PlacementMachine> &machines) const {
+  if (!job.one_zone) return cheapest_candidates(job, machines, -1);
   std::vector<int> zones;
   for (const auto &machine : machines)
     if (std::find(zones.begin(), zones.end(), machine.zone) == zones.end()) zones.push_back(machine.zone);
   for (std::size_t zone = 0; zone < job.zone_used.size(); ++zone)
     if (job.zone_used[zone] > 0) zones = {static_cast<int>(zone)};
-  Offers best;
+  Candidates best;
   double best_cost = 0;
   for (int zone : zones) {
-    Offers offers = cheapest_offers(job, machines, zone);
+    Candidates candidates = cheapest_candidates(job, machines, zone);
     double cost = 0;
-    for (const auto &offer : offers)
-      cost = offer.lost_cpu_s(cost);
-    if (offers.empty() || (!best.empty() && cost >= best_cost)) continue;
-    best = std::move(offers);
+    for (const auto &candidate : candidates)
+      cost = candidate.lost_cpu_s(cost);
+    if (candidates.empty() || (!best.empty() && cost >= best_cost)) continue;
+    best = std::move(candidates);
     best_cost = cost;
   }
   return best;
 }
 
-// ---- taking it ----
-
-// Jobs of low urgency and other cells' preempt nothing.
+// Jobs of low priority and those of other cells never preempt.
 void Preemption::make_room(std::vector<JobIndex> unplaced) {
   std::erase_if(unplaced, [this](JobIndex job_index) {
     return context_.dependencies.urgency(job_index) == Urgency::Low || context_.jobs[job_index].delegated_here;
@@ -148,7 +145,7 @@
   std::stable_sort(unplaced.begin(), unplaced.end(), [this](JobIndex left, JobIndex right) {
     return context_.dependencies.urgency(left) > context_.dependencies.urgency(right);
   });
-  auto machines = snapshot_.all();
+  auto machines = snapshot_.schedulable_machines();
   for (JobIndex job_index : unplaced)
     make_room_for(job_index, machines);
 }
@@ -156,43 +153,44 @@
 void Preemption::make_room_for(JobIndex job_index, std::vector<PlacementMachine> &machines) {
   const Job &job = context_.jobs[job_index];
   const PlacementJob placement = queue_.job(job_index);
-  const Offers offers = best_offers(placement, machines);
-  if (offers.empty()) return;
-  const bool at_once = may_start_at_once(placement, offers);
+  const Candidates candidates = best_candidates(placement, machines);
+  if (candidates.empty()) return;
+  const bool start_immediately = can_start_immediately(placement, candidates);
   std::uint32_t next_task = 0;
-  for (const auto &offer : offers) {
-    PlacementMachine &machine = machines[offer.machine];
-    if (offer.victim_count > 0)
+  for (const auto &candidate : candidates) {
+    PlacementMachine &machine = machines[candidate.machine];
+    if (candidate.victim_count > 0)
       context_.runtime.log(LogLevel::Info, "preemption_started",
                            {{"job", job.spec.id},
                             {"machine", context_.workers[machine.id].name},
-                            {"places", offer.places},
-                            {"tasks_stopped", offer.victim_count}});
-    // Small work must not move in while the last tasks are being stopped.
-    if (!at_once) nominations_.nominate(machine.id, job.spec.id, context_.runtime.now() + kNominatedFor);
+                            {"places", candidate.slots},
+                            {"tasks_stopped", candidate.victim_count}});
+    // Small tasks must not refill the machine while the victims stop.
+    if (!start_immediately) nominations_.nominate(machine.id, job.spec.id, context_.runtime.now() + kNominationS);
     machine.nominated_for = job_index;
-    machine.free = {}; // taken, as far as the next job is concerned
-    stop_victims(offer, machine.id, job.spec.id);
-    for (std::uint32_t i = 0; at_once && i < offer.places; ++i) {
+    machine.free = {}; // unavailable to the next job
+    stop_victims(candidate, machine.id, job.spec.id);
+    for (std::uint32_t i = 0; start_immediately && i < candidate.slots; ++i) {
       next_task = next_pending_task(job, next_task);
       if (next_task < job.spec.tasks) placer_.place(job_index, next_task, machine.id);
     }
   }
 }
 
-// Tasks that cannot save exit as soon as they are told, so their successors are started by the very same response.
-// Victims count against their team until they are gone, so a team with a limit waits for that.
-bool Preemption::may_start_at_once(const PlacementJob &job, const Offers &offers) const {
+// Victims without checkpoints exit immediately, so one response can both stop them and start their successors. Victims
+// count against their team's quota until they are gone, so a job of a team with a limit must wait for that.
+bool Preemption::can_start_immediately(const PlacementJob &job, const Candidates &candidates) const {
   const Team &team = context_.quotas.here(job.team);
   if (job.max_per_zone >= 0 || team.cpus_max > 0 || team.gpus_max > 0) return false;
-  return std::all_of(offers.begin(), offers.end(), [](const Offer &offer) { return offer.at_once; });
+  return std::all_of(candidates.begin(), candidates.end(),
+                     [](const Candidate &candidate) { return candidate.victims_exit_immediately; });
 }
 
-void Preemption::stop_victims(const Offer &offer, MachineIndex machine_index, const std::string &preemptor_id) {
+void Preemption::stop_victims(const Candidate &candidate, MachineIndex machine_index, const std::string &preemptor_id) {
   std::vector<std::size_t> allocations;
-  for (std::size_t i = 0; i < offer.victim_count; ++i)
-    allocations.push_back(offer.victims[i].allocation);
-  // The last first: one that is released at once moves those after it.
+  for (std::size_t i = 0; i < candidate.victim_count; ++i)
+    allocations.push_back(candidate.victims[i].allocation);
+  // In descending order, as releasing an allocation moves those after it.
   std::sort(allocations.begin(), allocations.end(), std::greater<>());
   for (std::size_t allocation : allocations) {
     const JobIndex victim = context_.workers[machine_index].allocations[allocation].job;
--- a/src/core/scheduling/task_placer.cpp
+++ b/src/core/scheduling/task_placer.cpp
@@ -3,7 +3,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr int kTermShift = 20; // bits of an attempt's number below the term
+constexpr int kAttemptCounterBits = 20; // the higher bits of an attempt number hold the term
 } // namespace
 
 std::uint32_t next_pending_task(const Job &job, std::uint32_t task_index) {
@@ -45,16 +45,16 @@
                           {"after_s", queue_.age_s(job_index)}});
 }
 
-std::uint64_t TaskPlacer::fresh_attempt() {
-  ++attempts_;
-  return (context_.leadership.term() << kTermShift) + attempts_;
+std::uint64_t TaskPlacer::new_attempt() {
+  ++attempt_counter_;
+  return (context_.leadership.term() << kAttemptCounterBits) + attempt_counter_;
 }
 
-// Tasks of a gang share the attempt of the first of them.
+// All tasks of a gang share one attempt number.
 std::uint64_t TaskPlacer::attempt_for(JobIndex job_index) {
   const Job &job = context_.jobs[job_index];
-  if (job.spec.shape != Shape::Gang) return fresh_attempt();
-  return job.placed == 0 ? context_.jobs.next_gang_attempt(job_index, fresh_attempt()) : job.gang_attempt;
+  if (job.spec.shape != Shape::Gang) return new_attempt();
+  return job.placed == 0 ? context_.jobs.next_gang_attempt(job_index, new_attempt()) : job.gang_attempt;
 }
 
 } // namespace loftrouter::core
