--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,4 @@
-// The placement rounds compared with a slow, plain model, and their invariants on random cases.
+// Compares placement rounds with a brute-force reference and checks their invariants on random cases.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,235 +12,246 @@
 
 namespace {
 
-struct Case {
+struct PlacementCase {
   std::vector<PlacementMachine> machines;
   std::vector<PlacementJob> jobs;
-  std::vector<Resources> room;
+  std::vector<Resources> team_headroom;
 };
 
-Case random_case(std::mt19937 &rng, int max_machines = 8, int max_jobs = 6) {
+PlacementCase random_case(std::mt19937 &rng, int max_machines = 8, int max_jobs = 6) {
   auto pick = [&](int n) { return static_cast<int>(rng() % static_cast<unsigned>(n)); };
-  Case c;
+  PlacementCase test_case;
   for (int i = 0, n = 1 + pick(max_machines); i < n; ++i) {
-    PlacementMachine m;
-    m.id = MachineIndex(static_cast<std::size_t>(i));
-    m.type = pick(2);
-    m.size = m.type ? Resources{32, 4, 128} : Resources{4, 0, 16};
-    m.free = {m.size.cpus - pick(4), m.size.gpus, m.size.memory - pick(8)};
-    m.zone = pick(2);
-    m.spot = pick(2);
-    m.reserved_for_large = !m.spot && m.type == 1 && pick(2);
-    m.small_task_headroom = {2.0 + pick(6), 1, 40};
-    m.price_premium = 0.2 * pick(5);
-    if (pick(2)) m.images.push_back(pick(3));
-    c.machines.push_back(m);
+    PlacementMachine machine;
+    machine.id = MachineIndex(static_cast<std::size_t>(i));
+    machine.type = pick(2);
+    machine.size = machine.type ? Resources{32, 4, 128} : Resources{4, 0, 16};
+    machine.free = {machine.size.cpus - pick(4), machine.size.gpus, machine.size.memory - pick(8)};
+    machine.zone = pick(2);
+    machine.spot = pick(2);
+    machine.reserved_for_large = !machine.spot && machine.type == 1 && pick(2);
+    machine.small_task_headroom = {2.0 + pick(6), 1, 40};
+    machine.price_premium = 0.2 * pick(5);
+    if (pick(2)) machine.images.push_back(pick(3));
+    test_case.machines.push_back(machine);
   }
   for (int i = 0, n = 1 + pick(max_jobs); i < n; ++i) {
-    PlacementJob j;
-    j.need = {1.0 + pick(6), static_cast<double>(pick(4) == 0), 1.0 + pick(12)};
-    j.types = {static_cast<char>(pick(4) > 0), static_cast<char>(pick(4) > 0)};
-    j.zone = pick(4) ? -1 : pick(2);
-    j.spot = pick(2);
-    j.gang = pick(3) == 0;
-    j.one_zone = pick(4) == 0;
-    j.pending = static_cast<std::uint32_t>(1 + pick(std::max(6, max_machines)));
-    j.limit = j.pending;
-    if (pick(4) == 0) j.max_per_zone = static_cast<int>((j.pending + 1) / 2);
-    j.urgency = static_cast<Urgency>(pick(4));
-    j.wait_s = pick(200);
-    j.image = pick(3);
-    j.in_time = pick(2);
-    j.started = pick(2);
-    j.small = pick(2);
-    j.team = pick(2);
+    PlacementJob job;
+    job.need = {1.0 + pick(6), static_cast<double>(pick(4) == 0), 1.0 + pick(12)};
+    job.types = {static_cast<char>(pick(4) > 0), static_cast<char>(pick(4) > 0)};
+    job.zone = pick(4) ? -1 : pick(2);
+    job.spot = pick(2);
+    job.gang = pick(3) == 0;
+    job.one_zone = pick(4) == 0;
+    job.pending = static_cast<std::uint32_t>(1 + pick(std::max(6, max_machines)));
+    job.limit = job.pending;
+    if (pick(4) == 0) job.max_per_zone = static_cast<int>((job.pending + 1) / 2);
+    job.urgency = static_cast<Urgency>(pick(4));
+    job.wait_s = pick(200);
+    job.image = pick(3);
+    job.in_time = pick(2);
+    job.started = pick(2);
+    job.small = pick(2);
+    job.team = pick(2);
     if (pick(5) == 0)
-      j.avoided_machines.emplace_back(static_cast<std::size_t>(pick(static_cast<int>(c.machines.size()))));
-    c.jobs.push_back(j);
+      job.avoided_machines.emplace_back(static_cast<std::size_t>(pick(static_cast<int>(test_case.machines.size()))));
+    test_case.jobs.push_back(job);
   }
-  c.room = {{-1, -1, -1}, {static_cast<double>(pick(20)), -1, -1}};
-  return c;
+  test_case.team_headroom = {{-1, -1, -1}, {static_cast<double>(pick(20)), -1, -1}};
+  return test_case;
 }
 
-// The design's own words, done the slow way: every task of every waiting job is tried on every machine,
-// for jobs without zone rules, waits or ranks.
-std::vector<std::pair<int, int>> plain_round(std::vector<PlacementMachine> ms, std::vector<PlacementJob> jobs,
-                                             const PlacementOptions &o) {
-  std::vector<std::pair<int, int>> out;
-  std::vector<char> open(jobs.size(), 1);
+// Brute-force reference: tries every task of every pending job on every machine. Supports no zone constraints, ranks or
+// reservations.
+std::vector<std::pair<int, int>> reference_round(std::vector<PlacementMachine> machines, std::vector<PlacementJob> jobs,
+                                                 const PlacementOptions &options) {
+  std::vector<std::pair<int, int>> assignments;
+  std::vector<char> unplaced(jobs.size(), 1);
   for (;;) {
-    int best = -1;
+    int best_job = -1;
     double best_value = 0;
     std::vector<int> best_machines;
-    for (std::size_t j = 0; j < jobs.size(); ++j) {
-      if (!open[j]) continue;
-      auto trial = ms;
+    for (std::size_t job_position = 0; job_position < jobs.size(); ++job_position) {
+      if (!unplaced[job_position]) continue;
+      auto trial_machines = machines;
       std::vector<int> plan;
-      double sum = 0;
-      for (std::uint32_t t = 0; t < jobs[j].pending; ++t) {
-        int at = -1;
-        double top = -1e18;
-        for (int m = 0; m < static_cast<int>(trial.size()); ++m) {
-          auto &x = trial[static_cast<std::size_t>(m)];
-          if (!allowed(jobs[j], x) || !jobs[j].need.fits(x.free)) continue;
-          if (x.reserved_for_large && jobs[j].small && !jobs[j].need.fits(x.small_task_headroom)) continue;
-          double f = placement_score(jobs[j], x, o);
-          if (f > top) {
-            top = f;
-            at = m;
+      double score_sum = 0;
+      for (std::uint32_t task = 0; task < jobs[job_position].pending; ++task) {
+        int best_machine = -1;
+        double best_score = -1e18;
+        for (int machine_position = 0; machine_position < static_cast<int>(trial_machines.size()); ++machine_position) {
+          auto &machine = trial_machines[static_cast<std::size_t>(machine_position)];
+          if (!allowed(jobs[job_position], machine) || !jobs[job_position].need.fits(machine.free)) continue;
+          if (machine.reserved_for_large && jobs[job_position].small &&
+              !jobs[job_position].need.fits(machine.small_task_headroom))
+            continue;
+          double score = placement_score(jobs[job_position], machine, options);
+          if (score > best_score) {
+            best_score = score;
+            best_machine = machine_position;
           }
         }
-        if (at < 0) break;
-        trial[static_cast<std::size_t>(at)].free.add(jobs[j].need, -1);
-        if (jobs[j].small) trial[static_cast<std::size_t>(at)].small_task_headroom.add(jobs[j].need, -1);
-        plan.push_back(at);
-        sum += top;
+        if (best_machine < 0) break;
+        trial_machines[static_cast<std::size_t>(best_machine)].free.add(jobs[job_position].need, -1);
+        if (jobs[job_position].small)
+          trial_machines[static_cast<std::size_t>(best_machine)].small_task_headroom.add(jobs[job_position].need, -1);
+        plan.push_back(best_machine);
+        score_sum += best_score;
       }
-      if (plan.empty() || (jobs[j].gang && plan.size() < jobs[j].pending)) continue;
-      double value = sum / static_cast<double>(plan.size()) + (plan.size() == jobs[j].pending ? o.full_plan_bonus : 0) +
-                     o.age_weight * jobs[j].wait_s + (jobs[j].in_time ? o.in_time_bonus : 0);
-      if (best < 0 || value > best_value) {
-        best = static_cast<int>(j);
+      if (plan.empty() || (jobs[job_position].gang && plan.size() < jobs[job_position].pending)) continue;
+      double value = score_sum / static_cast<double>(plan.size()) +
+                     (plan.size() == jobs[job_position].pending ? options.full_plan_bonus : 0) +
+                     options.age_weight * jobs[job_position].wait_s +
+                     (jobs[job_position].in_time ? options.in_time_bonus : 0);
+      if (best_job < 0 || value > best_value) {
+        best_job = static_cast<int>(job_position);
         best_value = value;
         best_machines = plan;
       }
     }
-    if (best < 0) return out;
-    open[static_cast<std::size_t>(best)] = 0;
-    for (int m : best_machines) {
-      auto &x = ms[static_cast<std::size_t>(m)];
-      x.free.add(jobs[static_cast<std::size_t>(best)].need, -1);
-      if (jobs[static_cast<std::size_t>(best)].small)
-        x.small_task_headroom.add(jobs[static_cast<std::size_t>(best)].need, -1);
-      int image = jobs[static_cast<std::size_t>(best)].image;
-      if (std::find(x.images.begin(), x.images.end(), image) == x.images.end()) x.images.push_back(image);
-      out.emplace_back(best, m);
+    if (best_job < 0) return assignments;
+    unplaced[static_cast<std::size_t>(best_job)] = 0;
+    for (int machine_position : best_machines) {
+      auto &machine = machines[static_cast<std::size_t>(machine_position)];
+      machine.free.add(jobs[static_cast<std::size_t>(best_job)].need, -1);
+      if (jobs[static_cast<std::size_t>(best_job)].small)
+        machine.small_task_headroom.add(jobs[static_cast<std::size_t>(best_job)].need, -1);
+      int image = jobs[static_cast<std::size_t>(best_job)].image;
+      if (std::find(machine.images.begin(), machine.images.end(), image) == machine.images.end())
+        machine.images.push_back(image);
+      assignments.emplace_back(best_job, machine_position);
     }
   }
 }
 
 } // namespace
 
-TEST(Placement, FitScoreIsFreeShareTimesDemand) {
-  PlacementMachine m;
-  m.size = {10, 0, 100};
-  m.free = {5, 0, 50};
-  PlacementJob j;
-  j.need = {2, 0, 10};
-  EXPECT_NEAR(fit_score(j, m), 0.5 * 0.2 + 0.5 * 0.1, 1e-12);
+TEST(Placement, FitScoreIsFreeShareTimesRequestedShare) {
+  PlacementMachine machine;
+  machine.size = {10, 0, 100};
+  machine.free = {5, 0, 50};
+  PlacementJob job;
+  job.need = {2, 0, 10};
+  EXPECT_NEAR(fit_score(job, machine), 0.5 * 0.2 + 0.5 * 0.1, 1e-12);
 }
 
-void compare_with_plain(std::mt19937 &rng, int cases, int max_machines, int max_jobs) {
+void compare_with_reference(std::mt19937 &rng, int cases, int max_machines, int max_jobs) {
   for (int i = 0; i < cases; ++i) {
-    auto c = random_case(rng, max_machines, max_jobs);
-    for (auto &j : c.jobs) {
-      j.one_zone = false;
-      j.max_per_zone = -1;
-      j.urgency = Urgency::Normal;
-      j.wait_s = std::min(j.wait_s, 100.0);
+    auto test_case = random_case(rng, max_machines, max_jobs);
+    for (auto &job : test_case.jobs) {
+      job.one_zone = false;
+      job.max_per_zone = -1;
+      job.urgency = Urgency::Normal;
+      job.wait_s = std::min(job.wait_s, 100.0);
     }
-    std::vector<std::pair<int, int>> got;
-    for (auto a : place_round(c.machines, c.jobs, {}, {}))
-      got.emplace_back(a.job, a.machine);
-    ASSERT_EQ(got, plain_round(c.machines, c.jobs, {})) << "case " << i;
+    std::vector<std::pair<int, int>> assignments;
+    for (auto assignment : place_round(test_case.machines, test_case.jobs, {}, {}))
+      assignments.emplace_back(assignment.job, assignment.machine);
+    ASSERT_EQ(assignments, reference_round(test_case.machines, test_case.jobs, {})) << "case " << i;
   }
 }
 
-TEST(Placement, AgreesWithThePlainModel) {
+TEST(Placement, MatchesReference) {
   std::mt19937 rng(11);
-  compare_with_plain(rng, 2000, 8, 6);
+  compare_with_reference(rng, 2000, 8, 6);
 }
 
-// Plans that are kept from one pass to the next must be those that planning all over again would give.
-TEST(Placement, AgreesWithThePlainModelAtSize) {
+// Guards against cached plans that differ from recomputed ones.
+TEST(Placement, MatchesReferenceOnLargeCases) {
   std::mt19937 rng(12);
-  compare_with_plain(rng, 60, 60, 25);
+  compare_with_reference(rng, 60, 60, 25);
 }
 
-TEST(Placement, NeverOverfillsNorBreaksALimit) {
+TEST(Placement, NeverOvercommitsMachinesOrExceedsLimits) {
   std::mt19937 rng(5);
   for (int i = 0; i < 3000; ++i) {
-    auto c = random_case(rng);
-    auto plan = place_round(c.machines, c.jobs, c.room, {});
-    std::vector<int> count(c.jobs.size(), 0);
-    std::vector<std::vector<int>> zones(c.jobs.size(), std::vector<int>(2, 0));
-    double team1 = 0;
-    for (auto a : plan) {
-      auto &j = c.jobs[static_cast<std::size_t>(a.job)];
-      auto &m = c.machines[static_cast<std::size_t>(a.machine)];
-      ASSERT_TRUE(allowed(j, m));
-      ASSERT_TRUE(j.need.fits(m.free));
-      m.free.add(j.need, -1);
-      ++count[static_cast<std::size_t>(a.job)];
-      ++zones[static_cast<std::size_t>(a.job)][static_cast<std::size_t>(m.zone)];
-      if (j.team == 1) team1 += j.need.cpus;
+    auto test_case = random_case(rng);
+    auto plan = place_round(test_case.machines, test_case.jobs, test_case.team_headroom, {});
+    std::vector<int> placed_tasks(test_case.jobs.size(), 0);
+    std::vector<std::vector<int>> tasks_by_zone(test_case.jobs.size(), std::vector<int>(2, 0));
+    double team1_cpus = 0;
+    for (auto assignment : plan) {
+      auto &job = test_case.jobs[static_cast<std::size_t>(assignment.job)];
+      auto &machine = test_case.machines[static_cast<std::size_t>(assignment.machine)];
+      ASSERT_TRUE(allowed(job, machine));
+      ASSERT_TRUE(job.need.fits(machine.free));
+      machine.free.add(job.need, -1);
+      ++placed_tasks[static_cast<std::size_t>(assignment.job)];
+      ++tasks_by_zone[static_cast<std::size_t>(assignment.job)][static_cast<std::size_t>(machine.zone)];
+      if (job.team == 1) team1_cpus += job.need.cpus;
     }
-    EXPECT_LE(team1, c.room[1].cpus + 1e-6);
-    for (std::size_t k = 0; k < c.jobs.size(); ++k) {
-      EXPECT_TRUE(!c.jobs[k].gang || count[k] == 0 || count[k] == static_cast<int>(c.jobs[k].pending));
-      EXPECT_TRUE(!c.jobs[k].one_zone || zones[k][0] == 0 || zones[k][1] == 0);
-      EXPECT_TRUE(c.jobs[k].max_per_zone < 0 || std::max(zones[k][0], zones[k][1]) <= c.jobs[k].max_per_zone);
+    EXPECT_LE(team1_cpus, test_case.team_headroom[1].cpus + 1e-6);
+    for (std::size_t position = 0; position < test_case.jobs.size(); ++position) {
+      EXPECT_TRUE(!test_case.jobs[position].gang || placed_tasks[position] == 0 ||
+                  placed_tasks[position] == static_cast<int>(test_case.jobs[position].pending));
+      EXPECT_TRUE(!test_case.jobs[position].one_zone || tasks_by_zone[position][0] == 0 ||
+                  tasks_by_zone[position][1] == 0);
+      EXPECT_TRUE(test_case.jobs[position].max_per_zone < 0 ||
+                  std::max(tasks_by_zone[position][0], tasks_by_zone[position][1]) <=
+                      test_case.jobs[position].max_per_zone);
     }
   }
 }
 
-// Roomy-first scatters small tasks; a job that has waited two minutes must get its machine all the same.
-TEST(Placement, LongWaitReservesAMachine) {
-  PlacementMachine m;
-  m.size = {32, 0, 128};
-  m.free = {20, 0, 100};
-  PlacementJob big, small;
-  big.need = {30, 0, 64};
-  big.types = small.types = {1};
-  big.pending = big.limit = 1;
-  big.gang = true;
-  small.need = {1, 0, 1};
-  small.pending = small.limit = 5;
-  EXPECT_EQ(place_round({m}, {big, small}, {}, {}).size(), 5u);
-  big.wait_s = 121;
-  EXPECT_TRUE(place_round({m}, {big, small}, {}, {}).empty());
+// Guards against starvation of large jobs by small tasks spread over all machines.
+TEST(Placement, LongWaitingJobReservesMachine) {
+  PlacementMachine machine;
+  machine.size = {32, 0, 128};
+  machine.free = {20, 0, 100};
+  PlacementJob large_job, small_job;
+  large_job.need = {30, 0, 64};
+  large_job.types = small_job.types = {1};
+  large_job.pending = large_job.limit = 1;
+  large_job.gang = true;
+  small_job.need = {1, 0, 1};
+  small_job.pending = small_job.limit = 5;
+  EXPECT_EQ(place_round({machine}, {large_job, small_job}, {}, {}).size(), 5u);
+  large_job.wait_s = 121;
+  EXPECT_TRUE(place_round({machine}, {large_job, small_job}, {}, {}).empty());
 }
 
-// A machine being emptied for an urgent job was refilled with small work round after round, and its
-// place taken again each time (1560 times on one day).
-TEST(Placement, MachineBeingEmptiedTakesNothingElse) {
-  PlacementMachine m;
-  m.size = {32, 0, 128};
-  m.free = {20, 0, 100};
-  m.nominated_for = JobIndex(7);
-  PlacementJob big, small;
-  big.need = {30, 0, 64};
-  small.need = {1, 0, 1};
-  big.types = small.types = {1};
-  big.index = JobIndex(7);
-  small.index = JobIndex(3);
-  big.pending = big.limit = 1;
-  small.pending = small.limit = 5;
-  EXPECT_TRUE(place_round({m}, {big, small}, {}, {}).empty());
-  m.free = m.size;
-  auto plan = place_round({m}, {big, small}, {}, {});
+// Guards against a machine that preemption is clearing being refilled with small tasks, which would then be preempted
+// too.
+TEST(Placement, NominatedMachineAcceptsOnlyNominatedJob) {
+  PlacementMachine machine;
+  machine.size = {32, 0, 128};
+  machine.free = {20, 0, 100};
+  machine.nominated_for = JobIndex(7);
+  PlacementJob large_job, small_job;
+  large_job.need = {30, 0, 64};
+  small_job.need = {1, 0, 1};
+  large_job.types = small_job.types = {1};
+  large_job.index = JobIndex(7);
+  small_job.index = JobIndex(3);
+  large_job.pending = large_job.limit = 1;
+  small_job.pending = small_job.limit = 5;
+  EXPECT_TRUE(place_round({machine}, {large_job, small_job}, {}, {}).empty());
+  machine.free = machine.size;
+  auto plan = place_round({machine}, {large_job, small_job}, {}, {});
   ASSERT_EQ(plan.size(), 1u);
   EXPECT_EQ(plan[0].job, 0);
-  m.nominated_for = {};
-  EXPECT_EQ(place_round({m}, {big, small}, {}, {}).size(), 3u);
+  machine.nominated_for = {};
+  EXPECT_EQ(place_round({machine}, {large_job, small_job}, {}, {}).size(), 3u);
 }
 
-TEST(Ranges, WidenCoversMoreAndNarrowCoversLess) {
+TEST(Ranges, WidenCoversSupersetAndNarrowCoversSubset) {
   std::mt19937 rng(2);
   for (int i = 0; i < 500; ++i) {
-    std::vector<char> in(300);
-    for (auto &x : in)
-      x = rng() % 3 == 0;
-    auto r = make_ranges(300, [&](std::uint32_t k) { return in[k]; });
-    auto covers = [](const Ranges &rs, std::uint32_t k) {
-      return std::any_of(rs.begin(), rs.end(), [&](auto x) { return k >= x.first && k < x.second; });
+    std::vector<char> included(300);
+    for (auto &entry : included)
+      entry = rng() % 3 == 0;
+    auto ranges = make_ranges(300, [&](std::uint32_t index) { return included[index]; });
+    auto covers = [](const Ranges &covering_ranges, std::uint32_t index) {
+      return std::any_of(covering_ranges.begin(), covering_ranges.end(),
+                         [&](auto entry) { return index >= entry.first && index < entry.second; });
     };
-    std::size_t max = 1 + rng() % 40;
-    auto wide = widen(r, max), thin = narrow(r, max);
-    EXPECT_LE(wide.size(), max);
-    EXPECT_LE(thin.size(), max);
-    for (std::uint32_t k = 0; k < 300; ++k) {
-      EXPECT_EQ(covers(r, k), static_cast<bool>(in[k]));
-      EXPECT_TRUE(in[k] ? covers(wide, k) : !covers(thin, k));
+    std::size_t max_ranges = 1 + rng() % 40;
+    auto widened = widen(ranges, max_ranges), narrowed = narrow(ranges, max_ranges);
+    EXPECT_LE(widened.size(), max_ranges);
+    EXPECT_LE(narrowed.size(), max_ranges);
+    for (std::uint32_t index = 0; index < 300; ++index) {
+      EXPECT_EQ(covers(ranges, index), static_cast<bool>(included[index]));
+      EXPECT_TRUE(included[index] ? covers(widened, index) : !covers(narrowed, index));
     }
   }
 }
