--- a/include/loftrouter/core/autoscaling/autoscaler.hpp
+++ b/include/loftrouter/core/autoscaling/autoscaler.hpp
@@ -1,7 +1,6 @@
 // Sizes the fleet: requests machines from the cloud, returns them, and reads the cloud's list of machines.
 //
-// Owns the rate limiter of cloud API calls and, through its parts, the calls in flight. Core thread only.
-// Invariants: calls stay within the cloud's rate limit, a retried request keeps its name (idempotent), and a machine
+// Owns the rate limiter of cloud calls. Core thread only. Invariants: retried requests are idempotent, and a machine
 // counts as gone only once the cloud has confirmed it (docs/safety.md "ran_twice").
 #pragma once
 
@@ -20,12 +19,11 @@
 class Autoscaler {
 public:
   explicit Autoscaler(const AutoscalingContext &context);
-  // Not copyable: its members refer to one another.
   Autoscaler(const Autoscaler &) = delete;
   Autoscaler &operator=(const Autoscaler &) = delete;
 
   void tick();
-  // Calls the cloud at most every few seconds to find out whether this node can reach it.
+  // Calls the cloud, at a limited rate, to find out whether this node can reach it.
   void probe() { catalog_loader_.probe(); }
   // Returns whether the cloud recently reported no capacity for this kind.
   bool lacks_capacity(const MachineKind &kind) const { return scale_out_.lacks_capacity(kind); }
@@ -44,10 +42,10 @@
   ScaleIn scale_in_;
   ScaleOut scale_out_;
   CapacityPlanner planner_;
-  bool listing_ = false;        // a machine list is being read
+  bool listing_ = false;
   double next_list_ = 0;        // monotonic
   double next_scale_ = 0;       // monotonic
-  double first_listed_at_ = -1; // monotonic; when the first complete list of this term was read; -1: not yet
+  double first_listed_at_ = -1; // monotonic; first complete list of the term; -1: none yet
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/autoscaling/autoscaling_context.hpp
+++ b/include/loftrouter/core/autoscaling/autoscaling_context.hpp
@@ -1,4 +1,4 @@
-// References to the components that autoscaling uses. All of them outlive the autoscaler.
+// References to components that autoscaling uses; all outlive the autoscaler.
 #pragma once
 
 #include "loftrouter/core/liveness/failure_detector.hpp"
@@ -21,6 +21,6 @@
   const JobObjectives &objectives;
 };
 
-constexpr double kMinimumChargeS = 60.0; // the cloud bills each machine for at least this long
+constexpr double kMinimumChargeS = 60.0; // minimum billed per machine
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/autoscaling/capacity_planner.hpp
+++ b/include/loftrouter/core/autoscaling/capacity_planner.hpp
@@ -1,7 +1,5 @@
 // Decides which machines to request for pending jobs.
-//
-// Stateless: each plan is computed from the present state. Safety doesn't depend on it; a bad plan costs money or
-// delays jobs.
+// Stateless. Safety doesn't depend on it: a bad plan costs money or delays jobs.
 #pragma once
 
 #include <vector>
@@ -12,8 +10,8 @@
 namespace loftrouter::core {
 
 struct CapacityPlan {
-  std::vector<CapacityRequest> requests; // ordered by the first job that needs each
-  double waiting_cpus = 0;               // CPUs of pending tasks, without deferrable ones
+  std::vector<CapacityRequest> requests; // by descending priority of their first jobs
+  double waiting_cpus = 0;               // of pending tasks that aren't deferrable
 };
 
 class CapacityPlanner {
--- a/include/loftrouter/core/autoscaling/catalog_loader.hpp
+++ b/include/loftrouter/core/autoscaling/catalog_loader.hpp
@@ -1,7 +1,5 @@
 // Keeps the instance type catalog up to date from the cloud and the state service.
-//
-// Owns the load schedule. The state service holds a copy of the types, so that a node can validate jobs while the cloud
-// is unreachable.
+// The state service's copy lets a node validate jobs while the cloud is unreachable.
 #pragma once
 
 #include "loftrouter/core/autoscaling/autoscaling_context.hpp"
@@ -15,7 +13,7 @@
       : context_(context), call_limiter_(call_limiter) {}
 
   void tick();
-  // Calls the cloud at most every few seconds to find out whether this node can reach it.
+  // Calls the cloud, at a limited rate, to find out whether this node can reach it.
   void probe();
 
 private:
--- a/include/loftrouter/core/autoscaling/scale_in.hpp
+++ b/include/loftrouter/core/autoscaling/scale_in.hpp
@@ -1,7 +1,5 @@
-// Returns machines to the cloud.
-//
-// Owns the call in flight. A machine counts as gone only once the cloud has confirmed it; until then its tasks may
-// still be running (docs/safety.md "ran_twice").
+// Returns machines to the cloud. A machine counts as gone only once the cloud has confirmed it; until then its tasks
+// may still be running (docs/safety.md "ran_twice").
 #pragma once
 
 #include <string>
@@ -21,13 +19,12 @@
   // Drains expensive machines whose load the rest of the fleet can take. `waiting_cpus`: see
   // `CapacityPlan`.
   void drain_surplus(double waiting_cpus);
-  // Records that this node can't place tasks now, so that machines don't count as idle for lack of work.
+  // Keeps machines from counting as idle while this node can't place tasks.
   void note_scheduling_paused() { scheduling_paused_until_ = context_.runtime.now(); }
   void on(const TermEnded &) { call_in_flight_ = false; }
 
 private:
-  // Counts machines that have sent at least one heartbeat.
-  struct FleetCounts {
+  struct FleetCounts { // without machines that have never sent a heartbeat
     int available = 0;
     int lost = 0;
     int downlink_lost = 0;
--- a/include/loftrouter/core/autoscaling/scale_out.hpp
+++ b/include/loftrouter/core/autoscaling/scale_out.hpp
@@ -1,7 +1,5 @@
-// Requests machines from the cloud.
-//
-// Owns the requests in flight and the kinds for which the cloud recently had no capacity. A retried request keeps its
-// name and names contain the leader's term, so no request is fulfilled twice.
+// Requests machines from the cloud. A retried request keeps its name, and names contain the leader's term, so no
+// request is fulfilled twice.
 #pragma once
 
 #include <cstdint>
@@ -13,12 +11,11 @@
 
 namespace loftrouter::core {
 
-// A request for machines of one kind.
 struct CapacityRequest {
   MachineKind kind;
   int machines = 0;
   int jobs = 0;
-  JobIndex first_job; // the first of the jobs it is for
+  JobIndex first_job; // of those it is for
 };
 
 class ScaleOut {
@@ -26,12 +23,12 @@
   ScaleOut(const AutoscalingContext &context, TokenBucket &call_limiter)
       : context_(context), call_limiter_(call_limiter) {}
 
-  // Sends as much of the request as the rate limit allows. The next plan repeats the rest if it is still needed.
+  // Sends as much as the rate limit allows; the next plan repeats the rest.
   void request(const CapacityRequest &wanted);
   // Returns whether the cloud recently reported no capacity for this kind.
   bool lacks_capacity(const MachineKind &kind) const;
   std::vector<MachineKind> kinds_without_capacity() const;
-  // Numbers of machines in requests that the cloud hasn't answered yet.
+  // Machines in requests not answered yet.
   const std::map<MachineKind, int> &in_flight() const { return in_flight_; }
   bool in_flight(const MachineKind &kind) const;
   void on(const TermEnded &) { in_flight_.clear(); }
--- a/include/loftrouter/core/catalog/instance_type_catalog.hpp
+++ b/include/loftrouter/core/catalog/instance_type_catalog.hpp
@@ -1,7 +1,5 @@
 // Holds the cloud's instance types and zones and maps their names to dense indices.
-//
-// Core thread only. Invariant: a type is never removed and keeps its index, as machines and jobs refer to it by index;
-// its size and prices may change.
+// Core thread only. Invariant: types are never removed and keep their index; their size and prices may change.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +11,7 @@
 
 namespace loftrouter::core {
 
-// A machine whose CPU price exceeds the cheapest by this factor is expensive: requested and used for urgent work only.
+// Times the cheapest CPU price; more expensive machines are for urgent work only.
 constexpr double kExpensiveRatio = 1.5;
 
 class InstanceTypeCatalog {
@@ -22,7 +20,7 @@
 
   // Adds or replaces the listed types. An empty list changes nothing.
   void update(std::vector<MachineType> types);
-  bool known() const { return known_; } // some list has been loaded
+  bool known() const { return known_; } // loaded at least once
   const std::vector<MachineType> &types() const { return types_; }
   const MachineType &type(int type_index) const { return types_[static_cast<std::size_t>(type_index)]; }
 
--- a/include/loftrouter/core/scheduling/fleet_snapshot.hpp
+++ b/include/loftrouter/core/scheduling/fleet_snapshot.hpp
@@ -1,6 +1,5 @@
 // Lists the machines that may take tasks, with their free resources, for a placement round.
-//
-// Owns nothing. Safety doesn't depend on it: it only excludes machines on which a task would probably not start.
+// Safety doesn't depend on it: it excludes machines on which a task would probably not start.
 #pragma once
 
 #include <functional>
--- a/include/loftrouter/core/scheduling/large_task_reservations.hpp
+++ b/include/loftrouter/core/scheduling/large_task_reservations.hpp
@@ -1,8 +1,6 @@
 // Tracks the instance types whose machines are reserved for large tasks, which fit no other type and need a whole
 // machine.
-//
-// Small tasks that can run elsewhere avoid such machines (`FleetSnapshot`). Safety doesn't depend on it: at worst a
-// machine is idle, or a large task waits for small ones.
+// Small tasks avoid such machines (`FleetSnapshot`). Safety doesn't depend on it.
 #pragma once
 
 #include <unordered_map>
@@ -14,12 +12,12 @@
 class LargeTaskReservations {
 public:
   struct Reservation {
-    double last_wanted_at = 0; // monotonic; when a job with large tasks was last accepted
-    Resources need;            // maximum over these jobs, for each resource
+    double last_wanted_at = 0; // monotonic
+    Resources need;            // maximum over the jobs, for each resource
   };
   explicit LargeTaskReservations(const SchedulingContext &context) : context_(context) {}
 
-  // Returns the type's reservation if a job wanted it within the last `within_s` seconds, otherwise null.
+  // Returns null if no job wanted the type within the last `within_s` seconds.
   const Reservation *find(int type, double within_s) const;
   void on(const JobAccepted &event);
 
--- a/include/loftrouter/core/scheduling/nominations.hpp
+++ b/include/loftrouter/core/scheduling/nominations.hpp
@@ -1,7 +1,5 @@
-// Records machines nominated for a job, on which nothing else is placed: those being cleared by preemption, and those
-// kept for a job that has waited too long.
-//
-// Guards against a machine being refilled with small tasks while its victims are still stopping. Nominations expire.
+// Records machines nominated for one job: cleared by preemption, or kept for a job that has waited too long.
+// Nominations expire. Guards against small tasks refilling a machine while its victims are still stopping.
 #pragma once
 
 #include <string>
@@ -19,9 +17,9 @@
   struct Nomination {
     std::string job_id;
     double until = -1;          // monotonic
-    bool open_to_small = false; // not reserved for large tasks in the last full round
+    bool open_to_small = false; // as decided by the last full round
   };
-  // Returns null if the machine has no entry; an entry may have expired.
+  // Returns null or a nomination, which may have expired.
   const Nomination *find(MachineIndex machine) const {
     return machine.position() < nominations_.size() ? &nominations_[machine.position()] : nullptr;
   }
--- a/include/loftrouter/core/scheduling/placement.hpp
+++ b/include/loftrouter/core/scheduling/placement.hpp
@@ -1,8 +1,6 @@
-// Computes one placement round (bin packing) as a pure function of a snapshot. docs/design.md says which parts come
-// from the paper.
+// Computes one placement round (bin packing) as a pure function of a snapshot. See docs/design.md.
 //
-// Within a round, jobs and machines are identified by their positions in the vectors passed to `place_round`; elsewhere
-// by `PlacementJob::index` and `PlacementMachine::id`.
+// Within a round, positions in the vectors passed to `place_round` identify jobs and machines.
 #pragma once
 
 #include <cstdint>
@@ -14,36 +12,36 @@
 namespace loftrouter::core {
 
 struct PlacementMachine {
-  MachineIndex id; // matched against `PlacementJob::avoided_machines`
+  MachineIndex id;
   Resources size;
   Resources free;
   int type = 0;
   int zone = 0;
   bool spot = false;
-  bool reserved_for_large = false; // kept for tasks that need a whole machine of this type
+  bool reserved_for_large = false; // see `LargeTaskReservations`
   Resources small_task_headroom;   // if reserved: what small tasks may still use
-  JobIndex nominated_for;          // no other job (`PlacementJob::index`) may be placed here
+  JobIndex nominated_for;          // excludes all other jobs
   double price_premium = 0;        // 1 - cheapest CPU price / this machine's; 0 to 1
   std::vector<int> images;         // cached or being fetched
   double fetch_gb_per_s = 1;
 };
 
 struct PlacementJob {
-  JobIndex index; // matched against `PlacementMachine::nominated_for`
+  JobIndex index;
   Resources need; // of each task
   int team = 0;
 
   // Constraints.
   std::vector<char> types; // by type index: allowed
-  int zone = -1;           // required zone; -1: any
+  int zone = -1;           // -1: any
   bool spot = false;       // may use spot machines
   bool gang = false;       // places all of `pending` or nothing
   bool one_zone = false;
   int max_per_zone = -1;                      // spread constraint; -1: none
   std::vector<int> zone_used;                 // already placed tasks, by zone index
   std::vector<MachineIndex> avoided_machines; // where its tasks have failed
-  bool small = false;                         // low priority and spot-tolerant: avoids reserved machines
-  double max_price_premium = 1;               // avoids on-demand machines with a higher one
+  bool small = false;                         // avoids reserved machines
+  double max_price_premium = 1;               // of on-demand machines
 
   std::uint32_t pending = 0; // tasks to place
   std::uint32_t limit = 0;   // maximum to place now
@@ -51,9 +49,9 @@
   // Ranking.
   Urgency urgency = Urgency::Normal;
   bool guaranteed = false;     // within its team's guaranteed quota
-  bool delegated_here = false; // from another cell: ranks below all local jobs
+  bool delegated_here = false; // ranks below all local jobs
   double wait_s = 0;
-  bool started = false; // some of its tasks have been placed
+  bool started = false; // or may not reserve machines
   bool in_time = false; // would meet its completion target if placed now
 
   int image = -1;
@@ -65,8 +63,8 @@
   double age_weight = 0.05;     // per second waited
   double image_weight = 0.3;    // for a machine that holds the image
   double price_weight = 1.0;    // times the machine's price premium
-  double reserve_after_s = 120; // wait after which a job that hasn't started gets machines reserved
-  double in_time_bonus = 30;    // for `PlacementJob::in_time`, so that late jobs don't delay those still in time
+  double reserve_after_s = 120; // wait of a job that hasn't started
+  double in_time_bonus = 30;    // keeps late jobs from delaying those still in time
 };
 
 // Assigns a task of a job to a machine, both by position.
@@ -74,15 +72,14 @@
   int job = 0;
   int machine = 0;
 };
-// Keeps a machine for a job that has waited too long.
 struct Reservation {
   JobIndex job;
   MachineIndex machine;
 };
 
-// Checks constraints (type, zone, spot, price, nomination, earlier failures), not free resources.
+// Checks all constraints but free resources.
 bool allowed(const PlacementJob &job, const PlacementMachine &machine);
-// Checks free resources for one more task.
+// Checks free resources for one task.
 bool has_room(const PlacementJob &job, const PlacementMachine &machine);
 double fit_score(const PlacementJob &job, const PlacementMachine &machine); // F in the paper
 double placement_score(const PlacementJob &job, const PlacementMachine &machine, const PlacementOptions &options);
--- a/include/loftrouter/core/scheduling/placement_queue.hpp
+++ b/include/loftrouter/core/scheduling/placement_queue.hpp
@@ -1,7 +1,5 @@
-// Describes pending jobs for a placement round: how many tasks each may place now, its constraints and its rank.
-//
-// Owns when each job began to wait. Invariants: a job that must not run (dependencies unfinished, cancelled,
-// paused, budget of its team exhausted) has a limit of 0, and a suspected job has at most one retry at a time
+// Describes pending jobs for a placement round and tracks how long they wait. Invariants: a job that must not run
+// (dependencies, cancellation, pause, budget) has a limit of 0, and a suspected job has at most one retry at a time
 // (docs/safety.md "too_early").
 #pragma once
 
@@ -20,19 +18,18 @@
   PlacementJob job(JobIndex job_index) const;
   // Like `job`, but a starved job may use expensive and reserved machines too.
   PlacementJob job_relaxed_if_starved(JobIndex job_index) const;
-  // Returns jobs with tasks to place, oldest first, so that a team's guaranteed quota covers its oldest jobs.
+  // Oldest first, so that a team's guaranteed quota covers its oldest jobs.
   std::vector<JobIndex> waiting_jobs() const;
-  // Returns whether the job may wait for cheap capacity: it is small (`PlacementJob::small`), has no completion target
-  // and is not part of a pipeline.
+  // Returns whether the job may wait for cheap capacity.
   bool deferrable(JobIndex job_index) const;
-  // Returns whether the job has waited long since its last placement, if any.
+  // Returns whether the job has gone long without a placement.
   bool starved(JobIndex job_index) const;
   double age_s(JobIndex job_index) const; // since the job became ready
 
-  // Called for each waiting job in a round over all machines.
+  // Called in each full round.
   void note_waiting(JobIndex job_index, double round_interval_s);
   void note_placed(JobIndex job_index);
-  // CPUs of all machines that could take tasks in the last round.
+  // CPUs of all schedulable machines.
   void set_available_cpus(double cpus) { available_cpus_ = cpus; }
   double available_cpus() const { return available_cpus_; }
   void clear() { waits_.clear(); }
@@ -40,8 +37,8 @@
 private:
   struct Wait {
     std::uint64_t serial = 0;
-    double since = 0;           // monotonic; when the job was first seen waiting, or a task of it was last placed
-    double last_seen_at = -1e9; // monotonic; the last round over all machines in which it waited
+    double since = 0;           // monotonic; first seen or last placement
+    double last_seen_at = -1e9; // monotonic
   };
   bool blocked(const Job &job, JobIndex job_index) const;
   bool would_finish_in_time(const Job &job, JobIndex job_index, const PlacementJob &placement) const;
--- a/include/loftrouter/core/scheduling/preemption.hpp
+++ b/include/loftrouter/core/scheduling/preemption.hpp
@@ -1,7 +1,5 @@
 // Preempts tasks of lower priority for jobs that fit nowhere, choosing the victims that lose the least work.
-//
-// Owns nothing. Nominates the machines that it clears for the preempting job. Victims count against their team's quota
-// until a heartbeat shows that they are gone (docs/safety.md "quota").
+// Victims count against their team's quota until a heartbeat shows that they are gone (docs/safety.md "quota").
 #pragma once
 
 #include <cstddef>
@@ -23,7 +21,7 @@
 
   // `unplaced`: jobs of which the round placed no task.
   void make_room(std::vector<JobIndex> unplaced);
-  // Stops the running tasks of teams whose budget is exhausted and set to stop, with time to save a checkpoint.
+  // Only where the budget says so; tasks get time to save a checkpoint.
   void stop_teams_over_budget();
 
 private:
--- a/include/loftrouter/core/scheduling/scheduler.hpp
+++ b/include/loftrouter/core/scheduling/scheduler.hpp
@@ -1,7 +1,6 @@
 // Decides when to run placement rounds and applies their results.
 //
-// Owns the queue of the last full round (a round over all machines) and, through its parts, the nominations and
-// reservations of machines. Core thread only. Invariants (docs/safety.md): tasks are placed only where their job's
+// A full round covers all machines. Core thread only. Invariants (docs/safety.md): tasks are placed only where their
 // constraints allow ("wrong_place") and within their team's limit, counting every task that may still be on a machine
 // ("quota"). A placed task starts only after the placement is recorded ("ran_twice").
 #pragma once
@@ -22,16 +21,14 @@
 class Scheduler {
 public:
   explicit Scheduler(const SchedulingContext &context);
-  // Not copyable: its members refer to one another.
   Scheduler(const Scheduler &) = delete;
   Scheduler &operator=(const Scheduler &) = delete;
 
   void tick(); // runs a full round if one is due
-  // Runs a full round, no sooner than the round interval allows, if jobs have arrived or tasks have exited. Called at
-  // the end of each batch.
+  // Runs a full round if jobs have arrived or tasks have exited; called at the end of each batch.
   void place_if_something_changed();
-  // Runs a round for one machine whose heartbeat has just been accepted, so that the response can start the next task
-  // if it is prerecorded. Otherwise the machine would be idle for a heartbeat interval.
+  // Runs a round for a machine whose heartbeat has just been accepted, so that the response can start a prerecorded
+  // task instead of leaving the machine idle for a heartbeat interval.
   void place_on_machine(MachineIndex machine_index);
 
   const PlacementQueue &queue() const { return queue_; }
@@ -70,7 +67,7 @@
   double next_prerecord_ = 0; // monotonic
   bool room_freed_ = false;   // a task has exited since the last full round
   std::uint64_t arrivals_seen_ = 0;
-  std::vector<QueuedJob> last_round_queue_; // waiting jobs at the last full round, oldest first
+  std::vector<QueuedJob> last_round_queue_; // oldest first
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/scheduling/scheduling_context.hpp
+++ b/include/loftrouter/core/scheduling/scheduling_context.hpp
@@ -1,4 +1,4 @@
-// References to the components that scheduling uses. All of them outlive the scheduler.
+// References to components that scheduling uses; all outlive the scheduler.
 #pragma once
 
 #include "loftrouter/core/catalog/instance_type_catalog.hpp"
--- a/include/loftrouter/core/scheduling/task_placer.hpp
+++ b/include/loftrouter/core/scheduling/task_placer.hpp
@@ -1,8 +1,5 @@
-// Binds tasks to machines and assigns attempt numbers.
-//
-// Owns the attempt counter. Invariants: no two attempts of a task share a number, also across leaders, as numbers
-// contain the term; and each placement is queued for recording, which must complete before the task starts
-// (docs/safety.md "ran_twice").
+// Binds tasks to machines and assigns attempt numbers. Invariants: attempt numbers are unique, also across leaders, as
+// they contain the term; and a placement is recorded before the task starts (docs/safety.md "ran_twice").
 #pragma once
 
 #include <cstdint>
@@ -19,8 +16,7 @@
 
   // The task must be pending.
   void place(JobIndex job_index, std::uint32_t task_index, MachineIndex machine_index);
-  // Applies the plan of a round. `jobs` and `machines` map the plan's positions to indices. Returns how many tasks were
-  // placed, by job position.
+  // `jobs` and `machines` map the plan's positions to indices. Returns how many tasks were placed, by job position.
   std::vector<std::uint32_t> place_all(const std::vector<Assignment> &plan, const std::vector<JobIndex> &jobs,
                                        const std::vector<MachineIndex> &machines);
 
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -6,13 +6,11 @@
 
 namespace {
 constexpr double kScaleIntervalS = 1.0;
-// Delay after the leader becomes able to place tasks, so that pending tasks are placed before the fleet is sized.
-constexpr double kFirstScaleDelayS = 1.0;
+constexpr double kFirstScaleDelayS = 1.0; // lets placement rounds run before the fleet is sized
 constexpr double kListIntervalS = 3.0;
-constexpr double kListDeadlineS = 3.0;        // for one page
-constexpr double kScaleDelayAfterListS = 1.0; // between the first complete list and the first scaling decision
-// A removed machine may stay in the cloud's list for this many times the list's usual lag, plus the margin.
-constexpr double kListLagFactor = 4.0;
+constexpr double kListDeadlineS = 3.0; // per page
+constexpr double kScaleDelayAfterListS = 1.0;
+constexpr double kListLagFactor = 4.0; // for removed machines that are still listed
 constexpr double kListLagMarginS = 5.0;
 constexpr double kCallRateShare = 0.7; // of the cloud's rate limit
 } // namespace
@@ -56,7 +54,7 @@
   }
 }
 
-// Waits for a complete machine list, so that machines that already exist are not requested again.
+// Needs a complete list first, so that existing machines are not requested again.
 void Autoscaler::scale() {
   if (first_listed_at_ < 0 || context_.runtime.now() - first_listed_at_ < kScaleDelayAfterListS) return;
   if (context_.failure_detector.all_unreachable()) return;
@@ -66,7 +64,7 @@
   scale_in_.drain_surplus(plan.waiting_cpus);
 }
 
-// Reads the list page by page. `after_name`: last name of the previous page; empty for the first page.
+// `after_name`: last name of the previous page; empty for the first page.
 void Autoscaler::list_machines(const std::string &after_name) {
   const auto epoch = context_.leadership.epoch();
   context_.runtime.cloud(CloudList{after_name}, kListDeadlineS, [this, epoch](const wire::CloudReply &reply) {
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -12,29 +12,28 @@
 
 namespace {
 
-constexpr double kQueueSlackShare = 0.7; // of the time left until the target, the part that queueing may use
+constexpr double kQueueSlackShare = 0.7; // of the time left until the target
 constexpr double kVeryLateFactor = 8.0;  // multiple of a job's target time
-// Number of tasks of one backlog that run one after the other in a slot of a new machine.
-constexpr double kWaveTimeShare = 0.5; // of the time left until the target
+constexpr double kWaveTimeShare = 0.5;   // of the time left until the target; bounds `Demand::waves`
 constexpr double kMinWaves = 2.0;
 constexpr double kMaxWaves = 6.0;
 constexpr double kMinEstimateS = 8.0;           // of a task's run time
 constexpr double kMinRemainingS = 5.0;          // of a running task
-constexpr double kUnresolvedStartS = 0.5;       // assumed wait of a job whose dependencies are being looked up
-constexpr double kBootCostPerS = 0.003;         // share of the price added per second of boot time
-constexpr double kMinShortageTasks = 0.5;       // running machines absorb a smaller shortage
-constexpr double kSlotsWithoutCpuRequest = 100; // per machine, for tasks that request no CPU
+constexpr double kUnresolvedStartS = 0.5;       // while dependencies are being looked up
+constexpr double kBootCostPerS = 0.003;         // share of the price
+constexpr double kMinShortageTasks = 0.5;       // smaller ones are ignored
+constexpr double kSlotsWithoutCpuRequest = 100; // per machine
 constexpr double kRoundingTolerance = 1e-6;
 
 constexpr double kInfinite = std::numeric_limits<double>::infinity();
 
-// A machine that is requested or booting, with the resources not yet set aside for jobs planned earlier.
+// A requested or booting machine, with the resources left by jobs planned earlier.
 struct BootingMachine {
   Resources free;
   MachineKind kind;
 };
 
-// Running machines that are equal for planning, with the CPU seconds that their work still needs.
+// Equivalent running machines, with the CPU seconds that their work still needs.
 struct MachineGroup {
   PlacementMachine machine; // a representative
   double count = 0;
@@ -49,21 +48,20 @@
   auto operator<=>(const MachineGroupKey &) const = default;
 };
 
-// A job's demand for machines.
 struct Demand {
   JobIndex job_index;
   PlacementJob job;
   double starts_in_s = 0; // 0: it can start now
   double estimate_s = 0;  // run time of a task
-  double target_s = 0;    // completion target, counted from when the job could start
+  double target_s = 0;    // completion target, from when the job could start
   double left_s = 0;      // until the target
   bool low_priority = false;
-  // A gang needs all its slots at the same time, so no slot serves two of its tasks. Only gangs that have waited long
-  // are planned so: the looser estimate costs less and usually suffices.
+  // Needs all its slots at the same time. Set only for gangs that have waited long: the looser estimate costs less and
+  // usually suffices.
   bool simultaneous = false;
   bool same_zone = false;    // simultaneous, and all tasks in one zone
-  double waves = 1;          // tasks that one slot runs, one after the other
-  double unserved_tasks = 0; // tasks without planned capacity
+  double waves = 1;          // tasks that a slot runs one after the other
+  double unserved_tasks = 0; // without planned capacity
 };
 
 struct Choice {
@@ -72,7 +70,6 @@
   double cost = kInfinite;
 };
 
-// Computes one plan.
 class PlanBuilder {
 public:
   PlanBuilder(const AutoscalingContext &context, const ScaleOut &scale_out);
@@ -109,8 +106,7 @@
   const ScaleOut &scale_out_;
   std::vector<BootingMachine> booting_;
   std::vector<PlacementMachine> running_;
-  // Remaining CPU seconds of work on each machine, by position in `running_`. Used for jobs above low priority; those
-  // of low priority use the sums in `groups_`.
+  // By position in `running_`; for jobs above low priority. Those of low priority use the sums in `groups_`.
   std::vector<double> busy_cpu_s_;
   std::map<MachineGroupKey, MachineGroup> groups_;
   std::vector<double> starts_in_s_; // by job index
@@ -146,7 +142,6 @@
 void PlanBuilder::list_running() {
   running_ = context_.scheduler.snapshot().schedulable_machines([this](MachineIndex machine_index) {
     const Machine &machine = context_.workers[machine_index];
-    // An available machine is verified within a heartbeat or two.
     const bool soon_verified = machine.available() && !machine.downlink.verified() && !machine.downlink.lost();
     return soon_verified || context_.failure_detector.must_not_replace(machine_index);
   });
@@ -178,7 +173,7 @@
   return order;
 }
 
-// Estimates in how many seconds each job can start (0: now), from the run time estimates along its critical path.
+// Estimates when each job can start (0: now), from its critical path.
 std::vector<double> PlanBuilder::start_delays() const {
   const Dependencies &dependencies = context_.dependencies;
   auto path = dependencies.critical_path([&](JobIndex job_index) {
@@ -207,8 +202,7 @@
   if (!queue.deferrable(job_index) || queue.starved(job_index))
     plan_.waiting_cpus += placement->pending * placement->need.cpus;
   Demand demand = demand_for(job_index, std::move(*placement));
-  // Booting machines serve the demand first. A demand bound to one zone uses those of the chosen zone only
-  // (`add_request`).
+  // A demand for one zone uses booting machines only after a zone is chosen (`add_request`).
   for (auto &machine : booting_)
     if (!demand.same_zone && allowed_on(demand, machine.kind)) assign_to_booting(demand, machine);
   if (demand.unserved_tasks < 1) return;
@@ -217,11 +211,11 @@
   if (choice.machines > 0) add_request(demand, choice);
 }
 
-// Returns no value for a job that no machines are requested for.
+// Returns no value if no machines are to be requested for the job.
 std::optional<PlacementJob> PlanBuilder::placement_for(JobIndex job_index) const {
   const Job &job = context_.jobs[job_index];
   PlacementJob placement = context_.scheduler.queue().job(job_index);
-  // Requests machines ahead for a job whose dependencies complete within a boot time.
+  // Requests machines while the last dependencies still run.
   const double starts_in_s = starts_in_s_[job_index.position()];
   const bool starts_soon = starts_in_s > 0 && starts_in_s <= max_boot_s_;
   if (placement.limit == 0 && starts_soon && !job.cancelled && !job.ending && job.team >= 0)
@@ -323,9 +317,8 @@
   }
 }
 
-// Returns how long the job should wait for running machines before this type is requested. That is the
-// type's boot time, plus the run time of a task for a low-priority job. For the latter, expensive types are requested
-// only if they can save a target that queueing would miss, or if the job would otherwise be very late.
+// Returns how long the job may queue for running machines before this type is requested. Low-priority jobs get
+// expensive types only to meet a target that queueing would miss, or if they would otherwise be very late.
 double PlanBuilder::horizon_s(const Demand &demand, const MachineType &type, double task_price, double cheapest) const {
   const double horizon_s = type.boot_s + (demand.low_priority ? demand.estimate_s : 0.0);
   if (!demand.low_priority || task_price <= kExpensiveRatio * cheapest) return horizon_s;
@@ -334,14 +327,13 @@
   return std::max(horizon_s, kQueueSlackShare * patience_s);
 }
 
-// Returns how many tasks neither running nor booting machines can serve within the horizon.
+// Returns how many tasks the present machines can't serve within the horizon.
 double PlanBuilder::shortage(const Demand &demand, int zone, double horizon_s) const {
   const double served = served_by_running(demand, zone, horizon_s);
   const double booting_slots = demand.same_zone ? booting_slots_in_zone(demand, zone) : 0;
   return demand.unserved_tasks - booting_slots - (demand.low_priority ? served : std::floor(served));
 }
 
-// Returns the slots for the job's tasks on requested and booting machines of a zone.
 double PlanBuilder::booting_slots_in_zone(const Demand &demand, int zone) const {
   double slots = 0;
   for (BootingMachine machine : booting_) {
@@ -354,7 +346,6 @@
   return slots;
 }
 
-// Returns how many tasks the running machines can serve within the horizon.
 double PlanBuilder::served_by_running(const Demand &demand, int zone, double horizon_s) const {
   double tasks = 0;
   if (demand.low_priority) {
@@ -379,8 +370,7 @@
   return demand.simultaneous ? std::min(tasks, slots) : tasks;
 }
 
-// Adds the job's work to the running machines that may take it, in proportion to their CPUs, so that jobs planned later
-// don't count the same capacity.
+// Spreads the job's work over the running machines, so that jobs planned later don't count the same capacity.
 void PlanBuilder::add_work_to_running(const Demand &demand) {
   const PlacementJob &job = demand.job;
   const auto can_run = [&job](const PlacementMachine &machine) {
--- a/src/core/autoscaling/scale_in.cpp
+++ b/src/core/autoscaling/scale_in.cpp
@@ -15,12 +15,11 @@
 constexpr double kMassLossTimeoutS = 30.0; // beyond the lease, while more machines are lost than available
 constexpr double kReclaimMarginS = 1.0;
 constexpr double kDownlinkLossTimeoutS = 15.0; // beyond the lease
-// Fewer downlink losses than this, or up to a third of the fleet, are blamed on the machines, more on the network.
-constexpr int kMassDownlinkLosses = 3;
-constexpr double kReservedHoldBoots = 1.5; // boot times that an idle machine reserved for large tasks is kept
-constexpr double kReservedWithinS = 300.0; // since the last job with large tasks
+constexpr int kMassDownlinkLosses = 3;         // minimum that points at the network
+constexpr double kReservedHoldBoots = 1.5;     // for types reserved for large tasks
+constexpr double kReservedWithinS = 300.0;
 constexpr double kReservedWithinForDrainS = 600.0;
-constexpr double kDrainingHoldS = 3.0; // before an idle draining machine is returned
+constexpr double kDrainingHoldS = 3.0;
 constexpr double kChargeMarginS = 2.0;
 constexpr double kNeverS = 1e9;                  // quarantined machines are kept
 constexpr double kDrainTargetUtilization = 0.85; // of the fleet that remains after a drain
@@ -77,7 +76,7 @@
          now - machine.rented_at > kBootTimeoutFactor * boot_s + kBootTimeoutMarginS;
 }
 
-// Waits longer when most machines are lost at once, as then the network is the likely cause.
+// Waits longer if most machines are lost, which points at the network.
 bool ScaleIn::lost_for_good(const Machine &machine, const FleetCounts &fleet) const {
   if (!machine.heartbeat.received() || !machine.lost()) return false;
   const double silent_s = context_.runtime.now() - machine.heartbeat.last_accepted_at;
@@ -90,8 +89,7 @@
          now - machine.heartbeat.last_accepted_at > context_.settings.heartbeat_interval_s * 1.5 + 1;
 }
 
-// Ignores idle time during outages, so that machines that booted or became idle meanwhile are not returned when one
-// ends.
+// Ignores idle time during outages, so that machines aren't returned in bulk when one ends.
 bool ScaleIn::idle_too_long(const Machine &machine, double boot_s) const {
   if (!machine.available() || !machine.allocations.empty() || machine.idle_since < 0) return false;
   const double now = context_.runtime.now();
@@ -112,8 +110,8 @@
   return machine.draining() ? std::min(hold_s, kDrainingHoldS) : hold_s;
 }
 
-// Returns whether the machine should be replaced because no responses reach it. Waits until its lease has expired, so
-// that its tasks have ended, and longer if many machines are affected, as then the network is the likely cause.
+// Waits until the lease has expired, so that the machine's tasks have ended, and longer if many machines are affected,
+// which points at the network.
 bool ScaleIn::downlink_lost_too_long(const Machine &machine, double boot_s, const FleetCounts &fleet) const {
   if (!machine.downlink.lost()) return false;
   const bool few_affected = fleet.downlink_lost < kMassDownlinkLosses || 3 * fleet.downlink_lost <= fleet.available;
--- a/src/core/scheduling/fleet_snapshot.cpp
+++ b/src/core/scheduling/fleet_snapshot.cpp
@@ -6,7 +6,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kTypeReservationS = 600.0; // since the last job with large tasks for the type
+constexpr double kTypeReservationS = 600.0;
 } // namespace
 
 std::vector<PlacementMachine> FleetSnapshot::schedulable_machines(const IncludeUnreachable &include_unreachable) const {
@@ -25,7 +25,7 @@
   const Machine *machine = context_.workers.find(machine_index);
   if (!machine || !in_service(*machine) || !reachable(*machine)) return std::nullopt;
   PlacementMachine result = placement_machine(machine_index, *machine, context_.catalog.cheapest_cpu_price());
-  // `schedulable_machines` decides which reserved machines are open to small tasks; its last decision holds here.
+  // Keeps the last decision of `release_surplus_reserved`.
   if (const auto *nomination = nominations_.find(machine_index))
     result.reserved_for_large &= !nomination->open_to_small;
   return result;
@@ -83,8 +83,8 @@
                      [this](const Allocation &allocation) { return allocation.completed() || is_small(allocation); });
 }
 
-// Keeps, for each type, one of the reserved machines without large tasks reserved: the one with the most free CPUs.
-// Opens the others to small tasks, so that they don't stand idle.
+// Of the reserved machines without large tasks, keeps only the one with the most free CPUs reserved for each type, so
+// that the others don't stand idle.
 void FleetSnapshot::release_surplus_reserved(std::vector<PlacementMachine> &machines) const {
   std::unordered_map<int, PlacementMachine *> reserved; // by type
   for (auto &machine : machines) {
--- a/src/core/scheduling/placement.cpp
+++ b/src/core/scheduling/placement.cpp
@@ -62,16 +62,16 @@
   bool complete = false;     // places all pending tasks
 };
 
-// A job's plan, cached between commits. During a round machines only fill up, so a plan stays optimal while its own
-// machines are unchanged, and its value bounds the value of any later plan.
+// A job's plan, cached between commits. Machines only fill up during a round, so a plan stays optimal while its own
+// machines are unchanged.
 struct CachedPlan {
   std::size_t job = 0;
   Plan plan;
   double value = 0;
-  double bound = 0;            // upper bound on the value of any later plan
+  double bound = 0;            // on the value of any later plan
   std::size_t computed_at = 0; // commit number
-  std::size_t verified_at = 0; // last commit number at which the plan was known to be optimal
-  bool outdated = false;       // another machine may have become better for the job
+  std::size_t verified_at = 0; // last commit number at which it was optimal
+  bool outdated = false;       // another machine may be better now
 
   double best_possible_value(std::size_t commit) const { return verified_at == commit ? value : bound; }
 };
@@ -113,11 +113,10 @@
   std::vector<Resources> team_headroom_;
   const PlacementOptions &options_;
   std::vector<Reservation> *reserved_;
-  // With a full fleet, which is usual when many tasks wait, only the few open machines are searched.
   Resources least_need_;                // minimum over all jobs, for each resource
-  std::vector<int> open_machines_;      // positions, ascending; includes every machine that fits `least_need_`
-  std::vector<int> zones_;              // of all machines, without duplicates
-  std::vector<std::size_t> changed_at_; // by machine position: number of the last commit that changed it
+  std::vector<int> open_machines_;      // ascending; all that fit `least_need_`, to skip full machines
+  std::vector<int> zones_;              // without duplicates
+  std::vector<std::size_t> changed_at_; // by machine position: last commit number
   std::size_t commit_number_ = 1;
   std::vector<Assignment> assignments_;
 };
@@ -238,8 +237,8 @@
   return best;
 }
 
-// Gives each task the machine with the highest score. Placing a task changes the score of its machine only, so a heap
-// replaces a full search; on equal scores the lower position wins. `only_zone`: -1 for any.
+// Gives each task the machine with the highest score, on a tie the lower position. A placement changes the score of its
+// machine only, so a heap suffices. `only_zone`: -1 for any.
 Plan Round::greedy_plan(const PlacementJob &job, std::uint32_t tasks, int only_zone) {
   Plan plan;
   const bool spread = job.max_per_zone >= 0;
@@ -332,7 +331,7 @@
     std::erase_if(cached_plans,
                   [this](const CachedPlan &cached) { return !has_room(*jobs_[cached.job], machines_[0]); });
   if (placed.image < 0) return;
-  // The machine now holds the image, which makes it better for other jobs that use the image.
+  // The cached image makes the machine better for other jobs that use it.
   for (auto &cached : cached_plans) {
     if (jobs_[cached.job]->image != placed.image) continue;
     cached.outdated = true;
@@ -347,8 +346,7 @@
   std::fill(changed_at_.begin(), changed_at_.end(), commit_number_);
 }
 
-// Reserves the machines with the most free CPUs that could hold the job's tasks, so that the job isn't starved by
-// smaller ones.
+// Reserves the suitable machines with the most free CPUs, so that smaller jobs don't starve this one.
 void Round::reserve(const PlacementJob &job) {
   std::vector<std::pair<double, int>> most_free; // -share of free CPUs, position
   for (int i = 0; i < static_cast<int>(machines_.size()); ++i) {
--- a/src/core/scheduling/placement_queue.cpp
+++ b/src/core/scheduling/placement_queue.cpp
@@ -9,7 +9,7 @@
 namespace {
 constexpr double kStarvedAfterS = 60.0;
 constexpr int kUnknownZone = 1'000'000; // matches no machine
-constexpr double kMaxMissedRounds = 4;  // a job missing for more rounds counts as new in the queue
+constexpr double kMaxMissedRounds = 4;  // then the job counts as new
 } // namespace
 
 double PlacementQueue::age_s(JobIndex job_index) const {
@@ -103,13 +103,12 @@
     const bool backing_off = context_.runtime.now() < context_.failure_attribution.retry_at(job_index);
     if (backing_off || job.placed > 0 || job.unaccounted > 0) return true;
   }
-  // Unaccounted tasks may still run on unknown machines, so their zones are unknown and a gang may be running.
+  // Unaccounted tasks may still run on unknown machines and zones.
   const bool gang = job.spec.shape == Shape::Gang;
   if (job.unaccounted > 0 && (job.spec.one_zone || job.spec.spread || gang)) return true;
   return gang && job.placed > 0 && job.gang_closed; // the previous attempt must end first
 }
 
-// Assumes that the job's tasks run in as many waves as they need on all available CPUs.
 bool PlacementQueue::would_finish_in_time(const Job &job, JobIndex job_index, const PlacementJob &placement) const {
   const auto deadline = context_.dependencies.deadline(job_index);
   if (!context_.objectives.completion_target(job.spec, deadline)) return false;
@@ -118,8 +117,8 @@
          context_.objectives.achievable_target(job.spec, deadline, age_s(job_index));
 }
 
-// Guards against starvation: price limits and reservations for large tasks delay a job but must not keep it from free
-// resources indefinitely. Scale out uses `job` instead, as only capacity that exists anyway is free of charge.
+// Guards against price limits and reservations keeping a job from free resources indefinitely. Scale out ignores this,
+// as only capacity that exists anyway is free of charge.
 PlacementJob PlacementQueue::job_relaxed_if_starved(JobIndex job_index) const {
   PlacementJob result = job(job_index);
   if (!starved(job_index)) return result;
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -7,9 +7,9 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kImageFetchWeight = 2.0; // an avoided CPU second of image fetch, in CPU seconds of lost work
+constexpr double kImageFetchWeight = 2.0; // lost CPU seconds per CPU second of image fetch saved
 constexpr double kNominationS = 15.0;
-constexpr double kUnconfirmedRunS = 0.1; // assumed run time of a task that no heartbeat has reported as running
+constexpr double kUnconfirmedRunS = 0.1; // of a task not reported as running yet
 } // namespace
 
 // A machine on which victims could be stopped for a job.
@@ -21,12 +21,12 @@
   };
   std::size_t machine = 0; // position in the snapshot
   Resources free;
-  std::vector<Victim> victims;          // possible victims, the least work lost first
-  bool victims_exit_immediately = true; // every task that is stopping or may be stopped exits without a checkpoint
-  std::uint32_t slots = 0;              // tasks of the job that fit once the chosen victims are gone
-  std::size_t victim_count = 0;         // the chosen victims: this many from the front
-  std::size_t examined_count = 0;       // this many from the front make room for one more task
-  double cost = 0;                      // CPU seconds of work lost for that task, less the image fetch saved
+  std::vector<Victim> victims;          // possible ones, the least work lost first
+  bool victims_exit_immediately = true; // none saves a checkpoint
+  std::uint32_t slots = 0;              // for the job's tasks, once the chosen victims are gone
+  std::size_t victim_count = 0;         // chosen, from the front
+  std::size_t examined_count = 0;       // would make room for one more task
+  double cost = 0;                      // of that task: lost CPU seconds, less the image fetch saved
 
   bool make_room(const Resources &need) {
     while (!need.fits(free)) {
@@ -71,15 +71,13 @@
   std::sort(
       candidate.victims.begin(), candidate.victims.end(),
       [](const Candidate::Victim &left, const Candidate::Victim &right) { return left.lost_cpu_s < right.lost_cpu_s; });
-  // A cached image saves the fetch, during which the resources would be idle.
   const auto &images = machine.images;
   if (job.image >= 0 && std::find(images.begin(), images.end(), job.image) != images.end())
     candidate.cost -= kImageFetchWeight * job.need.cpus * job.image_gb / std::max(0.01, machine.fetch_gb_per_s);
   return candidate;
 }
 
-// Chooses the victims that lose the least work for as many of the job's tasks as possible; for a gang all or none.
-// `zone`: -1 for any.
+// Makes room for as many of the job's tasks as possible, for a gang all or none. `zone`: -1 for any.
 Preemption::Candidates Preemption::cheapest_candidates(const PlacementJob &job,
                                                        const std::vector<PlacementMachine> &machines, int zone) const {
   Candidates candidates;
@@ -113,7 +111,6 @@
   return candidates;
 }
 
-// For a job that must be in one zone, chooses the zone where the least work is lost.
 Preemption::Candidates Preemption::best_candidates(const PlacementJob &job,
                                                    const std::vector<PlacementMachine> &machines) const {
   if (!job.one_zone) return cheapest_candidates(job, machines, -1);
@@ -177,8 +174,8 @@
   }
 }
 
-// Victims without checkpoints exit immediately, so one response can both stop them and start their successors. Victims
-// count against their team's quota until they are gone, so a job of a team with a limit must wait for that.
+// Victims without checkpoints exit immediately, so one response can stop them and start their successors. A team with a
+// limit must wait, as victims count against quotas until they are gone.
 bool Preemption::can_start_immediately(const PlacementJob &job, const Candidates &candidates) const {
   const Team &team = context_.quotas.here(job.team);
   if (job.max_per_zone >= 0 || team.cpus_max > 0 || team.gpus_max > 0) return false;
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -9,7 +9,7 @@
 namespace {
 constexpr double kRoundIntervalS = 0.25;
 constexpr double kFirstRoundDelayS = 0.5; // after the start of a term
-constexpr double kReservationS = 1.0;     // for a job that has waited too long; renewed by each full round
+constexpr double kReservationS = 1.0;     // renewed by each full round
 constexpr double kPrerecordIntervalS = 0.25;
 constexpr double kPrerecordCpuShare = 0.15; // of the fleet's CPUs
 constexpr std::uint32_t kMinPrerecordedTasks = 4;
@@ -130,7 +130,7 @@
                     {machine_index});
 }
 
-// Updates a job from the last full round. Returns false if none of its tasks may be placed now.
+// Returns false if none of the job's tasks may be placed now.
 bool Scheduler::refresh(QueuedJob &queued) const {
   PlacementJob &placement = queued.placement;
   const JobIndex job_index = placement.index;
@@ -149,8 +149,7 @@
   return placement.limit > 0;
 }
 
-// Sets how many tasks of each job are recorded as started before they are placed: as many as the fleet may start within
-// seconds, assigned in the probable order of placement.
+// Has tasks recorded as started ahead of their placement: as many as the fleet may start within seconds.
 void Scheduler::prerecord_tasks() {
   next_prerecord_ = context_.runtime.now() + kPrerecordIntervalS;
   std::vector<std::tuple<int, bool, double, JobIndex>> order; // -priority, late, submission, job
--- a/src/core/scheduling/task_placer.cpp
+++ b/src/core/scheduling/task_placer.cpp
@@ -3,7 +3,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr int kAttemptCounterBits = 20; // the higher bits of an attempt number hold the term
+constexpr int kAttemptCounterBits = 20; // the term is above them
 } // namespace
 
 std::uint32_t next_pending_task(const Job &job, std::uint32_t task_index) {
