--- a/include/loftrouter/core/jobs/job_table.hpp
+++ b/include/loftrouter/core/jobs/job_table.hpp
@@ -55,7 +55,7 @@
   std::uint32_t placed = 0;
   std::uint32_t unaccounted = 0;
   std::uint32_t delegated = 0;
-  std::vector<int> zone_used; // placed tasks, by zone
+  std::vector<int> placed_by_zone; // placed tasks, by zone
 
   std::uint64_t gang_attempt = 0; // the current attempt of a gang
   bool gang_closed = false;       // that attempt takes no replacements any more
--- a/include/loftrouter/core/scheduling/placement.hpp
+++ b/include/loftrouter/core/scheduling/placement.hpp
@@ -38,7 +38,7 @@
   bool gang = false;       // places all of `pending` or nothing
   bool one_zone = false;
   int max_per_zone = -1;                      // spread constraint; -1: none
-  std::vector<int> zone_used;                 // already placed tasks, by zone index
+  std::vector<int> placed_by_zone;            // already placed tasks, by zone index
   std::vector<MachineIndex> avoided_machines; // where its tasks have failed
   bool small = false;                         // avoids reserved machines
   double max_price_premium = 1;               // of on-demand machines
--- a/include/loftrouter/core/scheduling/placement_queue.hpp
+++ b/include/loftrouter/core/scheduling/placement_queue.hpp
@@ -15,8 +15,8 @@
 public:
   explicit PlacementQueue(const SchedulingContext &context) : context_(context) {}
 
-  PlacementJob job(JobIndex job_index) const;
-  // Like `job`, but a starved job may use expensive and reserved machines too.
+  PlacementJob placement_job(JobIndex job_index) const;
+  // Like `placement_job`, but a starved job may use expensive and reserved machines too.
   PlacementJob job_relaxed_if_starved(JobIndex job_index) const;
   // Oldest first, so that a team's guaranteed quota covers its oldest jobs.
   std::vector<JobIndex> waiting_jobs() const;
--- a/include/loftrouter/core/workers/machine.hpp
+++ b/include/loftrouter/core/workers/machine.hpp
@@ -100,7 +100,7 @@
   Resources size;
 
   double known_since = 0;
-  double rented_at = 0;
+  double launched_at = 0;
   double idle_since = -1;                             // -1: not idle, or not known to be
   std::optional<double> reclaim_at;                   // the cloud's notice: when it takes the spot instance back
   std::optional<wire::MachineAdminState> admin_state; // by an operator: takes no new tasks
--- a/include/loftrouter/core/workers/worker_registry.hpp
+++ b/include/loftrouter/core/workers/worker_registry.hpp
@@ -62,10 +62,10 @@
 
   // The index of the machine of this name, which is added if it is not known.
   MachineIndex find_or_add(const std::string &name, const std::string &type, const std::string &zone, bool spot);
-  void set_rented_at(MachineIndex machine_index, double rented_at); // monotonic
-  void mark_verified(MachineIndex machine_index);                   // rented by this leader
-  void mark_returning(MachineIndex machine_index);                  // takes no new tasks from here on
-  void set_draining(MachineIndex machine_index, bool draining);     // without effect on one that is returning
+  void set_launched_at(MachineIndex machine_index, double launched_at); // monotonic
+  void mark_verified(MachineIndex machine_index);                       // rented by this leader
+  void mark_returning(MachineIndex machine_index);                      // takes no new tasks from here on
+  void set_draining(MachineIndex machine_index, bool draining);         // without effect on one that is returning
   void mark_listed_running(MachineIndex machine_index);
   void mark_listed_failed(MachineIndex machine_index); // it stopped on its own: lost, and to be given back
   void remove(MachineIndex machine_index);             // the cloud has taken it back
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -127,7 +127,7 @@
   const Job &n = jobs_[job_index];
   int up = 0, starting = 0;
   bool refused = true;
-  PlacementJob job = scheduler_.queue().job(job_index);
+  PlacementJob job = scheduler_.queue().placement_job(job_index);
   job.avoided_machines.clear();
   const auto &types = catalog_.types();
   for (std::size_t t = 0; t < types.size(); ++t)
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -93,7 +93,7 @@
   }
   const bool is_new = !workers.index(listed.name).valid();
   const MachineIndex machine_index = workers.find_or_add(listed.name, listed.type, listed.zone, listed.spot);
-  if (is_new) workers.set_rented_at(machine_index, now - listed.age_s);
+  if (is_new) workers.set_launched_at(machine_index, now - listed.age_s);
   if (listed.status == MachineStatus::Running) workers.mark_listed_running(machine_index);
   if (listed.status == MachineStatus::Failed) workers.mark_listed_failed(machine_index);
 }
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -214,7 +214,7 @@
 // Returns no value if no machines are to be requested for the job.
 std::optional<PlacementJob> PlanBuilder::placement_for(JobIndex job_index) const {
   const Job &job = context_.jobs[job_index];
-  PlacementJob placement = context_.scheduler.queue().job(job_index);
+  PlacementJob placement = context_.scheduler.queue().placement_job(job_index);
   // Requests machines while the last dependencies still run.
   const double starts_in_s = starts_in_s_[job_index.position()];
   const bool starts_soon = starts_in_s > 0 && starts_in_s <= max_boot_s_;
--- a/src/core/autoscaling/scale_in.cpp
+++ b/src/core/autoscaling/scale_in.cpp
@@ -73,7 +73,7 @@
   if (machine.heartbeat.received()) return false;
   const double now = context_.runtime.now();
   return now - machine.known_since > kBootTimeoutMarginS &&
-         now - machine.rented_at > kBootTimeoutFactor * boot_s + kBootTimeoutMarginS;
+         now - machine.launched_at > kBootTimeoutFactor * boot_s + kBootTimeoutMarginS;
 }
 
 // Waits longer if most machines are lost, which points at the network.
@@ -93,7 +93,7 @@
 bool ScaleIn::idle_too_long(const Machine &machine, double boot_s) const {
   if (!machine.available() || !machine.allocations.empty() || machine.idle_since < 0) return false;
   const double now = context_.runtime.now();
-  const bool charged = now - machine.rented_at >= kMinimumChargeS - kChargeMarginS;
+  const bool charged = now - machine.launched_at >= kMinimumChargeS - kChargeMarginS;
   if (!charged && !machine.admin_state) return false;
   return now - std::max(machine.idle_since, scheduling_paused_until_) > idle_hold_s(machine, boot_s);
 }
@@ -145,7 +145,7 @@
       total_cpus -= allocation.need.cpus;
     }
     const double price = InstanceTypeCatalog::cpu_price(context_.catalog.type(machine.type), machine.spot);
-    const bool charged = context_.runtime.now() - machine.rented_at >= kMinimumChargeS;
+    const bool charged = context_.runtime.now() - machine.launched_at >= kMinimumChargeS;
     if (charged && price >= kExpensiveRatio * cheapest_cpu_price)
       candidates.push_back({price, machine.used.cpus / std::max(0.01, machine.size.cpus), machine_index, &machine});
     else
--- a/src/core/jobs/job_table.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -183,11 +183,11 @@
                          int zone) {
   Job &job = at(job_index);
   Task &task = job.tasks[task_index];
-  if (task.state == TaskState::Placed) --grown(job.zone_used, task.zone);
+  if (task.state == TaskState::Placed) --grown(job.placed_by_zone, task.zone);
   if (std::uint32_t *count = count_of(job, task.state)) --*count;
   task = {state, machine, zone};
   if (std::uint32_t *count = count_of(job, state)) ++*count;
-  if (state == TaskState::Placed) ++grown(job.zone_used, zone);
+  if (state == TaskState::Placed) ++grown(job.placed_by_zone, zone);
   if (state == TaskState::Pending) ++arrivals_;
   assert(job.done + job.placed + job.unaccounted + job.delegated <= job.spec.tasks);
 }
--- a/src/core/scheduling/placement.cpp
+++ b/src/core/scheduling/placement.cpp
@@ -225,8 +225,8 @@
 // Uses the zone of the tasks already placed, otherwise the one that takes most tasks.
 Plan Round::one_zone_plan(const PlacementJob &job, std::uint32_t tasks) {
   int used_zone = -1;
-  for (std::size_t zone = 0; zone < job.zone_used.size(); ++zone)
-    if (job.zone_used[zone] > 0) used_zone = static_cast<int>(zone);
+  for (std::size_t zone = 0; zone < job.placed_by_zone.size(); ++zone)
+    if (job.placed_by_zone[zone] > 0) used_zone = static_cast<int>(zone);
   if (used_zone >= 0) return greedy_plan(job, tasks, used_zone);
   Plan best;
   for (int zone : zones_) {
@@ -242,8 +242,8 @@
 Plan Round::greedy_plan(const PlacementJob &job, std::uint32_t tasks, int only_zone) {
   Plan plan;
   const bool spread = job.max_per_zone >= 0;
-  std::vector<int> zone_used;
-  if (spread) zone_used = job.zone_used;
+  std::vector<int> placed_by_zone;
+  if (spread) placed_by_zone = job.placed_by_zone;
   std::vector<std::pair<double, int>> heap; // score, -position
   for (int position : open_machines_) {
     const PlacementMachine &candidate = machine(position);
@@ -256,9 +256,10 @@
     const auto [score, negative_position] = heap.back();
     heap.pop_back();
     PlacementMachine &best = machine(-negative_position);
-    if (spread && grown(zone_used, best.zone) >= job.max_per_zone) continue; // drops the machine: the zone stays full
+    if (spread && grown(placed_by_zone, best.zone) >= job.max_per_zone)
+      continue; // drops the machine: the zone stays full
     add_tasks(job, best, 1);
-    if (spread) ++grown(zone_used, best.zone);
+    if (spread) ++grown(placed_by_zone, best.zone);
     if (plan.machines.empty()) plan.first_score = score;
     plan.machines.push_back(-negative_position);
     plan.score += score;
--- a/src/core/scheduling/placement_queue.cpp
+++ b/src/core/scheduling/placement_queue.cpp
@@ -54,7 +54,7 @@
   grown(waits_, job_index).since = context_.runtime.now();
 }
 
-PlacementJob PlacementQueue::job(JobIndex job_index) const {
+PlacementJob PlacementQueue::placement_job(JobIndex job_index) const {
   const Job &job = context_.jobs[job_index];
   const JobSpec &spec = job.spec;
   const auto &types = context_.catalog.types();
@@ -76,7 +76,7 @@
   result.gang = spec.shape == Shape::Gang;
   result.one_zone = spec.one_zone;
   if (spec.spread) result.max_per_zone = static_cast<int>((spec.tasks + 1) / 2);
-  result.zone_used = job.zone_used;
+  result.placed_by_zone = job.placed_by_zone;
   result.avoided_machines = context_.failure_attribution.avoided_machines(job_index);
   result.small = is_small(spec, spec.urgency); // the job's own priority, not that of its dependents
   // Deferrable jobs use cheap machines only.
@@ -120,7 +120,7 @@
 // Guards against price limits and reservations keeping a job from free resources indefinitely. Scale out ignores this,
 // as only capacity that exists anyway is free of charge.
 PlacementJob PlacementQueue::job_relaxed_if_starved(JobIndex job_index) const {
-  PlacementJob result = job(job_index);
+  PlacementJob result = placement_job(job_index);
   if (!starved(job_index)) return result;
   result.max_price_premium = 1;
   result.small = false;
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -117,8 +117,8 @@
   std::vector<int> zones;
   for (const auto &machine : machines)
     if (std::find(zones.begin(), zones.end(), machine.zone) == zones.end()) zones.push_back(machine.zone);
-  for (std::size_t zone = 0; zone < job.zone_used.size(); ++zone)
-    if (job.zone_used[zone] > 0) zones = {static_cast<int>(zone)};
+  for (std::size_t zone = 0; zone < job.placed_by_zone.size(); ++zone)
+    if (job.placed_by_zone[zone] > 0) zones = {static_cast<int>(zone)};
   Candidates best;
   double best_cost = 0;
   for (int zone : zones) {
@@ -149,7 +149,7 @@
 
 void Preemption::make_room_for(JobIndex job_index, std::vector<PlacementMachine> &machines) {
   const Job &job = context_.jobs[job_index];
-  const PlacementJob placement = queue_.job(job_index);
+  const PlacementJob placement = queue_.placement_job(job_index);
   const Candidates candidates = best_candidates(placement, machines);
   if (candidates.empty()) return;
   const bool start_immediately = can_start_immediately(placement, candidates);
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -156,8 +156,8 @@
   context_.jobs.each([&](JobIndex job_index, const Job &job) {
     if (job.cancelled || job.spec.shape == Shape::Gang || job.pending() == 0) return;
     if (!context_.dependencies.ready(job_index)) return;
-    order.emplace_back(-static_cast<int>(context_.dependencies.urgency(job_index)), !queue_.job(job_index).in_time,
-                       job.submit_wall, job_index);
+    order.emplace_back(-static_cast<int>(context_.dependencies.urgency(job_index)),
+                       !queue_.placement_job(job_index).in_time, job.submit_wall, job_index);
   });
   std::sort(order.begin(), order.end());
   double left_cpus = kPrerecordCpuShare * queue_.available_cpus();
--- a/src/core/workers/worker_registry.cpp
+++ b/src/core/workers/worker_registry.cpp
@@ -90,15 +90,15 @@
   machine.zone = catalog_.find_or_add_zone(zone);
   machine.spot = spot;
   machine.known_since = runtime_.now();
-  machine.rented_at = runtime_.now();
+  machine.launched_at = runtime_.now();
   machine.admin_state = operators_.order(name);
   if (machine.type >= 0) machine.size = catalog_.type(machine.type).size;
   index_[name] = machine_index;
   return machine_index;
 }
 
-void WorkerRegistry::set_rented_at(MachineIndex machine_index, double rented_at) {
-  at(machine_index).rented_at = rented_at;
+void WorkerRegistry::set_launched_at(MachineIndex machine_index, double launched_at) {
+  at(machine_index).launched_at = launched_at;
 }
 
 void WorkerRegistry::mark_verified(MachineIndex machine_index) {
@@ -145,7 +145,7 @@
 void WorkerRegistry::remove(MachineIndex machine_index) {
   mark_lost(machine_index, "given back");
   const Machine &machine = at(machine_index);
-  const double lived_s = runtime_.now() - machine.rented_at;
+  const double lived_s = runtime_.now() - machine.launched_at;
   const double up_s = machine.heartbeat.received() ? runtime_.now() - machine.heartbeat.first_accepted_at : 0.0;
   const double used_share =
       lived_s > 0 && machine.size.cpus > 0 ? machine.busy_cpu_s / lived_s / machine.size.cpus : 0.0;
