--- a/include/loftrouter/core/autoscaling/autoscaling_context.hpp
+++ b/include/loftrouter/core/autoscaling/autoscaling_context.hpp
@@ -1,4 +1,4 @@
-// The parts of the core that autoscaling is made from. Owns nothing: all of them outlive the autoscaler.
+// References to components that autoscaling uses; all outlive the autoscaler.
 #pragma once
 
 #include "loftrouter/core/liveness/failure_detector.hpp"
@@ -21,7 +21,6 @@
   const JobObjectives &objectives;
 };
 
-// What a machine costs at least, however soon it is returned, by the cloud's protocol: seconds.
-constexpr double kMinimumCharge = 60.0;
+constexpr double kMinimumChargeS = 60.0; // minimum billed per machine
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/scheduling/nominations.hpp
+++ b/include/loftrouter/core/scheduling/nominations.hpp
@@ -1,7 +1,5 @@
-// Machines that are kept free for a job: emptied by preemption, or kept for one that has waited too long.
-//
-// Owns them, by machine. Guards against a machine being refilled with small work while the last tasks on it are being
-// stopped. They run out by themselves.
+// Records machines nominated for one job: cleared by preemption, or kept for a job that has waited too long.
+// Nominations expire. Guards against small tasks refilling a machine while its victims are still stopping.
 #pragma once
 
 #include <string>
@@ -17,11 +15,11 @@
 class Nominations {
 public:
   struct Nomination {
-    std::string job_id;         // the job that the machine is kept for
+    std::string job_id;
     double until = -1;          // monotonic
-    bool open_to_small = false; // at the last round over all machines: not reserved for large tasks
+    bool open_to_small = false; // as decided by the last full round
   };
-  // Null: nothing is known of the machine.
+  // Returns null or a nomination, which may have expired.
   const Nomination *find(MachineIndex machine) const {
     return machine.position() < nominations_.size() ? &nominations_[machine.position()] : nullptr;
   }
