--- a/include/loftrouter/core/api/status_reporter.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -23,15 +23,14 @@
   StatusReporter(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog,
                  const Operators &operators, const Leadership &leadership, const Cancellations &cancellations,
                  const JobTable &jobs, const EndedJobs &ended, const Dependencies &dependencies,
-                 const FailureAttribution &failure_attribution, const PendingReasons &pending_reasons,
+                 const FailureAttribution &failure_attribution, const JobReasons &job_reasons,
                  const WorkerRegistry &workers, const Scheduler &scheduler, const Quotas &quotas,
                  const Autoscaler &autoscaler, const JobObjectives &objectives, const UsageLedger &ledger,
                  Replicas &replicas)
       : runtime_(runtime), settings_(settings), catalog_(catalog), operators_(operators), leadership_(leadership),
         cancellations_(cancellations), jobs_(jobs), ended_(ended), dependencies_(dependencies),
-        failure_attribution_(failure_attribution), pending_reasons_(pending_reasons), workers_(workers),
-        scheduler_(scheduler), quotas_(quotas), autoscaler_(autoscaler), objectives_(objectives), ledger_(ledger),
-        replicas_(replicas) {}
+        failure_attribution_(failure_attribution), job_reasons_(job_reasons), workers_(workers), scheduler_(scheduler),
+        quotas_(quotas), autoscaler_(autoscaler), objectives_(objectives), ledger_(ledger), replicas_(replicas) {}
 
   // What a user is shown of a job that the state service has just said is open.
   JobView view(const std::string &id, bool cancelled) const;
@@ -82,7 +81,7 @@
   const EndedJobs &ended_;
   const Dependencies &dependencies_;
   const FailureAttribution &failure_attribution_;
-  const PendingReasons &pending_reasons_;
+  const JobReasons &job_reasons_;
   const WorkerRegistry &workers_;
   const Scheduler &scheduler_;
   const Quotas &quotas_;
--- a/include/loftrouter/core/core.hpp
+++ b/include/loftrouter/core/core.hpp
@@ -61,7 +61,7 @@
   EndedJobs ended_;
   Dependencies dependencies_;
   FailureAttribution failure_attribution_;
-  PendingReasons pending_reasons_;
+  JobReasons job_reasons_;
   UsageLedger ledger_;
   StateWriter state_writer_;
   Cancellations cancellations_;
--- a/include/loftrouter/core/jobs/dependencies.hpp
+++ b/include/loftrouter/core/jobs/dependencies.hpp
@@ -53,7 +53,7 @@
   std::size_t unresolved_count(JobIndex job_index) const;
   const std::vector<JobIndex> &dependents(JobIndex job_index) const { return node(job_index).dependents; }
   // Id of the job with which it was cancelled; empty: none.
-  const std::string &cancelled_with(JobIndex job_index) const { return node(job_index).cancelled_with; }
+  const std::string &cancelled_dependency(JobIndex job_index) const { return node(job_index).cancelled_dependency; }
 
   // ---- what a job has to meet ----
 
@@ -83,7 +83,7 @@
     std::vector<JobIndex> dependents;
     std::size_t unmet = 0; // jobs that it names and that are not known to be done
     double ready_wall = 0;
-    std::string cancelled_with;
+    std::string cancelled_dependency;
   };
   struct Lookup { // of a job that is not open here, and whose end is not known
     std::vector<JobIndex> dependents;
--- a/include/loftrouter/core/jobs/pending_reasons.hpp
+++ b/include/loftrouter/core/jobs/job_reasons.hpp
@@ -19,10 +19,10 @@
 // Why a job is cancelled that waits for the job of this id, for users.
 std::string dependency_cancelled_reason(std::string_view dependency_id);
 
-class PendingReasons {
+class JobReasons {
 public:
-  PendingReasons(Runtime &runtime, const JobTable &jobs, const Dependencies &dependencies,
-                 const FailureAttribution &failure_attribution, const JobObjectives &objectives)
+  JobReasons(Runtime &runtime, const JobTable &jobs, const Dependencies &dependencies,
+             const FailureAttribution &failure_attribution, const JobObjectives &objectives)
       : runtime_(runtime), jobs_(jobs), dependencies_(dependencies), failure_attribution_(failure_attribution),
         objectives_(objectives) {}
 
--- a/include/loftrouter/core/state/end_record_writer.hpp
+++ b/include/loftrouter/core/state/end_record_writer.hpp
@@ -71,7 +71,7 @@
   const Leadership &leadership_;
   JobTable &jobs_;
   EndedJobs &ended_jobs_;
-  const PendingReasons &pending_reasons_;
+  const JobReasons &job_reasons_;
   const JobObjectives &objectives_;
   UsageLedger &ledger_;
   ProgressShards &shards_;
--- a/include/loftrouter/core/state/state_context.hpp
+++ b/include/loftrouter/core/state/state_context.hpp
@@ -5,7 +5,7 @@
 #include "loftrouter/core/election/leadership.hpp"
 #include "loftrouter/core/jobs/dependencies.hpp"
 #include "loftrouter/core/jobs/failure_attribution.hpp"
-#include "loftrouter/core/jobs/pending_reasons.hpp"
+#include "loftrouter/core/jobs/job_reasons.hpp"
 #include "loftrouter/core/runtime/events.hpp"
 #include "loftrouter/core/runtime/state_service_limits.hpp"
 #include "loftrouter/core/state/usage_ledger.hpp"
@@ -22,7 +22,7 @@
   EndedJobs &ended_jobs;
   const Dependencies &dependencies;
   FailureAttribution &failure_attribution;
-  const PendingReasons &pending_reasons;
+  const JobReasons &job_reasons;
   const JobObjectives &objectives;
   UsageLedger &ledger;
 };
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -41,7 +41,7 @@
 // Why the job's tasks wait, or what last happened to them, in words for its owner.
 std::string StatusReporter::why(JobIndex job_index, const Supplies &supply) const {
   const Job &job = jobs_[job_index];
-  if (const auto &with = dependencies_.cancelled_with(job_index); !with.empty())
+  if (const auto &with = dependencies_.cancelled_dependency(job_index); !with.empty())
     return dependency_cancelled_reason(with);
   if (job.cancelled) return "stopped: cancelled by its user";
   if (!dependencies_.ready(job_index)) return why_not_ready(job_index);
@@ -54,7 +54,7 @@
                        failure_attribution_.failed_machine_count(job_index),
                        std::max(0.0, failure_attribution_.retry_at(job_index) - runtime_.now()));
   }
-  const std::string &last = pending_reasons_.last_event(job_index);
+  const std::string &last = job_reasons_.last_event(job_index);
   std::string wait;
   if (!leadership_.lease_valid())
     wait = fmt::format("nothing is started: the state service has not answered since {}",
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -11,7 +11,7 @@
       leadership_(runtime_, events_, settings_, catalog_), jobs_(runtime_, events_, settings_), ended_(events_),
       dependencies_(runtime_, settings_, state_limits_, leadership_, jobs_, ended_),
       failure_attribution_(runtime_, events_, jobs_, operators_),
-      pending_reasons_(runtime_, jobs_, dependencies_, failure_attribution_, objectives_),
+      job_reasons_(runtime_, jobs_, dependencies_, failure_attribution_, objectives_),
       ledger_(runtime_, settings_, catalog_, jobs_, operators_),
       state_writer_({.runtime = runtime_,
                      .events = events_,
@@ -22,7 +22,7 @@
                      .ended_jobs = ended_,
                      .dependencies = dependencies_,
                      .failure_attribution = failure_attribution_,
-                     .pending_reasons = pending_reasons_,
+                     .job_reasons = job_reasons_,
                      .objectives = objectives_,
                      .ledger = ledger_}),
       cancellations_(runtime_, settings_, leadership_, jobs_),
@@ -47,8 +47,8 @@
                          state_limits_),
       service_levels_(runtime_, jobs_, ended_, dependencies_),
       status_reporter_(runtime_, settings_, catalog_, operators_, leadership_, cancellations_, jobs_, ended_,
-                       dependencies_, failure_attribution_, pending_reasons_, workers_, scheduler_, quotas_,
-                       autoscaler_, objectives_, ledger_, replicas_),
+                       dependencies_, failure_attribution_, job_reasons_, workers_, scheduler_, quotas_, autoscaler_,
+                       objectives_, ledger_, replicas_),
       users_(runtime_, settings_, catalog_, state_limits_, leadership_, jobs_, ended_, replicas_, cancellations_,
              quotas_, status_reporter_),
       administration_(runtime_, settings_, catalog_, operators_, state_limits_, leadership_, cancellations_, jobs_,
@@ -89,7 +89,7 @@
     };
     hand(event_log_, configuration_, operators_, quotas_, quota_changes_, quota_exchange_, cancellations_,
          dependencies_, failure_attribution_, workers_, failure_detector_, ledger_, state_writer_, watch_, heartbeats_,
-         scheduler_, autoscaler_, federation_, service_levels_, pending_reasons_, status_reporter_, users_, jobs_);
+         scheduler_, autoscaler_, federation_, service_levels_, job_reasons_, status_reporter_, users_, jobs_);
   });
 }
 
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -23,7 +23,7 @@
 
 bool Dependencies::ready(JobIndex job_index) const {
   const Node &job = node(job_index);
-  return job.known && job.unmet == 0 && job.cancelled_with.empty();
+  return job.known && job.unmet == 0 && job.cancelled_dependency.empty();
 }
 
 std::size_t Dependencies::unresolved_count(JobIndex job_index) const {
@@ -89,7 +89,7 @@
 // What it waits for can no longer be done. Its own dependents follow when the event of its cancellation is delivered.
 void Dependencies::dependency_cancelled(JobIndex job_index, const std::string &dependency_id) {
   Node &job = node(job_index);
-  if (job.cancelled_with.empty()) job.cancelled_with = dependency_id;
+  if (job.cancelled_dependency.empty()) job.cancelled_dependency = dependency_id;
   outdated_ = true;
   if (jobs_.find(job_index)) jobs_.cancel(job_index); // it may have ended by the same write
 }
--- a/src/core/jobs/pending_reasons.cpp
+++ b/src/core/jobs/job_reasons.cpp
@@ -1,4 +1,4 @@
-#include "loftrouter/core/jobs/pending_reasons.hpp"
+#include "loftrouter/core/jobs/job_reasons.hpp"
 
 #include <fmt/format.h>
 
@@ -10,33 +10,33 @@
   return fmt::format("stopped: job {}, which it waits for, was cancelled", dependency_id);
 }
 
-const std::string &PendingReasons::last_event(JobIndex job_index) const {
+const std::string &JobReasons::last_event(JobIndex job_index) const {
   static const std::string kNone;
   return job_index.position() < last_events_.size() ? last_events_[job_index.position()] : kNone;
 }
 
 // It stays until the next such event.
-void PendingReasons::set(JobIndex job_index, std::string_view what) {
+void JobReasons::set(JobIndex job_index, std::string_view what) {
   grown(last_events_, job_index) = fmt::format("{} ({})", what, wire::clock_time(runtime_.wall()));
 }
 
-void PendingReasons::on(const TaskRetried &event) {
+void JobReasons::on(const TaskRetried &event) {
   set(event.job, fmt::format("a task failed on machine {} and is started again elsewhere", event.machine));
 }
 
-void PendingReasons::on(const TaskLost &event) {
+void JobReasons::on(const TaskLost &event) {
   set(event.job, fmt::format("machine {} was lost, {}: its tasks are started again", event.machine, event.why));
 }
 
-void PendingReasons::on(const TaskPreempted &event) {
+void JobReasons::on(const TaskPreempted &event) {
   set(event.job, fmt::format("a task was stopped to make room for job {} of higher priority", event.by));
 }
 
-void PendingReasons::on(const TasksStoppedByBudget &event) {
+void JobReasons::on(const TasksStoppedByBudget &event) {
   set(event.job, fmt::format("its tasks were stopped because team {} had used its budget", jobs_[event.job].spec.team));
 }
 
-EndRecord PendingReasons::end_record(JobIndex job_index) const {
+EndRecord JobReasons::end_record(JobIndex job_index) const {
   const Job &job = jobs_[job_index];
   EndRecord end;
   end.cancelled = job.cancelled;
@@ -58,8 +58,8 @@
   return end;
 }
 
-std::string PendingReasons::cancellation_reason(JobIndex job_index) const {
-  const std::string &dependency_id = dependencies_.cancelled_with(job_index);
+std::string JobReasons::cancellation_reason(JobIndex job_index) const {
+  const std::string &dependency_id = dependencies_.cancelled_dependency(job_index);
   if (!dependency_id.empty()) return dependency_cancelled_reason(dependency_id);
   const std::uint32_t failed_machines = failure_attribution_.failed_machine_count(job_index);
   if (failed_machines == 0) return "stopped: cancelled by its user";
--- a/src/core/state/end_record_writer.cpp
+++ b/src/core/state/end_record_writer.cpp
@@ -22,8 +22,8 @@
 EndRecordWriter::EndRecordWriter(const StateContext &context, ProgressShards &shards, OpenRecordLoader &open_records,
                                  EndRecordCompaction &compaction, WriteSchedule &schedule)
     : runtime_(context.runtime), leadership_(context.leadership), jobs_(context.jobs), ended_jobs_(context.ended_jobs),
-      pending_reasons_(context.pending_reasons), objectives_(context.objectives), ledger_(context.ledger),
-      shards_(shards), open_records_(open_records), compaction_(compaction), schedule_(schedule) {}
+      job_reasons_(context.job_reasons), objectives_(context.objectives), ledger_(context.ledger), shards_(shards),
+      open_records_(open_records), compaction_(compaction), schedule_(schedule) {}
 
 void EndRecordWriter::clear() {
   queue_.clear();
@@ -80,7 +80,7 @@
   }
   EndState &ending = state(job_index);
   ending.in_place = in_place;
-  ending.end = pending_reasons_.end_record(job_index);
+  ending.end = job_reasons_.end_record(job_index);
   if (ledger_.enabled()) {
     ending.end.usage = ledger_.current_usage(job_index);
     ending.end.need = job.spec.need;
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -236,7 +236,7 @@
           ASSERT_EQ(graph.urgency(j), plain.urgency(id, own)) << "seed " << seed << " step " << step << " " << id;
         }
         readied += graph.ready(j) && !jobs[j].cancelled && !plain.jobs[id].names.empty();
-        stopped += !graph.cancelled_with(j).empty();
+        stopped += !graph.cancelled_dependency(j).empty();
       }
       ASSERT_EQ(graph.topological_order().size(), jobs.open());
     }
--- a/tests/state_fixture.hpp
+++ b/tests/state_fixture.hpp
@@ -49,7 +49,7 @@
   core::EndedJobs ended_jobs{events};
   core::Dependencies dependencies{runtime, settings, state_limits, leadership, jobs, ended_jobs};
   core::FailureAttribution failure_attribution{runtime, events, jobs, operators};
-  core::PendingReasons pending_reasons{runtime, jobs, dependencies, failure_attribution, objectives};
+  core::JobReasons job_reasons{runtime, jobs, dependencies, failure_attribution, objectives};
   core::UsageLedger ledger{runtime, settings, catalog, jobs, operators};
   const core::StateContext context{.runtime = runtime,
                                    .events = events,
@@ -60,7 +60,7 @@
                                    .ended_jobs = ended_jobs,
                                    .dependencies = dependencies,
                                    .failure_attribution = failure_attribution,
-                                   .pending_reasons = pending_reasons,
+                                   .job_reasons = job_reasons,
                                    .objectives = objectives,
                                    .ledger = ledger};
 };
