--- a/include/loftrouter/core/jobs/dependencies.hpp
+++ b/include/loftrouter/core/jobs/dependencies.hpp
@@ -1,13 +1,12 @@
-// The dependency graph of jobs, while this node leads: which jobs wait for which.
+// The dependency graph of the jobs, maintained while this node leads.
 //
-// Owns the graph of open jobs, and of the jobs named in it that are not open here; used by the core's thread alone.
-// Nobody else decides whether a job may start: it is ready only when the state service has said of every job that it
-// names that this one is done (too_early). A job one of whose names was cancelled is cancelled with it, and so on along
-// the graph (orphaned); it never was ready, so none of its tasks has ever started. Jobs that are not open here are
-// looked up one by one, bounded and within the budget of users' reads; nothing scans what has ended.
+// Owns the graph; used by the core's thread alone. It alone decides whether a job may start: a job is ready once the
+// state service has confirmed that all its dependencies are done (docs/safety.md "too_early"). When a dependency is
+// cancelled, its dependents are cancelled too, transitively ("orphaned"); they were never ready, so none of their tasks
+// has started. Dependencies that are not open here are looked up one by one, rate-limited by the budget for users'
+// reads.
 //
-// What a job has to meet follows from those that depend on it: their urgency, and when it has to be done so that the
-// end of the path still meets its deadline.
+// Priorities and deadlines propagate from dependents to their dependencies.
 #pragma once
 
 #include <cstddef>
@@ -27,11 +26,11 @@
 
 namespace loftrouter::core {
 
-// The estimated course of all open jobs; each vector by job index.
+// The estimated schedule of all open jobs; each vector is indexed by job.
 struct CriticalPath {
-  std::vector<double> starts_in_s;       // until the job can start
-  std::vector<double> done_in_s;         // until it is done
-  std::vector<JobIndex> last_dependency; // of those that it waits for the one that is done last, if any
+  std::vector<double> starts_in_s;       // seconds until the job can start
+  std::vector<double> done_in_s;         // seconds until the job is done
+  std::vector<JobIndex> last_dependency; // the open dependency that is done last; invalid: none
 };
 
 class Dependencies {
@@ -44,31 +43,30 @@
   // ---- the graph ----
 
   bool ready(JobIndex job_index) const;
-  // Time of day when it became so: its submission, or the end of the last job that it waited for. Of a job that is not
-  // ready, so far.
+  // Wall-clock time of the submission or of the latest end of a dependency, whichever is later. For a job that is not
+  // ready yet, the value so far.
   double ready_wall(JobIndex job_index) const { return node(job_index).ready_wall; }
-  // The open jobs that it still waits for.
   const std::vector<JobIndex> &open_dependencies(JobIndex job_index) const { return node(job_index).open_dependencies; }
-  // How many other jobs it waits for, which are not open here and are being looked up.
+  // The number of dependencies that are not open here and are being looked up.
   std::size_t unresolved_count(JobIndex job_index) const;
   const std::vector<JobIndex> &dependents(JobIndex job_index) const { return node(job_index).dependents; }
-  // Id of the job with which it was cancelled; empty: none.
+  // The id of the dependency whose cancellation cancelled this job; empty: none.
   const std::string &cancelled_dependency(JobIndex job_index) const { return node(job_index).cancelled_dependency; }
 
-  // ---- what a job has to meet ----
+  // ---- priority and deadlines ----
 
-  // The highest of its own and of those that depend on it, directly or through others.
+  // The highest priority of the job and of its transitive dependents.
   Urgency urgency(JobIndex job_index) const;
-  // Seconds after `ready_wall`: by its own deadline, and so that every job that depends on it can still meet its own.
+  // The deadline in seconds after `ready_wall`, early enough that all dependents can still meet theirs.
   std::optional<double> deadline(JobIndex job_index) const;
-  // Seconds after `ready_wall`, by its own deadline alone.
+  // The job's own deadline in seconds after `ready_wall`, ignoring its dependents.
   std::optional<double> own_deadline(JobIndex job_index) const;
-  // Every open job once, each after all open ones that it waits for.
+  // All open jobs, each after its open dependencies.
   const std::vector<JobIndex> &topological_order() const;
-  // `remaining_s`: what a job takes from when it can start.
+  // `remaining_s` returns how long a job takes once it can start.
   CriticalPath critical_path(const std::function<double(JobIndex)> &remaining_s) const;
 
-  void tick(); // starts look-ups
+  void tick(); // starts the look-ups that are due
   void on(const JobAccepted &event);
   void on(const JobCancelled &event);
   void on(const JobEndLearned &event);
@@ -76,21 +74,21 @@
   void on(const TermEnded &);
 
 private:
-  struct Node { // of an open job
+  struct Node { // an open job
     bool known = false;
     std::string id;
     std::vector<JobIndex> open_dependencies;
     std::vector<JobIndex> dependents;
-    std::size_t unmet = 0; // jobs that it names and that are not known to be done
+    std::size_t unmet = 0; // dependencies that are not known to be done
     double ready_wall = 0;
     std::string cancelled_dependency;
   };
-  struct Lookup { // of a job that is not open here, and whose end is not known
+  struct Lookup { // a dependency that is not open here and whose end is not known
     std::vector<JobIndex> dependents;
     bool in_flight = false;
-    double next_at = 0; // monotonic
+    double next_at = 0; // monotonic s
   };
-  struct Requirement { // what a job has to meet, by its own and by all that depend on it
+  struct Requirement { // combined from a job and its transitive dependents
     Urgency urgency{};
     std::optional<double> due_wall;
   };
@@ -119,14 +117,14 @@
   const Leadership &leadership_;
   JobTable &jobs_;
   EndedJobs &ended_;
-  std::vector<Node> nodes_; // by job
+  std::vector<Node> nodes_; // by job index
   std::unordered_map<std::string, JobIndex> index_;
-  std::map<std::string, Lookup> lookups_; // by id
+  std::map<std::string, Lookup> lookups_; // by job id
   std::size_t lookups_in_flight_ = 0;
-  // What follows along the graph is computed when it is asked for after a change.
+  // Computed lazily after a change of the graph.
   mutable bool outdated_ = false;
   mutable std::vector<JobIndex> topological_order_;
-  mutable std::vector<Requirement> requirements_; // by job
+  mutable std::vector<Requirement> requirements_; // by job index
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/jobs/ended_jobs.hpp
+++ b/include/loftrouter/core/jobs/ended_jobs.hpp
@@ -1,7 +1,6 @@
-// How jobs have ended, as far as it is remembered: the newest few thousand.
+// A bounded cache of the final records of ended jobs.
 //
-// Owns copies of final records, which never change. One that is forgotten is read from the state service again when
-// somebody asks for it, so nothing rests on its being here.
+// Final records never change. One that was evicted is read from the state service again when it is needed.
 #pragma once
 
 #include <cstddef>
@@ -17,16 +16,15 @@
 class EndedJobs {
 public:
   explicit EndedJobs(Events &events) : events_(events) {}
-  const EndRecord *find(const std::string &id) const; // null: not remembered
-  // As the state service has it. Published even if it was known.
+  const EndRecord *find(const std::string &id) const; // null: not cached
+  // Caches the record and publishes `JobEndLearned`, also if it was cached already.
   void remember(const std::string &id, EndRecord end);
 
 private:
-  // Jobs end faster with more machines: so many are about one of each of 11,000. 4.6 MB at 0.4 KB each.
-  static constexpr std::size_t kMax = 12'000;
+  static constexpr std::size_t kMaxCached = 12'000; // about 0.4 KB each
   Events &events_;
   std::unordered_map<std::string, EndRecord> ends_;
-  std::deque<std::string> order_; // ids, oldest first
+  std::deque<std::string> insertion_order_; // job ids, oldest first
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/jobs/failure_attribution.hpp
+++ b/include/loftrouter/core/jobs/failure_attribution.hpp
@@ -1,8 +1,9 @@
-// Whose fault failures are: a faulty machine fails the tasks of every job, a faulty job fails on every machine.
+// Attributes task failures to machines or to jobs.
 //
-// Owns the failures counted against jobs and machines; used by the core's thread alone. Jobs that succeed elsewhere
-// count against the machine, and machines on which nothing else fails against the job. No rule rests on it: at worst a
-// healthy machine is given back, or a faulty one kept.
+// A faulty machine fails tasks of many jobs; a faulty job fails on many machines. Failures of jobs that succeed
+// elsewhere count against the machine; failures on several machines without a success count against the job. Used by
+// the core's thread alone. Safety does not depend on it: at worst a healthy machine is returned to the cloud, or a
+// faulty one is kept.
 #pragma once
 
 #include <cstddef>
@@ -23,17 +24,17 @@
   FailureAttribution(Runtime &runtime, Events &events, JobTable &jobs, const Operators &operators)
       : runtime_(runtime), events_(events), jobs_(jobs), operators_(operators) {}
 
-  // It has failed wherever it was tried: more likely a mistake in the job than several faulty machines.
+  // True if the job has failed on several machines and never succeeded, so that the job itself is probably faulty.
   bool suspected(JobIndex job_index) const;
-  // Different machines in a row on which a task of it has failed, none having succeeded since.
+  // The number of different machines on which tasks of the job have failed since its last success.
   std::uint32_t failed_machine_count(JobIndex job_index) const;
   bool has_failed(JobIndex job_index) const { return failed_machine_count(job_index) > 0; }
-  // Monotonic: a suspected job is not placed before.
+  // When a suspected job may be placed again, in monotonic seconds.
   double retry_at(JobIndex job_index) const;
-  // Machines on which it has failed lately, and is not placed.
+  // Machines on which the job has failed recently and must not be placed.
   std::vector<MachineIndex> avoided_machines(JobIndex job_index) const;
 
-  // From an earlier leader's record.
+  // Restores the count from an earlier leader's progress record.
   void restore(JobIndex job_index, std::uint32_t failed_machine_count);
   void on(const TaskExited &event);
   void on(const JobCancelled &event);
@@ -44,23 +45,23 @@
 private:
   struct Failure {
     MachineIndex machine;
-    double at = 0; // monotonic
+    double at = 0; // monotonic s
   };
   struct JobHistory {
     std::uint32_t failed_machine_count = 0;
-    std::vector<Failure> failures; // the last of each machine, bounded
-    double retry_at = 0;
-    int probes = 0; // since it became suspected
+    std::vector<Failure> failures; // the last one on each machine, bounded
+    double retry_at = 0;           // monotonic s
+    int probes = 0;                // since the job became suspected
   };
-  struct FailedJob { // a job that has failed on a machine
+  struct FailedJob { // a job that has failed on this machine
     std::string id;
-    bool succeeded_elsewhere = false; // so the fault is not the job's
+    bool succeeded_elsewhere = false;
   };
   struct MachineHistory {
-    std::vector<FailedJob> failed_jobs; // since `failing_since`, while nothing started since then has succeeded
+    std::vector<FailedJob> failed_jobs; // since `failing_since`; cleared by a success of a task placed later
     int errors = 0;
-    double failing_since = -1;
-    double last_good_start = -1; // when the newest task that succeeded was placed
+    double failing_since = -1;       // monotonic s
+    double last_good_placement = -1; // when the newest task that succeeded was placed, monotonic s
     bool quarantined = false;
 
     bool is_faulty() const;
@@ -78,8 +79,8 @@
   Events &events_;
   JobTable &jobs_;
   const Operators &operators_;
-  std::vector<JobHistory> job_histories_;         // by job
-  std::vector<MachineHistory> machine_histories_; // by machine
+  std::vector<JobHistory> job_histories_;         // by job index
+  std::vector<MachineHistory> machine_histories_; // by machine index
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/jobs/job_objectives.hpp
+++ b/include/loftrouter/core/jobs/job_objectives.hpp
@@ -1,7 +1,6 @@
-// When its team wants a job to be complete, by its own deadline or by the objectives of the settings.
+// Computes when a job should be complete, by its deadline or by the service-level objectives of its class.
 //
-// Owns nothing and keeps no state: pure functions of the settings, a job and its age. No rule rests on them; they order
-// work and size the fleet.
+// Stateless functions of the settings, a job and its age. They affect scheduling order and fleet size only.
 #pragma once
 
 #include <optional>
@@ -11,17 +10,17 @@
 
 namespace loftrouter::core {
 
-// Times are seconds from when the job could start, and so is a job's age. `deadline`: the job's own, or what the jobs
-// that depend on it leave it (`Dependencies::deadline`).
+// Times and ages are in seconds since the job became ready. `deadline`: the job's own, or the one that its dependents
+// require (`Dependencies::deadline`).
 class JobObjectives {
 public:
   explicit JobObjectives(const Settings &settings) : settings_(settings) {}
 
-  // When it is late: nothing if nobody has said.
+  // The time after which the job counts as late; nothing without a deadline or an objective.
   std::optional<double> completion_target(const JobSpec &spec, std::optional<double> deadline) const;
-  // What to work for: of several objectives the first that a job of this age can still meet.
+  // The time to schedule for: the tightest objective that a job of this age can still meet.
   double achievable_target(const JobSpec &spec, std::optional<double> deadline, double age_s) const;
-  // Small work that nobody wants at a certain time.
+  // True for small work without a completion target that may still wait for cheaper machines.
   bool deferrable(const JobSpec &spec, Urgency urgency, std::optional<double> deadline, double age_s) const;
 
 private:
@@ -29,7 +28,7 @@
   const Settings &settings_;
 };
 
-// Keeps off machines that others need whole.
+// True for low-priority jobs that tolerate spot machines; they are kept off machines that other jobs need whole.
 inline bool is_small(const JobSpec &spec, Urgency urgency) {
   return urgency == Urgency::Low && spec.spot;
 }
--- a/include/loftrouter/core/jobs/job_reasons.hpp
+++ b/include/loftrouter/core/jobs/job_reasons.hpp
@@ -1,6 +1,6 @@
-// What happened last to each open job that its owner should know, with the time of day; and what its final record says.
+// The texts that tell users what happened to their jobs: the last notable event of each open job, and the final record.
 //
-// Owns the former, as text for users. A listener: it changes nothing, and no rule rests on it.
+// Owns the event texts. Only listens to events; has no effect on scheduling.
 #pragma once
 
 #include <string>
@@ -16,7 +16,7 @@
 
 namespace loftrouter::core {
 
-// Why a job is cancelled that waits for the job of this id, for users.
+// The reason shown to users when a job is cancelled because its dependency was.
 std::string dependency_cancelled_reason(std::string_view dependency_id);
 
 class JobReasons {
@@ -26,9 +26,9 @@
       : runtime_(runtime), jobs_(jobs), dependencies_(dependencies), failure_attribution_(failure_attribution),
         objectives_(objectives) {}
 
-  // Empty: nothing has happened to it.
+  // The last event with its time of day; empty: none.
   const std::string &last_event(JobIndex job_index) const;
-  // Of a job that ends now.
+  // Builds the final record of a job that ends now.
   EndRecord end_record(JobIndex job_index) const;
 
   void on(const JobAccepted &event) { grown(last_events_, event.job).clear(); }
@@ -38,7 +38,7 @@
   void on(const TasksStoppedByBudget &event);
 
 private:
-  void set(JobIndex job_index, std::string_view what);
+  void set_last_event(JobIndex job_index, std::string_view text);
   std::string cancellation_reason(JobIndex job_index) const;
 
   Runtime &runtime_;
@@ -46,7 +46,7 @@
   const Dependencies &dependencies_;
   const FailureAttribution &failure_attribution_;
   const JobObjectives &objectives_;
-  std::vector<std::string> last_events_; // by job
+  std::vector<std::string> last_events_; // by job index
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/jobs/job_table.hpp
+++ b/include/loftrouter/core/jobs/job_table.hpp
@@ -1,11 +1,10 @@
-// The job table of a leader: which jobs are open, and the state of each of their tasks.
+// The leader's table of open jobs and the state of each of their tasks.
 //
-// Owns jobs and tasks; used by the core's thread alone. Invariants: a task is in one state, the counts agree with the
-// states, and a task leaves `Placed` only by `release` or `finish`, from the machine that it was placed on. If that
-// were wrong a task could be placed a second time while it runs (ran_twice), or a job be reported done with a task
-// missing (not_done).
+// Owns jobs and tasks; used by the core's thread alone. Invariants: the counts agree with the task states, and a task
+// leaves `Placed` only by `release` or `finish`, from the machine that it was placed on. Violating them could place a
+// running task a second time (docs/safety.md "ran_twice") or report a job as done with a task missing ("not_done").
 //
-// Jobs are named by their index, which is free for another one once `JobFinalized` has been delivered.
+// An index identifies a job; it is reused once `JobFinalized` has been delivered.
 #pragma once
 
 #include <cstddef>
@@ -26,47 +25,47 @@
 
 enum class TaskState : std::uint8_t {
   Pending,
-  Unaccounted, // started by an earlier leader, and not listed by a worker since
-  Placed,      // bound to a machine
+  Unaccounted, // started by an earlier leader, and not listed in a heartbeat since
+  Placed,      // allocated on a machine
   Done,
-  Delegated, // another cell may run it
+  Delegated, // may run in a remote cell
 };
 
 struct Task {
   TaskState state = TaskState::Pending;
-  MachineIndex machine;   // while placed
-  std::int32_t zone = -1; // of that machine
+  MachineIndex machine;   // valid while placed
+  std::int32_t zone = -1; // zone of that machine
 };
 
 struct Job {
   JobSpec spec;
-  double submit_wall = 0;              // time of day
-  std::uint64_t serial = 0;            // tells it from earlier jobs at the same index
-  std::uint64_t open_mod_revision = 0; // of its open record, the newest known
-  int team = -1;                       // -1: none of the settings' teams
-  int image = -1;
+  double submit_wall = 0;              // wall-clock time, s
+  std::uint64_t serial = 0;            // distinguishes jobs that reuse an index
+  std::uint64_t open_mod_revision = 0; // newest known revision of the open record
+  int team = -1;                       // -1: not in the settings
+  int image = -1;                      // index of the image name
 
   bool cancelled = false;
-  bool ending = false; // its final record is being written
-  bool paused = false; // nothing of it may be started now
+  bool ending = false; // the final record is being written
+  bool paused = false; // no task may be started
 
   std::vector<Task> tasks;
   std::uint32_t done = 0;
   std::uint32_t placed = 0;
   std::uint32_t unaccounted = 0;
   std::uint32_t delegated = 0;
-  std::vector<int> zone_used; // placed tasks, by zone
+  std::vector<int> zone_used; // number of placed tasks by zone
 
   std::uint64_t gang_attempt = 0; // the current attempt of a gang
-  bool gang_closed = false;       // that attempt takes no replacements any more
+  bool gang_closed = false;       // the attempt has started; lost tasks are not replaced within it
 
-  std::vector<DelegationRecord> delegations;      // to other cells
-  std::uint32_t delegated_running = 0;            // of the delegated tasks, by the last report
-  std::optional<DelegationSource> delegated_here; // another cell's work: its other tasks count as done
-  bool origin_confirmed_end = false;              // delegated here: the origin cell knows how it ended
+  std::vector<DelegationRecord> delegations;      // to remote cells
+  std::uint32_t delegated_running = 0;            // delegated tasks that run, by the last report of the remote cells
+  std::optional<DelegationSource> delegated_here; // set: work of an origin cell; its other tasks count as done
+  bool origin_confirmed_end = false;              // if delegated here: the origin cell knows the result
 
   std::uint32_t pending() const { return spec.tasks - done - placed - unaccounted - delegated; }
-  // Nothing of it is left to run or may still be running.
+  // True if the final record can be written: no task is left to run or may still be running.
   bool finishable() const;
 };
 
@@ -76,60 +75,58 @@
 
   // ---- look-ups ----
 
-  std::size_t index_limit() const { return jobs_.size(); } // indices are below this
-  std::size_t open() const { return index_.size(); }       // number of jobs
-  // The job at this index, or null.
+  std::size_t index_limit() const { return jobs_.size(); } // all indices are below this
+  std::size_t open() const { return index_by_id_.size(); } // number of open jobs
+  // Returns null if there is no job at this index.
   const Job *find(JobIndex job_index) const { return jobs_[job_index.position()].get(); }
-  // There has to be one.
+  // There must be a job at this index.
   const Job &operator[](JobIndex job_index) const { return *jobs_[job_index.position()]; }
-  JobIndex index(const std::string &id) const;            // none: not open
-  template <class Visit> void each(Visit &&visit) const { // visit(index, job), by ascending index
+  JobIndex index(const std::string &id) const;            // invalid: not open
+  template <class Visit> void each(Visit &&visit) const { // visit(index, job), in index order
     for (std::size_t i = 0; i < jobs_.size(); ++i)
       if (jobs_[i]) visit(JobIndex(i), *jobs_[i]);
   }
-  int find_team(const std::string &name) const { return team_names_.find(name); } // -1: none
-  // Monotonic time at which every lease that an earlier leader may have kept alive has expired; 0: nothing is waited
-  // for.
+  int find_team(const std::string &name) const { return team_names_.find(name); } // -1: not in the settings
+  // Monotonic time when all leases that an earlier leader may have renewed have expired; 0: that has passed.
   double unaccounted_until() const { return unaccounted_until_; }
-  // Grows whenever a job comes or a task becomes free to be placed.
+  // A counter that increases whenever a job is added or a task becomes placeable.
   std::uint64_t arrivals() const { return arrivals_; }
-  bool consistent(JobIndex job_index) const; // counts agree with states; for asserts and tests
+  bool consistent(JobIndex job_index) const; // checks the counts against the states; for asserts and tests
 
   // ---- jobs ----
 
   JobIndex add(OpenRecord record, std::uint64_t mod_revision);
-  // What the records of earlier leaders say. Before any of its tasks is placed.
+  // Applies the progress record of earlier leaders. Must precede the first placement.
   void restore(JobIndex job_index, const ProgressRecord &progress);
-  void remove(JobIndex job_index); // over
+  void remove(JobIndex job_index);
   void cancel(JobIndex job_index);
-  // False: it is older than what is known.
+  // Returns false if the revision is not newer than the known one.
   [[nodiscard]] bool update_mod_revision(JobIndex job_index, std::uint64_t mod_revision);
   void set_ending(JobIndex job_index, bool ending);
   void pause(JobIndex job_index, bool paused);
-  void mark_ready(JobIndex job_index);            // every job that it waited for is done
-  void confirm_end_by_origin(JobIndex job_index); // delegated here: the origin cell knows how it ended
-  void changed(JobIndex job_index, bool urgent);  // its progress record has to follow
+  void mark_ready(JobIndex job_index);            // all dependencies are done
+  void confirm_end_by_origin(JobIndex job_index); // for jobs delegated here
+  void changed(JobIndex job_index, bool urgent);  // requests an update of the progress record
 
   // ---- tasks ----
 
   void place(JobIndex job_index, std::uint32_t task_index, MachineIndex machine, int zone);
   void finish(JobIndex job_index, std::uint32_t task_index);
-  // The attempt on `machine` is over. `unaccounted`: an older or a later one may still run somewhere.
+  // Called when the attempt on `machine` is over. `unaccounted`: another attempt may still run somewhere.
   void release(JobIndex job_index, std::uint32_t task_index, MachineIndex machine, bool unaccounted);
-  // Once `unaccounted_until` is over, tasks that no worker has listed are gone and can be placed again. Returns the
-  // jobs concerned.
+  // After `unaccounted_until`, makes tasks that no worker has listed pending again. Returns the affected jobs.
   [[nodiscard]] std::vector<JobIndex> expire_unaccounted();
 
   // ---- gangs ----
 
-  // `fresh`: a number that no attempt of an earlier leader reached.
-  std::uint64_t next_gang_attempt(JobIndex job_index, std::uint64_t fresh);
+  // `min_attempt`: greater than any attempt number of earlier leaders.
+  std::uint64_t next_gang_attempt(JobIndex job_index, std::uint64_t min_attempt);
   void adopt_gang_attempt(JobIndex job_index, std::uint64_t attempt);
   void close_gang(JobIndex job_index, bool closed);
 
-  // ---- delegations to other cells ----
-  // Their tasks can't be placed here until the delegation has expired or is removed; those that are done at the remote
-  // cell are finished as any other.
+  // ---- delegations to remote cells ----
+  // Delegated tasks cannot be placed here until the delegation has expired or is removed. `finish` also applies to
+  // tasks that are done in the remote cell.
 
   void delegate(JobIndex job_index, DelegationRecord delegation);
   void charge_delegation(JobIndex job_index, std::uint64_t generation, const accounts::Usage &charged);
@@ -137,7 +134,7 @@
   void expire_delegation(JobIndex job_index, std::uint64_t generation);
   void remove_delegation(JobIndex job_index, std::uint64_t generation);
 
-  void on(const JobFinalized &event) { free_.push_back(event.job); }
+  void on(const JobFinalized &event) { free_indices_.push_back(event.job); }
   void on(const LeaderElected &event) { unaccounted_until_ = event.unaccounted_until; }
   void on(const TermEnded &);
 
@@ -152,9 +149,9 @@
   Runtime &runtime_;
   Events &events_;
   std::vector<std::unique_ptr<Job>> jobs_; // by index; null: free
-  std::vector<JobIndex> free_;
-  std::unordered_map<std::string, JobIndex> index_;
-  std::uint64_t serial_ = 0;
+  std::vector<JobIndex> free_indices_;
+  std::unordered_map<std::string, JobIndex> index_by_id_;
+  std::uint64_t last_serial_ = 0;
   std::uint64_t arrivals_ = 0;
   double unaccounted_until_ = 0;
   NameIndex team_names_;
--- a/src/core/jobs/critical_path.cpp
+++ b/src/core/jobs/critical_path.cpp
@@ -1,4 +1,4 @@
-// The part of the dependency graph that computes what follows along it: order, urgency, deadlines, the critical path.
+// Dependencies: topological order, priority, deadlines and the critical path.
 #include <algorithm>
 
 #include "loftrouter/core/jobs/dependencies.hpp"
@@ -6,38 +6,37 @@
 namespace loftrouter::core {
 
 namespace {
-// Of a job, before those that depend on it can start: estimates are often wrong by half, and a start waits for a
-// heartbeat.
-constexpr double kEstimateMargin = 1.25; // times the estimate
-constexpr double kStartDelay = 2.0;      // s
+constexpr double kEstimateFactor = 1.25; // safety margin for run time estimates
+constexpr double kStartDelayS = 2.0;
 } // namespace
 
+// How long before its due time a job must become ready. A start waits for up to one heartbeat.
 double Dependencies::lead_time_s(JobIndex job_index) const {
-  return kEstimateMargin * jobs_[job_index].spec.estimate_s + kStartDelay + settings_.heartbeat_interval_s;
+  return kEstimateFactor * jobs_[job_index].spec.estimate_s + kStartDelayS + settings_.heartbeat_interval_s;
 }
 
 void Dependencies::recompute() const {
   outdated_ = false;
   sort_topologically();
   requirements_.assign(nodes_.size(), {});
-  // Dependents first, so that theirs are known.
+  // In reverse order, because a requirement depends on those of the dependents.
   for (auto it = topological_order_.rbegin(); it != topological_order_.rend(); ++it)
     requirements_[it->position()] = combined_requirement(*it);
 }
 
 void Dependencies::sort_topologically() const {
   topological_order_.clear();
-  std::vector<std::size_t> remaining(nodes_.size(), 0); // dependencies that are not in the order yet
+  std::vector<std::size_t> unsorted_dependencies(nodes_.size(), 0);
   jobs_.each([&](JobIndex job_index, const Job &) {
-    if (!has_node(job_index)) return; // its event has not been delivered yet
-    remaining[job_index.position()] = node(job_index).open_dependencies.size();
+    if (!has_node(job_index)) return; // its JobAccepted event has not been delivered yet
+    unsorted_dependencies[job_index.position()] = node(job_index).open_dependencies.size();
     if (node(job_index).open_dependencies.empty()) topological_order_.push_back(job_index);
   });
   for (std::size_t i = 0; i < topological_order_.size(); ++i)
     for (JobIndex dependent : node(topological_order_[i]).dependents) {
-      std::size_t &left = remaining[dependent.position()];
-      --left;
-      if (left == 0) topological_order_.push_back(dependent);
+      std::size_t &unsorted = unsorted_dependencies[dependent.position()];
+      --unsorted;
+      if (unsorted == 0) topological_order_.push_back(dependent);
     }
 }
 
@@ -48,10 +47,10 @@
   if (spec.deadline_s) combined.due_wall = jobs_[job_index].submit_wall + *spec.deadline_s;
   for (JobIndex dependent : node(job_index).dependents) {
     if (!jobs_.find(dependent) || jobs_[dependent].cancelled) continue;
-    const Requirement &theirs = requirements_[dependent.position()];
-    combined.urgency = std::max(combined.urgency, theirs.urgency);
-    if (!theirs.due_wall) continue;
-    const double latest_wall = *theirs.due_wall - lead_time_s(dependent);
+    const Requirement &downstream = requirements_[dependent.position()];
+    combined.urgency = std::max(combined.urgency, downstream.urgency);
+    if (!downstream.due_wall) continue;
+    const double latest_wall = *downstream.due_wall - lead_time_s(dependent);
     combined.due_wall = std::min(combined.due_wall.value_or(latest_wall), latest_wall);
   }
   return combined;
@@ -59,9 +58,9 @@
 
 Urgency Dependencies::urgency(JobIndex job_index) const {
   if (outdated_) recompute();
-  const Urgency own = jobs_[job_index].spec.urgency;
-  if (job_index.position() >= requirements_.size()) return own;
-  return std::max(own, requirements_[job_index.position()].urgency);
+  const Urgency own_priority = jobs_[job_index].spec.urgency;
+  if (job_index.position() >= requirements_.size()) return own_priority;
+  return std::max(own_priority, requirements_[job_index.position()].urgency);
 }
 
 std::optional<double> Dependencies::deadline(JobIndex job_index) const {
@@ -72,8 +71,8 @@
 }
 
 std::optional<double> Dependencies::own_deadline(JobIndex job_index) const {
-  const auto &own = jobs_[job_index].spec.deadline_s;
-  return own ? std::optional(jobs_[job_index].submit_wall + *own - ready_wall(job_index)) : std::nullopt;
+  const auto &deadline_s = jobs_[job_index].spec.deadline_s;
+  return deadline_s ? std::optional(jobs_[job_index].submit_wall + *deadline_s - ready_wall(job_index)) : std::nullopt;
 }
 
 const std::vector<JobIndex> &Dependencies::topological_order() const {
@@ -82,8 +81,8 @@
 }
 
 CriticalPath Dependencies::critical_path(const std::function<double(JobIndex)> &remaining_s) const {
-  const std::vector<double> none(jobs_.index_limit(), 0);
-  CriticalPath path{none, none, std::vector<JobIndex>(jobs_.index_limit())};
+  const std::vector<double> zeros(jobs_.index_limit(), 0);
+  CriticalPath path{zeros, zeros, std::vector<JobIndex>(jobs_.index_limit())};
   for (JobIndex job_index : topological_order()) {
     if (!jobs_.find(job_index)) continue;
     const std::size_t position = job_index.position();
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -9,16 +9,16 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kLookupRetry = 1.0;    // s, after a look-up that has not shown an end
-constexpr double kLookupDeadline = 1.0; // s, of each of its reads
-constexpr double kLookupReads = 1.3;    // of the state service's budget: the second read is seldom needed
+constexpr double kLookupRetryS = 1.0;    // after a look-up that found no end
+constexpr double kLookupDeadlineS = 1.0; // for each read
+constexpr double kReadsPerLookup = 1.3;  // average charged to the read budget; the second read is rarely needed
 } // namespace
 
-// ---- look-ups in the graph ----
+// ---- accessors ----
 
 const Dependencies::Node &Dependencies::node(JobIndex job_index) const {
-  static const Node kNone;
-  return has_node(job_index) ? nodes_[job_index.position()] : kNone;
+  static const Node kUnknown;
+  return has_node(job_index) ? nodes_[job_index.position()] : kUnknown;
 }
 
 bool Dependencies::ready(JobIndex job_index) const {
@@ -44,7 +44,7 @@
   added.ready_wall = job.submit_wall;
   outdated_ = true;
   index_[added.id] = job_index;
-  // Jobs that name it may have become known before it.
+  // Its dependents may have become known first.
   if (const auto it = lookups_.find(added.id); it != lookups_.end()) {
     const auto dependents = std::move(it->second.dependents);
     lookups_.erase(it);
@@ -86,17 +86,17 @@
   if (ready(job_index) && jobs_.find(job_index) && !jobs_[job_index].cancelled) jobs_.mark_ready(job_index);
 }
 
-// What it waits for can no longer be done. Its own dependents follow when the event of its cancellation is delivered.
+// Cancels a job whose dependency was cancelled. Its own dependents follow when its JobCancelled event is delivered.
 void Dependencies::dependency_cancelled(JobIndex job_index, const std::string &dependency_id) {
   Node &job = node(job_index);
   if (job.cancelled_dependency.empty()) job.cancelled_dependency = dependency_id;
   outdated_ = true;
-  if (jobs_.find(job_index)) jobs_.cancel(job_index); // it may have ended by the same write
+  if (jobs_.find(job_index)) jobs_.cancel(job_index); // the same write may have ended it
 }
 
 void Dependencies::on(const JobCancelled &event) {
   if (!has_node(event.job) || !jobs_.find(event.job)) return;
-  outdated_ = true; // what it waits for is no longer wanted for it
+  outdated_ = true; // its requirements no longer propagate to its dependencies
   const auto dependents = node(event.job).dependents;
   for (JobIndex dependent : dependents)
     dependency_cancelled(dependent, node(event.job).id);
@@ -104,7 +104,7 @@
 
 void Dependencies::on(const JobEndLearned &event) {
   const auto *end = ended_.find(event.id);
-  if (!end) return; // pushed out by newer ones: read again
+  if (!end) return; // evicted from the cache; it is looked up again
   if (const auto it = lookups_.find(event.id); it != lookups_.end()) {
     const auto dependents = std::move(it->second.dependents);
     lookups_.erase(it);
@@ -128,7 +128,7 @@
     std::erase(it->second.dependents, event.job);
     it = it->second.dependents.empty() ? lookups_.erase(it) : std::next(it);
   }
-  for (JobIndex dependent : ended.dependents) { // how it ended is not known: it is looked up
+  for (JobIndex dependent : ended.dependents) { // its end is not known here and has to be looked up
     std::erase(node(dependent).open_dependencies, event.job);
     lookups_[ended.id].dependents.push_back(dependent);
   }
@@ -147,25 +147,25 @@
   outdated_ = false;
 }
 
-// ---- jobs that are not open here ----
+// ---- look-ups of jobs that are not open here ----
 
 void Dependencies::tick() {
   if (!leadership_.leading()) return;
   for (auto &[id, lookup] : lookups_) {
     if (lookups_in_flight_ >= kMaxLookups) return;
     if (lookup.in_flight || runtime_.now() < lookup.next_at) continue;
-    if (!state_limits_.take_read(runtime_.now(), kLookupReads)) continue;
+    if (!state_limits_.take_read(runtime_.now(), kReadsPerLookup)) continue;
     lookup.in_flight = true;
     ++lookups_in_flight_;
     look_up_open(id);
   }
 }
 
-// A job is in one of the two records at every moment, and moves from the first to the second: so the second is read
-// after the first. Of one that is open the watch tells.
+// Every job has either an open record or an end record, and one write replaces the former by the latter. The end record
+// is therefore read after the open record was found missing. The watch reports the end of a job that is still open.
 void Dependencies::look_up_open(const std::string &id) {
   const auto epoch = leadership_.epoch();
-  runtime_.store(StoreGet{wire::open_key(id)}, kLookupDeadline, [this, id, epoch](const wire::StoreReply &reply) {
+  runtime_.store(StoreGet{wire::open_key(id)}, kLookupDeadlineS, [this, id, epoch](const wire::StoreReply &reply) {
     if (epoch != leadership_.epoch()) return;
     if (reply.status == 404) return look_up_ended(id);
     const bool found = reply.status == 200 && reply.entries.size() == 1;
@@ -175,7 +175,7 @@
 
 void Dependencies::look_up_ended(const std::string &id) {
   const auto epoch = leadership_.epoch();
-  runtime_.store(StoreGet{wire::end_key(id)}, kLookupDeadline, [this, id, epoch](const wire::StoreReply &reply) {
+  runtime_.store(StoreGet{wire::end_key(id)}, kLookupDeadlineS, [this, id, epoch](const wire::StoreReply &reply) {
     if (epoch != leadership_.epoch()) return;
     const bool found = reply.status == 200 && reply.entries.size() == 1;
     finish_lookup(id, found ? wire::end_from_json(reply.entries[0].value) : std::nullopt);
@@ -186,7 +186,7 @@
   --lookups_in_flight_;
   if (const auto it = lookups_.find(id); it != lookups_.end()) {
     it->second.in_flight = false;
-    it->second.next_at = runtime_.now() + kLookupRetry;
+    it->second.next_at = runtime_.now() + kLookupRetryS;
   }
   if (end) ended_.remember(id, std::move(*end));
 }
--- a/src/core/jobs/ended_jobs.cpp
+++ b/src/core/jobs/ended_jobs.cpp
@@ -12,10 +12,10 @@
 void EndedJobs::remember(const std::string &id, EndRecord end) {
   events_.publish(JobEndLearned{id});
   if (!ends_.emplace(id, std::move(end)).second) return;
-  order_.push_back(id);
-  if (order_.size() <= kMax) return;
-  ends_.erase(order_.front());
-  order_.pop_front();
+  insertion_order_.push_back(id);
+  if (insertion_order_.size() <= kMaxCached) return;
+  ends_.erase(insertion_order_.front());
+  insertion_order_.pop_front();
 }
 
 } // namespace loftrouter::core
--- a/src/core/jobs/failure_attribution.cpp
+++ b/src/core/jobs/failure_attribution.cpp
@@ -8,19 +8,19 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr std::uint32_t kSuspectedAfterMachines = 2; // on which a job has failed, without ever succeeding
-constexpr double kPauseAfterFailover = 20.0;         // s, of a job that failed everywhere under the last leader
-constexpr double kAvoidedFor = 120.0;                // s, that a job keeps off a machine on which it has failed
-constexpr std::size_t kMaxFailures = 8;              // machines remembered for a job
-constexpr double kMaxProbePause = 80.0;              // s, between tries of a job that fails everywhere
-constexpr int kMaxProbes = 10;                       // counted; the pause has reached its maximum long before
+constexpr std::uint32_t kSuspectedAfterMachines = 2; // machines on which a job has failed without ever succeeding
+constexpr double kPauseAfterFailoverS = 20.0;        // for jobs that an earlier leader suspected
+constexpr double kMachineAvoidedS = 120.0;           // after a failure of the job there
+constexpr std::size_t kMaxFailuresPerJob = 8;
+constexpr double kMaxProbePauseS = 80.0; // between retries of a suspected job
+constexpr int kMaxProbes = 10;           // bounds the exponent of the backoff
 } // namespace
 
-// ---- look-ups ----
+// ---- accessors ----
 
 const FailureAttribution::JobHistory &FailureAttribution::history(JobIndex job_index) const {
-  static const JobHistory kNone;
-  return job_index.position() < job_histories_.size() ? job_histories_[job_index.position()] : kNone;
+  static const JobHistory kEmpty;
+  return job_index.position() < job_histories_.size() ? job_histories_[job_index.position()] : kEmpty;
 }
 
 bool FailureAttribution::suspected(JobIndex job_index) const {
@@ -38,14 +38,14 @@
 std::vector<MachineIndex> FailureAttribution::avoided_machines(JobIndex job_index) const {
   std::vector<MachineIndex> avoided;
   for (const auto &failure : history(job_index).failures)
-    if (runtime_.now() - failure.at < kAvoidedFor) avoided.push_back(failure.machine);
+    if (runtime_.now() - failure.at < kMachineAvoidedS) avoided.push_back(failure.machine);
   return avoided;
 }
 
 bool FailureAttribution::MachineHistory::is_faulty() const {
-  const auto sure = std::count_if(failed_jobs.begin(), failed_jobs.end(),
-                                  [](const FailedJob &job) { return job.succeeded_elsewhere; });
-  return sure >= 2 || failed_jobs.size() >= 3 || (sure >= 1 && errors >= 3);
+  const auto confirmed = std::count_if(failed_jobs.begin(), failed_jobs.end(),
+                                       [](const FailedJob &job) { return job.succeeded_elsewhere; });
+  return confirmed >= 2 || failed_jobs.size() >= 3 || (confirmed >= 1 && errors >= 3);
 }
 
 // ---- exits ----
@@ -53,7 +53,7 @@
 void FailureAttribution::restore(JobIndex job_index, std::uint32_t failed_machine_count) {
   JobHistory &job = grown(job_histories_, job_index);
   job.failed_machine_count = failed_machine_count;
-  if (suspected(job_index)) job.retry_at = runtime_.now() + kPauseAfterFailover;
+  if (suspected(job_index)) job.retry_at = runtime_.now() + kPauseAfterFailoverS;
 }
 
 void FailureAttribution::on(const TaskExited &event) {
@@ -63,17 +63,18 @@
 
 void FailureAttribution::task_succeeded(const TaskExited &event) {
   MachineHistory &machine = grown(machine_histories_, event.machine);
-  // What had begun before the failures says nothing about what begins now.
-  machine.last_good_start = std::max(machine.last_good_start, event.placed_at);
+  // Only the success of a task placed after the first failure shows that the machine works.
+  machine.last_good_placement = std::max(machine.last_good_placement, event.placed_at);
   if (event.placed_at >= machine.failing_since) {
     machine.failed_jobs.clear();
     machine.errors = 0;
   }
   JobHistory &job = grown(job_histories_, event.job);
   job.failed_machine_count = 0;
-  std::erase_if(job.failures, [this](const Failure &failure) { return runtime_.now() - failure.at >= kAvoidedFor; });
+  std::erase_if(job.failures,
+                [this](const Failure &failure) { return runtime_.now() - failure.at >= kMachineAvoidedS; });
   for (const auto &failure : job.failures)
-    count_against_machine(failure.machine, event.job, failure.at); // so it was the machines
+    count_against_machine(failure.machine, event.job, failure.at); // the job can succeed, so the machine is at fault
 }
 
 void FailureAttribution::task_failed(const TaskExited &event) {
@@ -99,7 +100,7 @@
     return;
   }
   ++history.failed_machine_count;
-  if (history.failures.size() >= kMaxFailures) history.failures.erase(history.failures.begin());
+  if (history.failures.size() >= kMaxFailuresPerJob) history.failures.erase(history.failures.begin());
   history.failures.push_back({machine_index, runtime_.now()});
 }
 
@@ -110,10 +111,10 @@
   jobs_.changed(job_index, false);
 }
 
-// A suspected job is tried again after a pause that doubles.
+// Retries a suspected job with exponential backoff.
 void FailureAttribution::schedule_retry(JobHistory &history) {
   const double first_pause_s = operators_.tunables().probe_pause_s;
-  const double max_pause_s = std::max(kMaxProbePause, first_pause_s);
+  const double max_pause_s = std::max(kMaxProbePauseS, first_pause_s);
   history.retry_at = runtime_.now() + std::min(max_pause_s, first_pause_s * std::pow(2.0, history.probes));
   history.probes = std::min(history.probes + 1, kMaxProbes);
 }
@@ -122,22 +123,22 @@
 
 void FailureAttribution::count_against_machine(MachineIndex machine_index, JobIndex job_index, double failed_at) {
   MachineHistory &machine = grown(machine_histories_, machine_index);
-  if (machine.last_good_start > failed_at) return;
+  if (machine.last_good_placement > failed_at) return;
   if (machine.failed_jobs.empty()) machine.failing_since = failed_at;
   const std::string &id = jobs_[job_index].spec.id;
   const bool succeeded_elsewhere = jobs_[job_index].done > 0;
-  const auto known = std::find_if(machine.failed_jobs.begin(), machine.failed_jobs.end(),
-                                  [&id](const FailedJob &failed) { return failed.id == id; });
-  if (known == machine.failed_jobs.end())
+  const auto existing = std::find_if(machine.failed_jobs.begin(), machine.failed_jobs.end(),
+                                     [&id](const FailedJob &failed) { return failed.id == id; });
+  if (existing == machine.failed_jobs.end())
     machine.failed_jobs.push_back({id, succeeded_elsewhere});
   else
-    known->succeeded_elsewhere |= succeeded_elsewhere;
+    existing->succeeded_elsewhere |= succeeded_elsewhere;
   if (machine.quarantined || !machine.is_faulty()) return;
   machine.quarantined = true;
   events_.publish(MachineQuarantined{machine_index, machine.failed_jobs.size()});
 }
 
-// The job's failures were more likely its own.
+// Removes the job's failures from the histories of its machines, because the job is probably at fault.
 void FailureAttribution::clear_machines_of(JobIndex job_index) {
   const std::string &id = jobs_[job_index].spec.id;
   for (const auto &failure : grown(job_histories_, job_index).failures) {
--- a/src/core/jobs/job_objectives.cpp
+++ b/src/core/jobs/job_objectives.cpp
@@ -8,47 +8,48 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kDefaultTarget = 3600.0; // s, of jobs without a deadline or an objective: expensive machines can wait
-constexpr double kDeferrableFor = 1800.0; // s, of small work without a target: then it may use expensive machines too
-constexpr std::string_view kFinished = "finished"; // kinds of objectives, as the settings name them
+constexpr double kDefaultTargetS = 3600.0; // for jobs without a deadline or an objective
+constexpr double kDeferrableS = 1800.0;    // then small work without a target may use expensive machines, too
+// Kinds of objectives in the settings.
+constexpr std::string_view kFinished = "finished";
 constexpr std::string_view kWait = "wait";
 } // namespace
 
 std::optional<double> JobObjectives::completion_target(const JobSpec &spec, std::optional<double> deadline) const {
   if (deadline) return deadline;
-  std::optional<double> last;
+  std::optional<double> latest;
   for (const auto &objective : settings_.objectives)
     if (objective.kind == kFinished && objective.job_class == spec.job_class)
-      last = std::max(last.value_or(0), objective.within_s);
-  return last ? last : start_target(spec);
+      latest = std::max(latest.value_or(0), objective.within_s);
+  return latest ? latest : start_target(spec);
 }
 
-// Where only its start is wanted by a time: that, and its run.
+// The completion target implied by objectives for the start: the latest start plus the estimated run time.
 std::optional<double> JobObjectives::start_target(const JobSpec &spec) const {
-  std::optional<double> last;
+  std::optional<double> latest;
   for (const auto &objective : settings_.objectives)
     if (objective.kind == kWait && objective.job_class == spec.job_class)
-      last = std::max(last.value_or(0), objective.within_s + spec.estimate_s);
-  return last;
+      latest = std::max(latest.value_or(0), objective.within_s + spec.estimate_s);
+  return latest;
 }
 
 double JobObjectives::achievable_target(const JobSpec &spec, std::optional<double> deadline, double age_s) const {
   if (deadline) return *deadline;
-  const double soonest = age_s + spec.estimate_s;
-  double first = std::numeric_limits<double>::infinity();
-  double last = 0;
+  const double earliest_end_s = age_s + spec.estimate_s;
+  double tightest_s = std::numeric_limits<double>::infinity();
+  double loosest_s = 0;
   for (const auto &objective : settings_.objectives) {
     if (objective.kind != kFinished || objective.job_class != spec.job_class) continue;
-    if (objective.within_s >= soonest) first = std::min(first, objective.within_s);
-    last = std::max(last, objective.within_s);
+    if (objective.within_s >= earliest_end_s) tightest_s = std::min(tightest_s, objective.within_s);
+    loosest_s = std::max(loosest_s, objective.within_s);
   }
-  if (last <= 0) return start_target(spec).value_or(kDefaultTarget);
-  return std::isfinite(first) ? first : last;
+  if (loosest_s <= 0) return start_target(spec).value_or(kDefaultTargetS);
+  return std::isfinite(tightest_s) ? tightest_s : loosest_s;
 }
 
 bool JobObjectives::deferrable(const JobSpec &spec, Urgency urgency, std::optional<double> deadline,
                                double age_s) const {
-  return is_small(spec, urgency) && !completion_target(spec, deadline) && age_s < kDeferrableFor;
+  return is_small(spec, urgency) && !completion_target(spec, deadline) && age_s < kDeferrableS;
 }
 
 } // namespace loftrouter::core
--- a/src/core/jobs/job_reasons.cpp
+++ b/src/core/jobs/job_reasons.cpp
@@ -11,29 +11,30 @@
 }
 
 const std::string &JobReasons::last_event(JobIndex job_index) const {
-  static const std::string kNone;
-  return job_index.position() < last_events_.size() ? last_events_[job_index.position()] : kNone;
+  static const std::string kEmpty;
+  return job_index.position() < last_events_.size() ? last_events_[job_index.position()] : kEmpty;
 }
 
-// It stays until the next such event.
-void JobReasons::set(JobIndex job_index, std::string_view what) {
-  grown(last_events_, job_index) = fmt::format("{} ({})", what, wire::clock_time(runtime_.wall()));
+void JobReasons::set_last_event(JobIndex job_index, std::string_view text) {
+  grown(last_events_, job_index) = fmt::format("{} ({})", text, wire::clock_time(runtime_.wall()));
 }
 
 void JobReasons::on(const TaskRetried &event) {
-  set(event.job, fmt::format("a task failed on machine {} and is started again elsewhere", event.machine));
+  set_last_event(event.job, fmt::format("a task failed on machine {} and is started again elsewhere", event.machine));
 }
 
 void JobReasons::on(const TaskLost &event) {
-  set(event.job, fmt::format("machine {} was lost, {}: its tasks are started again", event.machine, event.why));
+  set_last_event(event.job,
+                 fmt::format("machine {} was lost, {}: its tasks are started again", event.machine, event.why));
 }
 
 void JobReasons::on(const TaskPreempted &event) {
-  set(event.job, fmt::format("a task was stopped to make room for job {} of higher priority", event.by));
+  set_last_event(event.job, fmt::format("a task was stopped to make room for job {} of higher priority", event.by));
 }
 
 void JobReasons::on(const TasksStoppedByBudget &event) {
-  set(event.job, fmt::format("its tasks were stopped because team {} had used its budget", jobs_[event.job].spec.team));
+  set_last_event(event.job,
+                 fmt::format("its tasks were stopped because team {} had used its budget", jobs_[event.job].spec.team));
 }
 
 EndRecord JobReasons::end_record(JobIndex job_index) const {
@@ -49,12 +50,12 @@
     end.reason = cancellation_reason(job_index);
     return end;
   }
-  const double took_s = end.end_wall - dependencies_.ready_wall(job_index);
+  const double duration_s = end.end_wall - dependencies_.ready_wall(job_index);
   const auto target_s = objectives_.completion_target(job.spec, dependencies_.own_deadline(job_index));
-  end.late = target_s && took_s > *target_s;
+  end.late = target_s && duration_s > *target_s;
   if (!end.late) return end;
   const std::string &last = last_event(job_index);
-  end.reason = fmt::format("finished {:.0f} s late{}{}", took_s - *target_s, last.empty() ? "" : "; ", last);
+  end.reason = fmt::format("finished {:.0f} s late{}{}", duration_s - *target_s, last.empty() ? "" : "; ", last);
   return end;
 }
 
--- a/src/core/jobs/job_table.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-// visit(index) for each task of `ranges` that a job of `tasks` tasks has: records may name more.
-template <class Visit> void each_task(const Ranges &ranges, std::uint32_t tasks, Visit &&visit) {
+// Calls visit(task_index) for each task in `ranges`. Skips indices beyond `task_count`, which records may contain.
+template <class Visit> void each_task(const Ranges &ranges, std::uint32_t task_count, Visit &&visit) {
   for (const auto &[begin, end] : ranges)
-    for (std::uint32_t task_index = begin; task_index < end && task_index < tasks; ++task_index)
+    for (std::uint32_t task_index = begin; task_index < end && task_index < task_count; ++task_index)
       visit(task_index);
 }
 
-// The count of tasks in this state, or null: pending ones are not counted.
+// Returns the job's counter for this state; null for pending tasks, which have none.
 std::uint32_t *count_of(Job &job, TaskState state) {
   switch (state) {
   case TaskState::Placed:
@@ -49,8 +49,8 @@
 }
 
 JobIndex JobTable::index(const std::string &id) const {
-  const auto it = index_.find(id);
-  return it == index_.end() ? JobIndex() : it->second;
+  const auto it = index_by_id_.find(id);
+  return it == index_by_id_.end() ? JobIndex() : it->second;
 }
 
 bool JobTable::consistent(JobIndex job_index) const {
@@ -67,17 +67,17 @@
 // ---- jobs ----
 
 JobIndex JobTable::free_index() {
-  if (free_.empty()) {
+  if (free_indices_.empty()) {
     jobs_.emplace_back();
     return JobIndex(jobs_.size() - 1);
   }
-  const JobIndex job_index = free_.back();
-  free_.pop_back();
+  const JobIndex job_index = free_indices_.back();
+  free_indices_.pop_back();
   return job_index;
 }
 
 JobIndex JobTable::add(OpenRecord record, std::uint64_t mod_revision) {
-  assert(!index_.contains(record.spec.id));
+  assert(!index_by_id_.contains(record.spec.id));
   const JobIndex job_index = free_index();
   assert(!find(job_index));
   jobs_[job_index.position()] = std::make_unique<Job>();
@@ -86,18 +86,18 @@
   job.submit_wall = record.submit_wall;
   job.cancelled = record.cancelled;
   job.open_mod_revision = mod_revision;
-  job.serial = ++serial_;
+  job.serial = ++last_serial_;
   job.tasks.resize(job.spec.tasks);
   if (record.delegated) accept_delegation(job_index, std::move(*record.delegated));
   job.team = team_names_.find(job.spec.team);
   job.image = image_names_.get(job.spec.image);
-  index_[job.spec.id] = job_index;
+  index_by_id_[job.spec.id] = job_index;
   ++arrivals_;
   return job_index;
 }
 
-// Another cell's job. Accounts and queues tell it apart from this cell's own work; the name is no team's
-// (JobApiHandler refuses it). It waits until the origin cell has confirmed the delegation.
+// Initializes a job delegated by an origin cell. Its team name "@<cell>" separates it from local work in accounts and
+// queues; JobApiHandler refuses such names from users. The job is paused until the origin cell confirms the delegation.
 void JobTable::accept_delegation(JobIndex job_index, DelegationSource source) {
   Job &job = at(job_index);
   job.spec.team = "@" + source.origin;
@@ -129,7 +129,7 @@
 
 void JobTable::remove(JobIndex job_index) {
   events_.publish(JobFinalized{job_index, at(job_index).spec.id});
-  index_.erase(at(job_index).spec.id);
+  index_by_id_.erase(at(job_index).spec.id);
   jobs_[job_index.position()].reset();
 }
 
@@ -173,8 +173,8 @@
 
 void JobTable::on(const TermEnded &) {
   jobs_.clear();
-  free_.clear();
-  index_.clear();
+  free_indices_.clear();
+  index_by_id_.clear();
 }
 
 // ---- tasks ----
@@ -193,8 +193,8 @@
 }
 
 void JobTable::place(JobIndex job_index, std::uint32_t task_index, MachineIndex machine, int zone) {
-  // Guards against a second start of a task that may still run: only a waiting one is placed, and one of an earlier
-  // leader's when its worker lists it.
+  // Only pending tasks, and unaccounted ones when a worker lists them, may be placed. Guards against a second start of
+  // a task that may still run.
   assert(at(job_index).tasks[task_index].state == TaskState::Pending ||
          at(job_index).tasks[task_index].state == TaskState::Unaccounted);
   set_state(job_index, task_index, TaskState::Placed, machine, zone);
@@ -213,8 +213,8 @@
 }
 
 std::vector<JobIndex> JobTable::expire_unaccounted() {
-  std::vector<JobIndex> concerned;
-  if (unaccounted_until_ <= 0 || runtime_.now() < unaccounted_until_) return concerned;
+  std::vector<JobIndex> affected;
+  if (unaccounted_until_ <= 0 || runtime_.now() < unaccounted_until_) return affected;
   unaccounted_until_ = 0;
   each([&](JobIndex job_index, const Job &job) {
     if (job.unaccounted == 0) return;
@@ -222,17 +222,17 @@
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
       if (job.tasks[i].state == TaskState::Unaccounted) set_state(job_index, i, TaskState::Pending);
     if (job.finishable()) changed(job_index, true);
-    concerned.push_back(job_index);
+    affected.push_back(job_index);
   });
-  return concerned;
+  return affected;
 }
 
 // ---- gangs ----
 
-std::uint64_t JobTable::next_gang_attempt(JobIndex job_index, std::uint64_t fresh) {
+std::uint64_t JobTable::next_gang_attempt(JobIndex job_index, std::uint64_t min_attempt) {
   Job &job = at(job_index);
   assert(job.placed == 0);
-  job.gang_attempt = std::max(job.gang_attempt + 1, fresh);
+  job.gang_attempt = std::max(job.gang_attempt + 1, min_attempt);
   job.gang_closed = false;
   return job.gang_attempt;
 }
@@ -246,7 +246,7 @@
   at(job_index).gang_closed = closed;
 }
 
-// ---- delegations to other cells ----
+// ---- delegations to remote cells ----
 
 void JobTable::delegate(JobIndex job_index, DelegationRecord delegation) {
   Job &job = at(job_index);
@@ -273,19 +273,19 @@
 void JobTable::expire_delegation(JobIndex job_index, std::uint64_t generation) {
   for (auto &delegation : at(job_index).delegations) {
     if (delegation.generation != generation) continue;
-    const bool had_lapsed = std::exchange(delegation.lapsed, true);
-    if (!had_lapsed) free_delegated(job_index, delegation.tasks);
+    const bool already_expired = std::exchange(delegation.lapsed, true);
+    if (!already_expired) free_delegated(job_index, delegation.tasks);
   }
   changed(job_index, true);
 }
 
 void JobTable::remove_delegation(JobIndex job_index, std::uint64_t generation) {
   auto &delegations = at(job_index).delegations;
-  const auto it = std::find_if(delegations.begin(), delegations.end(),
-                               [generation](const auto &delegation) { return delegation.generation == generation; });
-  if (it == delegations.end()) return;
-  if (!it->lapsed) free_delegated(job_index, it->tasks);
-  delegations.erase(it);
+  const auto found = std::find_if(delegations.begin(), delegations.end(),
+                                  [generation](const auto &delegation) { return delegation.generation == generation; });
+  if (found == delegations.end()) return;
+  if (!found->lapsed) free_delegated(job_index, found->tasks);
+  delegations.erase(found);
   changed(job_index, true);
 }
 
