--- a/include/loftrouter/core/workers/machine.hpp
+++ b/include/loftrouter/core/workers/machine.hpp
@@ -1,8 +1,8 @@
-// A worker machine and the tasks allocated to it, as a leader knows them.
+// The leader's view of a worker machine and of the tasks allocated to it.
 //
-// Plain data, owned by the `WorkerRegistry` and changed by it alone; everybody else reads it. Times are monotonic
-// seconds of the runtime's clock; -1 stands for "never". The lifecycle of an allocation only moves forward: if one that
-// was sent were taken for unsent, its task would be started elsewhere while it runs (ran_twice).
+// Plain data, owned by the `WorkerRegistry` and modified by it alone. Times are monotonic seconds; -1 means "never".
+// The lifecycle of an allocation only moves forward: if a sent start counted as unsent, its task could be started
+// elsewhere while it runs (docs/safety.md "ran_twice").
 #pragma once
 
 #include <compare>
@@ -20,33 +20,33 @@
 
 namespace loftrouter::core {
 
-// How far the start of a task has come, in this order.
+// The lifecycle of an allocation; the values are ordered.
 enum class AllocationState : std::uint8_t {
-  Unsent,    // the start is not in any response yet, so the worker cannot know of it
-  Sent,      // it is in a response, which may or may not have arrived
+  Unsent,    // no response has carried the start, so the worker cannot know of it
+  Sent,      // a response has carried the start; it may not have arrived
   Observed,  // a heartbeat has listed the task
-  Completed, // a heartbeat has listed it as exited with success; kept until the result is recorded
+  Completed, // a heartbeat has listed the task as succeeded; kept until the result is recorded
 };
 
-// What the last heartbeat says of a task that was allocated when it came.
+// How the last heartbeat listed an allocated task.
 enum class Presence : std::uint8_t {
   Absent, // not listed
   Listed,
-  Failed, // listed as exited without success
+  Failed, // listed as exited, and not completed
 };
 
 // A task bound to a machine.
 struct Allocation {
-  JobIndex job; // none: a task of an unknown job, to be stopped
+  JobIndex job; // invalid: the task belongs to no open job and is to be stopped
   std::string job_id;
-  std::uint32_t index = 0; // of the task in its job
+  std::uint32_t index = 0; // task index in the job
   std::uint64_t attempt = 0;
   AllocationState state = AllocationState::Unsent;
-  TaskPhase phase = TaskPhase::Fetching; // by the last heartbeat that listed it
-  // Started by an earlier leader, and unaccounted for until a heartbeat to this one listed it.
+  TaskPhase phase = TaskPhase::Fetching; // in the last heartbeat that listed the task
+  // Adopted: started by an earlier leader and unaccounted for until a heartbeat listed it.
   bool was_unaccounted = false;
   Presence presence = Presence::Absent;
-  std::optional<double> stop_grace_s; // set: it is to be stopped, with so many seconds to save a checkpoint
+  std::optional<double> stop_grace_s; // set: stop requested, with this much time to save a checkpoint
   double placed_at = 0;
   double start_sent_at = -1;
   double waiting_since = -1;
@@ -59,51 +59,52 @@
   bool stop_requested() const { return stop_grace_s.has_value(); }
 };
 
-// Whether the machine can be counted on. `MachineLost` is published on the way to `Lost`; a heartbeat leads back.
+// The availability of the machine. `MachineLost` is published on the change to `Lost`; an accepted heartbeat makes the
+// machine available again.
 enum class MachineAvailability : std::uint8_t {
   Starting,  // no heartbeat yet
   Available, // a heartbeat was accepted, and the lease it renewed has not expired
-  Lost,      // its lease expired, or it failed
+  Lost,      // the lease expired, or the machine failed or was removed
 };
 
-// Whether the autoscaler keeps the machine. It goes from the first two to `Returning` and never back.
+// The scale-in decision for the machine. `Returning` is final.
 enum class ScaleInState : std::uint8_t {
   Retained,
-  Draining,  // surplus: takes no new tasks, and is given back once it is empty
-  Returning, // takes no new tasks, and is being given back to the cloud
+  Draining,  // surplus: takes no new tasks, and is returned to the cloud once it is empty
+  Returning, // takes no new tasks, and is being returned to the cloud
 };
 
-// What the worker's heartbeats have said.
+// The state derived from the worker's accepted heartbeats.
 struct HeartbeatState {
-  std::string worker_address;      // where the worker takes stop commands; empty: nowhere
-  ReplicaIndex forwarding_replica; // the replica that forwarded the last heartbeat; none: it came directly
+  std::string worker_address;      // receives stop commands; empty: none
+  ReplicaIndex forwarding_replica; // forwarded the last heartbeat; invalid: received directly
   std::uint64_t incarnation = 0;   // of the last heartbeat
-  std::uint64_t sequence = 0;      // of the last heartbeat, within its incarnation
+  std::uint64_t sequence = 0;      // of the last heartbeat within its incarnation
   double incarnation_since = 0;
   double first_accepted_at = -1;
-  double last_accepted_at = -1; // when the lease was last renewed, too
+  double last_accepted_at = -1; // also the last lease renewal
 
   bool received() const { return first_accepted_at >= 0; }
 };
 
-// What the cloud's list of machines has said; neither is taken back.
+// What the cloud's machine list has shown; both flags stay set.
 struct CloudListing {
-  bool running = false; // it was up; it may have gone in the last half minute
-  bool failed = false;  // it stopped on its own
+  bool running = false; // listed as running; may have stopped since
+  bool failed = false;  // stopped without a request
 };
 
 struct Machine {
   std::string name;
-  int type = -1; // by the instance type catalog; -1: not known there
+  int type = -1; // index in the instance type catalog; -1: not in it
   int zone = -1;
   bool spot = false;
   Resources size;
 
   double known_since = 0;
   double rented_at = 0;
-  double idle_since = -1;                             // -1: not idle, or not known to be
-  std::optional<double> reclaim_at;                   // the cloud's notice: when it takes the spot instance back
-  std::optional<wire::MachineAdminState> admin_state; // by an operator: takes no new tasks
+  double idle_since = -1;                             // -1: not idle, or unknown
+  std::optional<double> reclaim_at;                   // when the cloud reclaims the spot instance
+  std::optional<wire::MachineAdminState> admin_state; // set by an operator: takes no new tasks
 
   MachineAvailability availability = MachineAvailability::Starting;
   ScaleInState scale_in = ScaleInState::Retained;
@@ -112,10 +113,10 @@
   CloudListing listing;
 
   std::vector<Allocation> allocations;
-  bool stop_commands_pending = false;       // stops were requested that no response has carried yet
+  bool stop_commands_pending = false;       // requested stops that no response has carried yet
   Resources used;                           // by allocations that are not completed
-  std::list<std::pair<int, double>> images; // cached there by index, and their GB, most recently used first
-  double busy_cpu_s = 0;                    // CPU seconds of tasks that ran to their end here
+  std::list<std::pair<int, double>> images; // cached image indices and sizes in GB, most recently used first
+  double busy_cpu_s = 0;                    // CPU seconds of tasks that succeeded here
 
   bool lost() const { return availability == MachineAvailability::Lost; }
   bool available() const { return availability == MachineAvailability::Available; }
@@ -126,7 +127,7 @@
   }
 };
 
-// What machines are rented as.
+// The kind of instance that is requested from the cloud.
 struct MachineKind {
   int type = -1;
   int zone = -1;
--- a/src/core/workers/allocations.cpp
+++ b/src/core/workers/allocations.cpp
@@ -1,4 +1,4 @@
-// The part of the worker registry that allocates, releases and stops tasks, one by one, by job and by gang.
+// WorkerRegistry: allocating, releasing and stopping tasks.
 #include <algorithm>
 #include <utility>
 
@@ -7,7 +7,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr std::size_t kMaxStops = 400; // in one call; keeps it below the protocol's 64 KiB
+constexpr std::size_t kMaxStopsPerCall = 400; // keeps the message below the protocol's 64 KiB
 } // namespace
 
 void WorkerRegistry::allocate(MachineIndex machine_index, JobIndex job_index, std::uint32_t task_index,
@@ -31,26 +31,27 @@
   Machine &machine = at(machine_index);
   const Allocation allocation = std::move(machine.allocations[position]);
   machine.allocations.erase(machine.allocations.begin() + static_cast<std::ptrdiff_t>(position));
-  if (allocation.completed()) return; // published and accounted for when it exited
+  if (allocation.completed()) return; // published and accounted for at its exit
   publish_released(machine_index, allocation, false);
   machine.used.add(allocation.need, -1);
   if (!allocation.job.valid()) return;
-  // An attempt that an earlier leader started may be an old one, listed by a heartbeat that was held up: its end says
-  // nothing about a later attempt elsewhere, which may not be known yet.
+  // A delayed heartbeat may have listed an outdated attempt of an earlier leader. A newer attempt may still run
+  // elsewhere without being known yet, so the end of this one is no proof that the task is gone.
   const bool unaccounted = allocation.was_unaccounted && jobs_.unaccounted_until() > 0;
   jobs_.release(allocation.job, allocation.index, machine_index, unaccounted);
 }
 
 void WorkerRegistry::publish_released(MachineIndex machine_index, const Allocation &allocation, bool done) {
   if (!allocation.job.valid() || allocation.start_sent_at < 0)
-    return; // no job's, or nobody was told that it was allocated
+    return; // belongs to no job, or its allocation was not published
   const Machine &machine = at(machine_index);
   events_.publish(TaskReleased{allocation.job, allocation.index, machine_index, done, allocation.start_sent_at,
                                allocation.waiting_since, allocation.running_since, machine.type, machine.zone,
                                machine.spot});
 }
 
-// The machine's cache drops the images that were used longest ago; the one just used stays even if it is larger.
+// Models the image cache of the machine: LRU eviction that always keeps the image just used, even if it exceeds the
+// cache.
 void WorkerRegistry::touch_cached_image(Machine &machine, int image, double image_gb) {
   if (image < 0) return;
   machine.images.remove_if([image](const auto &cached) { return cached.first == image; });
@@ -101,7 +102,7 @@
   }
 }
 
-// Of several requests the shortest grace counts.
+// Several requests for one allocation combine to the shortest grace period.
 void WorkerRegistry::request_stop(MachineIndex machine_index, Allocation &allocation, double grace_s) {
   if (allocation.completed()) return;
   if (allocation.stop_requested()) {
@@ -112,20 +113,20 @@
   if (!std::exchange(at(machine_index).stop_commands_pending, true)) stop_commands_pending_.push_back(machine_index);
 }
 
-// The worker learns at once what the response to its next heartbeat would tell it. When its tasks have stopped it
-// sends a heartbeat by itself, and the response to that can start their successors: a heartbeat interval is saved. Also
-// of tasks whose start has been sent and not been observed: what fetches its image when its job is cancelled never
-// starts, and where the start has not arrived the command has no effect (its attempt's number is not used again).
+// Sends requested stops immediately instead of with the next heartbeat response. The worker sends a heartbeat when its
+// tasks have stopped, so their successors can start up to a heartbeat interval earlier. Also stops tasks that were sent
+// but not observed, for example while they fetch an image. If the start has not arrived, the command has no effect:
+// attempt numbers are not reused.
 void WorkerRegistry::send_stop_commands() {
   for (MachineIndex machine_index : std::exchange(stop_commands_pending_, {})) {
     Machine *machine = machines_[machine_index.position()].get();
-    // Removed, or a response has carried the stops since.
+    // The machine was removed, or a response has carried the stops.
     if (!machine || !std::exchange(machine->stop_commands_pending, false)) continue;
     const HeartbeatState &worker = machine->heartbeat;
     if (!leadership_.active() || machine->lost() || worker.worker_address.empty()) continue;
     WorkerCall call{worker.worker_address, leadership_.term(), worker.incarnation, machine->name, {}};
     for (const auto &allocation : machine->allocations) {
-      if (call.orders.size() >= kMaxStops) break;
+      if (call.orders.size() >= kMaxStopsPerCall) break;
       if (!allocation.stop_requested() || !allocation.sent() || allocation.phase == TaskPhase::Exited) continue;
       call.orders.push_back(
           {TaskCommand::Verb::Stop, allocation.job_id, allocation.index, allocation.attempt, *allocation.stop_grace_s});
--- a/src/core/workers/downlink_state.cpp
+++ b/src/core/workers/downlink_state.cpp
@@ -3,13 +3,13 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr int kMaxUnacknowledgedResponses = 2; // in a row, until the downlink counts as lost
+constexpr int kUnacknowledgedUntilLost = 2; // responses in a row
 } // namespace
 
 DownlinkState::Change DownlinkState::update(const DownlinkEvidence &evidence, bool survived_lease, double now) {
   if (evidence.unacknowledged) {
     ++unacknowledged_responses_;
-    if (unacknowledged_responses_ < kMaxUnacknowledgedResponses || lost()) return Change::None;
+    if (unacknowledged_responses_ < kUnacknowledgedUntilLost || lost()) return Change::None;
     lost_since_ = now;
     return Change::Lost;
   }
--- a/src/core/workers/heartbeat_reconciliation.cpp
+++ b/src/core/workers/heartbeat_reconciliation.cpp
@@ -1,5 +1,6 @@
-// The part of the worker registry that takes heartbeats: what the worker lists is compared with the allocations, and
-// the response is made up. Proof that a task is gone comes from here, see docs/safety.md, "ran_twice".
+// WorkerRegistry: reconciling a worker's task list with the allocations, and building the heartbeat response.
+//
+// A heartbeat that no longer lists a task is proof that the task is gone, see docs/safety.md "ran_twice".
 #include <algorithm>
 #include <cassert>
 #include <utility>
@@ -9,9 +10,9 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr std::size_t kMaxStarts = 400;    // in one response; keeps it below the protocol's 64 KiB
-constexpr double kResponsePatienceS = 3.5; // a worker whose response is lost tries again after 4 s at the soonest
-// Of a lease: an incarnation that ends sooner after a response has not received it.
+constexpr std::size_t kMaxStartsPerResponse = 400; // keeps the message below the protocol's 64 KiB
+constexpr double kResponseTimeoutS = 3.5;          // less than the 4 s after which a worker resends
+// A restart within this share of the lease after a response means that the response did not arrive.
 constexpr double kUnacknowledgedLeaseShare = 0.6;
 
 TaskCommand make_command(TaskCommand::Verb verb, const Allocation &allocation, double grace_s = 0) {
@@ -28,8 +29,8 @@
 } // namespace
 
 struct WorkerRegistry::TaskListing {
-  std::vector<std::pair<std::size_t, const TaskStatus *>> exits; // of allocations, in the order of the heartbeat
-  std::vector<const TaskStatus *> unknown;                       // no allocation's
+  std::vector<std::pair<std::size_t, const TaskStatus *>> exits; // allocation position and status, in heartbeat order
+  std::vector<const TaskStatus *> unknown;                       // tasks without an allocation
 };
 
 WorkerRegistry::HeartbeatResult WorkerRegistry::accept_heartbeat(MachineIndex machine_index, const Heartbeat &heartbeat,
@@ -47,15 +48,16 @@
   return HeartbeatResult::Accepted;
 }
 
-// A worker has one heartbeat in flight and waits 4 s for the response. Each sign by itself may be chance: a response
-// was lost, a machine was started anew.
+// Infers from timing, token and incarnation whether the last response arrived. A worker has one heartbeat in flight and
+// waits 4 s for its response, so the next heartbeat acknowledges the response if it comes sooner and shows our token. A
+// single result may be misleading, for example after a lost packet or a restart.
 DownlinkEvidence WorkerRegistry::fencing_token_evidence(const Machine &machine, const Heartbeat &heartbeat) const {
   const bool shows_our_token = heartbeat.fencing_token >= leadership_.term();
   DownlinkEvidence evidence;
   evidence.acknowledged = shows_our_token && !machine.downlink.verified();
   if (!machine.heartbeat.received()) return evidence;
   const double since_response_s = runtime_.now() - machine.heartbeat.last_accepted_at;
-  const bool in_time = since_response_s < kResponsePatienceS && settings_.heartbeat_interval_s < kResponsePatienceS;
+  const bool in_time = since_response_s < kResponseTimeoutS && settings_.heartbeat_interval_s < kResponseTimeoutS;
   const bool restarted = heartbeat.incarnation > machine.heartbeat.incarnation;
   evidence.acknowledged |= in_time && shows_our_token;
   evidence.unacknowledged =
@@ -103,7 +105,7 @@
     }
     const auto position = static_cast<std::size_t>(found - allocations.begin());
     found->presence = Presence::Listed;
-    // The response that held its start has arrived.
+    // A listed task proves that the response with its start has arrived.
     evidence.acknowledged |= found->state == AllocationState::Sent;
     observe(machine_index, *found, task);
     if (task.phase == TaskPhase::Exited) listing.exits.emplace_back(position, &task);
@@ -129,7 +131,7 @@
                                          std::vector<TaskCommand> &commands) {
   for (const auto &[position, task] : listing.exits) {
     Allocation &allocation = at(machine_index).allocations[position];
-    // The worker keeps the result until it is recorded here.
+    // The worker keeps the result until the completion is recorded.
     if (allocation.completed()) {
       if (!allocation.job.valid() || state_writer_.completion_recorded(allocation.job, allocation.index))
         commands.push_back(make_command(TaskCommand::Verb::Forget, allocation));
@@ -158,8 +160,8 @@
 
 void WorkerRegistry::update_downlink(Machine &machine, const DownlinkEvidence &evidence) {
   const double now = runtime_.now();
-  const double since = std::max(machine.heartbeat.incarnation_since, machine.downlink.lost_since());
-  const bool survived_lease = now - since > 1.3 * settings_.lease_s + settings_.heartbeat_interval_s;
+  const double alive_since = std::max(machine.heartbeat.incarnation_since, machine.downlink.lost_since());
+  const bool survived_lease = now - alive_since > 1.3 * settings_.lease_s + settings_.heartbeat_interval_s;
   switch (machine.downlink.update(evidence, survived_lease, now)) {
   case DownlinkState::Change::None:
     break;
@@ -167,7 +169,7 @@
     runtime_.log(LogLevel::Info, "worker_downlink_lost",
                  {{"machine", machine.name},
                   {"session", machine.heartbeat.incarnation},
-                  {"then", "its reports arrive; it gets no tasks"}});
+                  {"then", "heartbeats still arrive; no tasks are started there"}});
     break;
   case DownlinkState::Change::Restored:
     runtime_.log(LogLevel::Info, "worker_downlink_restored", {{"machine", machine.name}});
@@ -175,33 +177,34 @@
   }
 }
 
-// Proof of absence: the heartbeat is newer than every response that could have carried the start. What is neither
-// listed nor was ever listed has not started yet; its start is sent (again) with the response, if responses arrive.
+// Releases allocations that the heartbeat does not list or lists as failed. Absence proves that the attempt is over,
+// because the heartbeat is newer than every response that could have carried the start. An allocation that was never
+// listed is kept while its start can still be sent (again).
 //
-// Stopping a gang releases its unsent tasks, here too, and moves the allocations after them: what the heartbeat says of
-// each stands in the allocation itself, so that a task that runs is never taken for an absent one.
+// `reconcile_gang` may release other allocations and shift positions. `presence` is therefore stored in the allocation
+// itself: with a list by position, a running task could be taken for an absent one.
 void WorkerRegistry::release_absent(MachineIndex machine_index) {
   Machine &machine = at(machine_index);
   for (std::size_t position = machine.allocations.size(); position-- > 0;) {
     if (position >= machine.allocations.size()) continue;
     const Allocation &allocation = machine.allocations[position];
-    const bool start_outstanding = !allocation.observed() && !allocation.stop_requested() && !machine.downlink.lost();
+    const bool start_pending = !allocation.observed() && !allocation.stop_requested() && !machine.downlink.lost();
     if (allocation.presence == Presence::Listed) continue;
-    if (allocation.presence == Presence::Absent && start_outstanding) continue;
+    if (allocation.presence == Presence::Absent && start_pending) continue;
     const JobIndex job_index = allocation.job;
     release(machine_index, position);
     if (job_index.valid()) reconcile_gang(job_index);
   }
 }
 
-// ---- tasks that no allocation stands for ----
+// ---- listed tasks without an allocation ----
 
 void WorkerRegistry::reconcile_unknown_task(MachineIndex machine_index, const TaskStatus &task,
                                             std::vector<TaskCommand> &commands) {
   const JobIndex job_index = jobs_.index(task.job);
   if (may_adopt(job_index, task)) {
     adopt(machine_index, job_index, task, commands);
-  } else if (task.phase == TaskPhase::Exited) { // ended, or a duplicate
+  } else if (task.phase == TaskPhase::Exited) { // of an ended job, or a duplicate attempt
     commands.push_back(make_command(TaskCommand::Verb::Forget, task));
   } else {
     commands.push_back(make_command(TaskCommand::Verb::Stop, task));
@@ -209,7 +212,7 @@
   }
 }
 
-// Whether the task may be one that an earlier leader started and that nobody has started since.
+// Returns true if an earlier leader may have started the task and no other attempt of it is known here.
 bool WorkerRegistry::may_adopt(JobIndex job_index, const TaskStatus &task) {
   if (!job_index.valid() || task.index >= jobs_[job_index].spec.tasks) return false;
   const Job &job = jobs_[job_index];
@@ -257,7 +260,7 @@
   }
 }
 
-// A task that has to go, bound to no job's: it takes up room until a heartbeat shows it gone.
+// Adds an allocation without a job for a task that is being stopped. It occupies capacity until it is no longer listed.
 void WorkerRegistry::add_unwanted(MachineIndex machine_index, JobIndex job_index, const TaskStatus &task) {
   Machine &machine = at(machine_index);
   Allocation unwanted;
@@ -284,7 +287,7 @@
     if (allocation.stop_requested()) {
       if (allocation.observed() && allocation.phase != TaskPhase::Exited)
         commands.push_back(make_command(TaskCommand::Verb::Stop, allocation, *allocation.stop_grace_s));
-    } else if (may_start && starts < kMaxStarts && may_send_start(machine, allocation)) {
+    } else if (may_start && starts < kMaxStartsPerResponse && may_send_start(machine, allocation)) {
       mark_start_sent(machine_index, allocation);
       ++starts;
       commands.push_back(make_command(TaskCommand::Verb::Start, allocation));
@@ -297,14 +300,14 @@
   assert(consistent(machine_index));
 }
 
-// Starts are recorded before they are sent: the next leader has to know of every task that may run.
+// A start is sent only once it is recorded, so that the next leader knows of every task that may run.
 bool WorkerRegistry::may_send_start(const Machine &machine, const Allocation &allocation) const {
   if (machine.downlink.lost() || machine.returning()) return false;
   if (allocation.observed() || !allocation.job.valid() || jobs_[allocation.job].paused) return false;
   return state_writer_.start_recorded(allocation.job, allocation.index);
 }
 
-// The start is sent again while no heartbeat has shown it; it counts from the first time.
+// Records the first time a start is sent. Starts are resent until a heartbeat lists the task.
 void WorkerRegistry::mark_start_sent(MachineIndex machine_index, Allocation &allocation) {
   if (allocation.sent()) return;
   allocation.state = AllocationState::Sent;
--- a/src/core/workers/worker_registry.cpp
+++ b/src/core/workers/worker_registry.cpp
@@ -7,14 +7,14 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kLeaseExpiryMargin = 0.5; // s
+constexpr double kLeaseExpiryMarginS = 0.5;
 } // namespace
 
-// ---- look-ups ----
+// ---- accessors ----
 
 MachineIndex WorkerRegistry::index(const std::string &name) const {
-  const auto it = index_.find(name);
-  return it == index_.end() ? MachineIndex() : it->second;
+  const auto it = index_by_name_.find(name);
+  return it == index_by_name_.end() ? MachineIndex() : it->second;
 }
 
 std::size_t WorkerRegistry::available_count() const {
@@ -63,7 +63,7 @@
     if (allocation.completed()) continue;
     used.add(allocation.need);
     if (!allocation.job.valid()) continue;
-    // A task that was placed here is bound to this machine until its allocation is released.
+    // The task must stay placed on this machine until the allocation is released.
     const Task &task = jobs_[allocation.job].tasks[allocation.index];
     if (task.state != TaskState::Placed || task.machine != machine_index) return false;
   }
@@ -93,7 +93,7 @@
   machine.rented_at = runtime_.now();
   machine.admin_state = operators_.order(name);
   if (machine.type >= 0) machine.size = catalog_.type(machine.type).size;
-  index_[name] = machine_index;
+  index_by_name_[name] = machine_index;
   return machine_index;
 }
 
@@ -130,30 +130,30 @@
   if (machine.lost()) return;
   machine.availability = MachineAvailability::Lost;
   events_.publish(MachineLost{machine_index, machine.name, std::string(why), machine.allocations.size()});
-  std::vector<JobIndex> jobs_with_losses;
+  std::vector<JobIndex> affected_jobs;
   while (!machine.allocations.empty()) {
     if (const JobIndex job_index = machine.allocations.back().job; job_index.valid()) {
-      jobs_with_losses.push_back(job_index);
+      affected_jobs.push_back(job_index);
       events_.publish(TaskLost{job_index, machine.name, std::string(why)});
     }
     release(machine_index, machine.allocations.size() - 1);
   }
-  for (JobIndex job_index : jobs_with_losses)
+  for (JobIndex job_index : affected_jobs)
     reconcile_gang(job_index);
 }
 
 void WorkerRegistry::remove(MachineIndex machine_index) {
   mark_lost(machine_index, "given back");
   const Machine &machine = at(machine_index);
-  const double lived_s = runtime_.now() - machine.rented_at;
+  const double rented_s = runtime_.now() - machine.rented_at;
   const double up_s = machine.heartbeat.received() ? runtime_.now() - machine.heartbeat.first_accepted_at : 0.0;
   const double used_share =
-      lived_s > 0 && machine.size.cpus > 0 ? machine.busy_cpu_s / lived_s / machine.size.cpus : 0.0;
+      rented_s > 0 && machine.size.cpus > 0 ? machine.busy_cpu_s / rented_s / machine.size.cpus : 0.0;
   const std::string type = machine.type >= 0 ? catalog_.type_name(machine.type) : "";
   events_.publish(MachineRemoved{machine_index, machine.name, type, catalog_.zone_name(machine.zone), machine.spot,
-                                 lived_s, up_s, used_share});
+                                 rented_s, up_s, used_share});
   removed_at_[machine.name] = runtime_.now();
-  index_.erase(machine.name);
+  index_by_name_.erase(machine.name);
   machines_[machine_index.position()].reset();
 }
 
@@ -172,22 +172,23 @@
   }
 }
 
-// The last 200 that could reach it is ours: earlier leaders' were over before our term began.
+// The last response that can have renewed the lease is this leader's: earlier leaders stopped responding before this
+// term began.
 bool WorkerRegistry::lease_expired(const Machine &machine) const {
   return leadership_.active() && machine.available() &&
          runtime_.now() >
-             machine.heartbeat.last_accepted_at + settings_.lease_s * (1 + kMaxClockDrift) + kLeaseExpiryMargin;
+             machine.heartbeat.last_accepted_at + settings_.lease_s * (1 + kMaxClockDrift) + kLeaseExpiryMarginS;
 }
 
-// Tasks that save checkpoints are stopped late enough to use the time and early enough to save before it is over.
+// Stops tasks with checkpoints shortly before a spot reclaim, just early enough to save.
 void WorkerRegistry::stop_checkpointable_before_reclaim(MachineIndex machine_index) {
   Machine &machine = at(machine_index);
   if (!machine.reclaim_at || !machine.available()) return;
-  const double left_s = *machine.reclaim_at - runtime_.now();
+  const double remaining_s = *machine.reclaim_at - runtime_.now();
   for (auto &allocation : machine.allocations) {
     if (!allocation.job.valid() || allocation.stop_requested() || allocation.completed()) continue;
     const JobSpec &spec = jobs_[allocation.job].spec;
-    if (spec.checkpoint_s > 0 && left_s < spec.save_s + 2 * settings_.heartbeat_interval_s + 1)
+    if (spec.checkpoint_s > 0 && remaining_s < spec.save_s + 2 * settings_.heartbeat_interval_s + 1)
       request_stop(machine_index, allocation, spec.save_s + 1);
   }
 }
@@ -197,7 +198,7 @@
     if (!machine) continue;
     for (auto &allocation : machine->allocations) {
       if (allocation.job != event.job) continue;
-      allocation.job = {}; // stopped at the next heartbeat, as any task of an unknown job
+      allocation.job = {}; // stopped at the next heartbeat like any task of an unknown job
       allocation.stop_grace_s = 0;
     }
   }
@@ -205,8 +206,8 @@
 
 void WorkerRegistry::on(const MachineAdminStatesChanged &event) {
   if (!event.machine.empty()) {
-    const auto it = index_.find(event.machine);
-    if (it != index_.end()) at(it->second).admin_state = operators_.order(event.machine);
+    const auto it = index_by_name_.find(event.machine);
+    if (it != index_by_name_.end()) at(it->second).admin_state = operators_.order(event.machine);
     return;
   }
   for (auto &machine : machines_)
@@ -215,7 +216,7 @@
 
 void WorkerRegistry::on(const TermEnded &) {
   machines_.clear();
-  index_.clear();
+  index_by_name_.clear();
   stop_commands_pending_.clear();
 }
 
