--- a/tests/downlink_state_test.cpp
+++ b/tests/downlink_state_test.cpp
@@ -1,4 +1,4 @@
-// Whether responses reach a worker: what one heartbeat shows, and what several in a row do.
+// Tests when the downlink of a worker is considered lost and restored.
 #include <gtest/gtest.h>
 
 #include "loftrouter/core/workers/downlink_state.hpp"
@@ -6,7 +6,7 @@
 using namespace loftrouter::core;
 
 namespace {
-constexpr DownlinkEvidence kNothing{};
+constexpr DownlinkEvidence kNoEvidence{};
 constexpr DownlinkEvidence kAcknowledged{.acknowledged = true, .unacknowledged = false};
 constexpr DownlinkEvidence kUnacknowledged{.acknowledged = false, .unacknowledged = true};
 constexpr DownlinkEvidence kBoth{.acknowledged = true, .unacknowledged = true};
@@ -20,21 +20,21 @@
 }
 } // namespace
 
-TEST(DownlinkState, TakesNoCommandsUntilItIsVerified) {
+TEST(DownlinkState, AcceptsCommandsOnlyWhenVerified) {
   DownlinkState downlink;
   EXPECT_FALSE(downlink.accepts_commands());
   downlink.set_verified();
   EXPECT_TRUE(downlink.accepts_commands());
 }
 
-TEST(DownlinkState, OneUnacknowledgedResponseMayBeChance) {
+TEST(DownlinkState, SurvivesASingleUnacknowledgedResponse) {
   DownlinkState downlink;
   downlink.set_verified();
   EXPECT_EQ(downlink.update(kUnacknowledged, false, 1), DownlinkState::Change::None);
   EXPECT_TRUE(downlink.accepts_commands());
   EXPECT_EQ(downlink.update(kAcknowledged, false, 2), DownlinkState::Change::None);
   EXPECT_EQ(downlink.update(kUnacknowledged, false, 3), DownlinkState::Change::None);
-  EXPECT_FALSE(downlink.lost()) << "not in a row";
+  EXPECT_FALSE(downlink.lost()) << "the two were not in a row";
 }
 
 TEST(DownlinkState, IsLostAfterTwoUnacknowledgedResponsesInARow) {
@@ -43,16 +43,16 @@
   EXPECT_EQ(downlink.lost_since(), 2);
   EXPECT_FALSE(downlink.accepts_commands());
   EXPECT_EQ(downlink.update(kUnacknowledged, true, 3), DownlinkState::Change::None);
-  EXPECT_EQ(downlink.lost_since(), 2) << "since the first time";
+  EXPECT_EQ(downlink.lost_since(), 2) << "still the time of the loss";
 }
 
-TEST(DownlinkState, AHeartbeatThatShowsNothingChangesNothing) {
+TEST(DownlinkState, StaysLostWithoutEvidence) {
   DownlinkState downlink = lost_downlink();
-  EXPECT_EQ(downlink.update(kNothing, false, 3), DownlinkState::Change::None);
+  EXPECT_EQ(downlink.update(kNoEvidence, false, 3), DownlinkState::Change::None);
   EXPECT_TRUE(downlink.lost());
 }
 
-TEST(DownlinkState, AnUnacknowledgedResponseOutweighsAnAcknowledgedOne) {
+TEST(DownlinkState, StaysLostOnContradictoryEvidence) {
   DownlinkState downlink = lost_downlink();
   EXPECT_EQ(downlink.update(kBoth, false, 3), DownlinkState::Change::None);
   EXPECT_TRUE(downlink.lost());
@@ -66,6 +66,6 @@
 
 TEST(DownlinkState, IsRestoredWhenAnIncarnationSurvivesALease) {
   DownlinkState downlink = lost_downlink();
-  EXPECT_EQ(downlink.update(kNothing, true, 40), DownlinkState::Change::Restored);
+  EXPECT_EQ(downlink.update(kNoEvidence, true, 40), DownlinkState::Change::Restored);
   EXPECT_TRUE(downlink.accepts_commands());
 }
--- a/tests/worker_registry_test.cpp
+++ b/tests/worker_registry_test.cpp
@@ -1,4 +1,4 @@
-// The worker registry by itself: heartbeats are reconciled with the allocations of one machine.
+// Tests the worker registry in isolation: heartbeat reconciliation, stops and starts.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -15,7 +15,7 @@
 
 namespace {
 
-TaskStatus running(const std::string &job, std::uint32_t index) {
+TaskStatus running_task(const std::string &job, std::uint32_t index) {
   TaskStatus task;
   task.job = job;
   task.index = index;
@@ -70,62 +70,62 @@
 
   StateWriter state_writer_{context};
   WorkerRegistry workers_{runtime, events, settings, catalog, operators, leadership, jobs, state_writer_};
-  std::vector<TaskCommand> commands_; // of the last heartbeat
+  std::vector<TaskCommand> commands_; // appended by the last heartbeat
 };
 
 } // namespace
 
-TEST_F(WorkerRegistryTest, AListedTaskOfAnEarlierLeaderIsAdopted) {
+TEST_F(WorkerRegistryTest, AdoptsAListedTaskOfAnEarlierLeader) {
   const JobIndex job = open_job("j-000001", Shape::Array, 2);
   const MachineIndex machine = add_machine("m-1");
-  EXPECT_EQ(heartbeat(machine, 1, {running("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(heartbeat(machine, 1, {running_task("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
   EXPECT_EQ(state(job, 0), TaskState::Placed);
   EXPECT_TRUE(commands_.empty());
   EXPECT_EQ(workers_.running_tasks(job), 1U);
   EXPECT_TRUE(workers_.consistent(machine));
 }
 
-TEST_F(WorkerRegistryTest, AnObservedTaskThatIsNoLongerListedIsReleased) {
+TEST_F(WorkerRegistryTest, ReleasesAnObservedTaskThatIsNoLongerListed) {
   const JobIndex job = open_job("j-000001", Shape::Array, 2);
   const MachineIndex machine = add_machine("m-1");
-  EXPECT_EQ(heartbeat(machine, 1, {running("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(heartbeat(machine, 1, {running_task("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
   EXPECT_EQ(heartbeat(machine, 2, {}), WorkerRegistry::HeartbeatResult::Accepted);
   EXPECT_EQ(state(job, 0), TaskState::Pending);
   EXPECT_TRUE(workers_[machine].allocations.empty());
   EXPECT_TRUE(workers_.consistent(machine));
 }
 
-TEST_F(WorkerRegistryTest, AStaleHeartbeatReleasesNothing) {
+TEST_F(WorkerRegistryTest, IgnoresAStaleHeartbeat) {
   const JobIndex job = open_job("j-000001", Shape::Array, 2);
   const MachineIndex machine = add_machine("m-1");
-  EXPECT_EQ(heartbeat(machine, 2, {running("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(heartbeat(machine, 2, {running_task("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
   EXPECT_EQ(heartbeat(machine, 2, {}), WorkerRegistry::HeartbeatResult::Stale);
   EXPECT_EQ(heartbeat(machine, 1, {}), WorkerRegistry::HeartbeatResult::Stale);
   EXPECT_EQ(state(job, 0), TaskState::Placed);
 }
 
-TEST_F(WorkerRegistryTest, ATaskThatNobodyWantsIsStopped) {
+TEST_F(WorkerRegistryTest, StopsATaskOfAnUnknownJob) {
   const MachineIndex machine = add_machine("m-1");
-  EXPECT_EQ(heartbeat(machine, 1, {running("j-000009", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(heartbeat(machine, 1, {running_task("j-000009", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
   ASSERT_EQ(commands_.size(), 1U);
   EXPECT_EQ(commands_[0].verb, TaskCommand::Verb::Stop);
-  ASSERT_EQ(workers_[machine].allocations.size(), 1U) << "it takes up room until it is gone";
+  ASSERT_EQ(workers_[machine].allocations.size(), 1U) << "it occupies capacity until it is no longer listed";
   EXPECT_FALSE(workers_[machine].allocations[0].job.valid());
 }
 
-TEST_F(WorkerRegistryTest, AMachineListedAsFailedIsNotHeardAgain) {
+TEST_F(WorkerRegistryTest, RejectsHeartbeatsOfAMachineListedAsFailed) {
   const JobIndex job = open_job("j-000001", Shape::Array, 2);
   const MachineIndex machine = add_machine("m-1");
-  EXPECT_EQ(heartbeat(machine, 1, {running("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(heartbeat(machine, 1, {running_task("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
   workers_.mark_listed_failed(machine);
   EXPECT_EQ(state(job, 0), TaskState::Pending);
   EXPECT_TRUE(workers_[machine].lost());
   EXPECT_TRUE(workers_[machine].returning());
-  EXPECT_EQ(heartbeat(machine, 2, {running("j-000001", 0)}), WorkerRegistry::HeartbeatResult::MachineFailed);
+  EXPECT_EQ(heartbeat(machine, 2, {running_task("j-000001", 0)}), WorkerRegistry::HeartbeatResult::MachineFailed);
   EXPECT_EQ(state(job, 0), TaskState::Pending);
 }
 
-TEST_F(WorkerRegistryTest, StoppingAnUnsentTaskReleasesItAtOnce) {
+TEST_F(WorkerRegistryTest, ReleasesAStoppedUnsentTaskImmediately) {
   const JobIndex job = open_job("j-000001", Shape::Array, 2);
   const MachineIndex machine = add_machine("m-1");
   place(job, 0, machine);
@@ -134,15 +134,15 @@
   EXPECT_TRUE(workers_[machine].allocations.empty());
 }
 
-TEST_F(WorkerRegistryTest, StoppingAnObservedTaskWaitsForItsEnd) {
+TEST_F(WorkerRegistryTest, KeepsAStoppedObservedTaskUntilItIsGone) {
   const JobIndex job = open_job("j-000001", Shape::Array, 2);
   const MachineIndex machine = add_machine("m-1");
-  EXPECT_EQ(heartbeat(machine, 1, {running("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(heartbeat(machine, 1, {running_task("j-000001", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
   workers_.stop(machine, 0, 10);
   workers_.stop(machine, 0, 3);
   workers_.stop(machine, 0, 5);
   EXPECT_EQ(state(job, 0), TaskState::Placed);
-  EXPECT_EQ(workers_[machine].allocations[0].stop_grace_s, 3) << "the shortest counts";
+  EXPECT_EQ(workers_[machine].allocations[0].stop_grace_s, 3) << "the shortest grace period applies";
   std::vector<TaskCommand> response;
   workers_.build_response(machine, true, response);
   ASSERT_EQ(response.size(), 1U);
@@ -150,7 +150,7 @@
   EXPECT_EQ(response[0].grace_s, 3);
 }
 
-TEST_F(WorkerRegistryTest, AStartThatIsNotRecordedIsNotSent) {
+TEST_F(WorkerRegistryTest, SendsNoStartBeforeItIsRecorded) {
   const JobIndex job = open_job("j-000001", Shape::Array, 2);
   const MachineIndex machine = add_machine("m-1");
   EXPECT_EQ(heartbeat(machine, 1, {}), WorkerRegistry::HeartbeatResult::Accepted);
@@ -161,20 +161,20 @@
   EXPECT_EQ(workers_[machine].allocations[0].state, AllocationState::Unsent);
 }
 
-// When a gang loses a task, its unsent tasks are released in the middle of the reconciliation; those that the worker
-// lists must not be taken for them, or they would be started elsewhere while they run.
-TEST_F(WorkerRegistryTest, TasksListedBesideAGangThatIsStoppedAreKept) {
+// Losing a task of a gang releases its unsent tasks during reconciliation, which shifts the positions of other
+// allocations. Guards against releasing a running task by a stale position.
+TEST_F(WorkerRegistryTest, KeepsListedTasksWhenAGangIsStopped) {
   const JobIndex gang = open_job("j-000001", Shape::Gang, 3);
   const JobIndex other = open_job("j-000002", Shape::Array, 1);
   const MachineIndex machine = add_machine("m-1");
   const MachineIndex second = add_machine("m-2");
   place(gang, 0, machine);
-  EXPECT_EQ(heartbeat(machine, 1, {running("j-000002", 0), running("j-000001", 1)}),
+  EXPECT_EQ(heartbeat(machine, 1, {running_task("j-000002", 0), running_task("j-000001", 1)}),
             WorkerRegistry::HeartbeatResult::Accepted);
-  EXPECT_EQ(heartbeat(second, 1, {running("j-000001", 2)}), WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(heartbeat(second, 1, {running_task("j-000001", 2)}), WorkerRegistry::HeartbeatResult::Accepted);
   ASSERT_EQ(jobs[gang].placed, 3U);
-  EXPECT_EQ(heartbeat(machine, 2, {running("j-000002", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
-  EXPECT_EQ(state(other, 0), TaskState::Placed) << "it runs";
+  EXPECT_EQ(heartbeat(machine, 2, {running_task("j-000002", 0)}), WorkerRegistry::HeartbeatResult::Accepted);
+  EXPECT_EQ(state(other, 0), TaskState::Placed) << "it is still running";
   EXPECT_EQ(state(gang, 0), TaskState::Pending);
   EXPECT_EQ(state(gang, 1), TaskState::Pending);
   EXPECT_TRUE(workers_[second].allocations[0].stop_requested());
