--- a/include/loftrouter/core/jobs/job_table.hpp
+++ b/include/loftrouter/core/jobs/job_table.hpp
@@ -76,7 +76,7 @@
   // ---- look-ups ----
 
   std::size_t index_limit() const { return jobs_.size(); } // all indices are below this
-  std::size_t open() const { return index_by_id_.size(); } // number of open jobs
+  std::size_t open_count() const { return index_by_id_.size(); }
   // Returns null if there is no job at this index.
   const Job *find(JobIndex job_index) const { return jobs_[job_index.position()].get(); }
   // There must be a job at this index.
@@ -104,9 +104,9 @@
   [[nodiscard]] bool update_mod_revision(JobIndex job_index, std::uint64_t mod_revision);
   void set_ending(JobIndex job_index, bool ending);
   void pause(JobIndex job_index, bool paused);
-  void mark_ready(JobIndex job_index);            // all dependencies are done
-  void confirm_end_by_origin(JobIndex job_index); // for jobs delegated here
-  void changed(JobIndex job_index, bool urgent);  // requests an update of the progress record
+  void mark_ready(JobIndex job_index);                   // all dependencies are done
+  void confirm_end_by_origin(JobIndex job_index);        // for jobs delegated here
+  void publish_changed(JobIndex job_index, bool urgent); // requests an update of the progress record
 
   // ---- tasks ----
 
--- a/src/core/api/event_log.cpp
+++ b/src/core/api/event_log.cpp
@@ -35,7 +35,7 @@
   std::uint64_t unaccounted = 0;
   jobs_.each([&](JobIndex, const Job &job) { unaccounted += job.unaccounted; });
   runtime_.log(LogLevel::Info, "leadership_acquired",
-               {{"term", event.term}, {"jobs_open", jobs_.open()}, {"tasks_unaccounted", unaccounted}});
+               {{"term", event.term}, {"jobs_open", jobs_.open_count()}, {"tasks_unaccounted", unaccounted}});
 }
 
 void EventLog::on(const TermEnded &event) {
--- a/src/core/federation/delegations_out.cpp
+++ b/src/core/federation/delegations_out.cpp
@@ -307,7 +307,7 @@
   if (std::all_of(used.values.begin(), used.values.end(), [](auto x) { return x >= 0; }) && !used.none()) {
     ledger_.charge_remote_usage(job_index, used);
     jobs_.charge_delegation(job_index, m.generation, m.usage);
-    jobs_.changed(job_index, false);
+    jobs_.publish_changed(job_index, false);
   }
   auto inside = [&](std::uint32_t i) {
     return std::any_of(mine.begin(), mine.end(), [i](auto r) { return i >= r.first && i < r.second; });
--- a/src/core/jobs/failure_attribution.cpp
+++ b/src/core/jobs/failure_attribution.cpp
@@ -108,7 +108,7 @@
   history.probes = 0;
   clear_machines_of(job_index);
   events_.publish(JobSuspected{job_index, history.failed_machine_count});
-  jobs_.changed(job_index, false);
+  jobs_.publish_changed(job_index, false);
 }
 
 // Retries a suspected job with exponential backoff.
--- a/src/core/jobs/job_table.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -138,7 +138,7 @@
   if (job.cancelled) return;
   job.cancelled = true;
   events_.publish(JobCancelled{job_index});
-  if (job.finishable()) changed(job_index, true);
+  if (job.finishable()) publish_changed(job_index, true);
 }
 
 bool JobTable::update_mod_revision(JobIndex job_index, std::uint64_t mod_revision) {
@@ -159,15 +159,15 @@
 
 void JobTable::mark_ready(JobIndex job_index) {
   ++arrivals_;
-  changed(job_index, true);
+  publish_changed(job_index, true);
 }
 
 void JobTable::confirm_end_by_origin(JobIndex job_index) {
   at(job_index).origin_confirmed_end = true;
-  changed(job_index, true);
+  publish_changed(job_index, true);
 }
 
-void JobTable::changed(JobIndex job_index, bool urgent) {
+void JobTable::publish_changed(JobIndex job_index, bool urgent) {
   events_.publish(JobChanged{job_index, at(job_index).finishable(), urgent});
 }
 
@@ -202,14 +202,14 @@
 
 void JobTable::finish(JobIndex job_index, std::uint32_t task_index) {
   set_state(job_index, task_index, TaskState::Done);
-  changed(job_index, at(job_index).finishable());
+  publish_changed(job_index, at(job_index).finishable());
 }
 
 void JobTable::release(JobIndex job_index, std::uint32_t task_index, MachineIndex machine, bool unaccounted) {
   const Task &task = at(job_index).tasks[task_index];
   if (task.state == TaskState::Placed && task.machine == machine)
     set_state(job_index, task_index, unaccounted ? TaskState::Unaccounted : TaskState::Pending);
-  if (at(job_index).finishable()) changed(job_index, true);
+  if (at(job_index).finishable()) publish_changed(job_index, true);
 }
 
 std::vector<JobIndex> JobTable::expire_unaccounted() {
@@ -221,7 +221,7 @@
     events_.publish(TasksAbandoned{job_index, job.unaccounted});
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
       if (job.tasks[i].state == TaskState::Unaccounted) set_state(job_index, i, TaskState::Pending);
-    if (job.finishable()) changed(job_index, true);
+    if (job.finishable()) publish_changed(job_index, true);
     affected.push_back(job_index);
   });
   return affected;
@@ -255,7 +255,7 @@
     set_state(job_index, task_index, TaskState::Delegated);
   });
   job.delegations.push_back(std::move(delegation));
-  changed(job_index, true);
+  publish_changed(job_index, true);
 }
 
 void JobTable::charge_delegation(JobIndex job_index, std::uint64_t generation, const accounts::Usage &charged) {
@@ -276,7 +276,7 @@
     const bool already_expired = std::exchange(delegation.lapsed, true);
     if (!already_expired) free_delegated(job_index, delegation.tasks);
   }
-  changed(job_index, true);
+  publish_changed(job_index, true);
 }
 
 void JobTable::remove_delegation(JobIndex job_index, std::uint64_t generation) {
@@ -286,7 +286,7 @@
   if (found == delegations.end()) return;
   if (!found->lapsed) free_delegated(job_index, found->tasks);
   delegations.erase(found);
-  changed(job_index, true);
+  publish_changed(job_index, true);
 }
 
 } // namespace loftrouter::core
--- a/src/core/scheduling/task_placer.cpp
+++ b/src/core/scheduling/task_placer.cpp
@@ -35,7 +35,7 @@
   context_.jobs.place(job_index, task_index, machine_index, machine.zone);
   context_.workers.allocate(machine_index, job_index, task_index, attempt);
   queue_.note_placed(job_index);
-  if (!context_.state_writer.start_recorded(job_index, task_index)) context_.jobs.changed(job_index, true);
+  if (!context_.state_writer.start_recorded(job_index, task_index)) context_.jobs.publish_changed(job_index, true);
   if (job.placed == 1 && context_.runtime.log_enabled(LogLevel::Debug))
     context_.runtime.log(LogLevel::Debug, "job_started",
                          {{"job", job.spec.id},
--- a/src/core/state/progress_writer.cpp
+++ b/src/core/state/progress_writer.cpp
@@ -37,7 +37,7 @@
   std::uint32_t available = 0;
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
     if (job.tasks[i].state == TaskState::Pending && progress.tasks[i].started) ++available;
-  if (available < (tasks + 1) / 2) jobs_.changed(job_index, true);
+  if (available < (tasks + 1) / 2) jobs_.publish_changed(job_index, true);
 }
 
 // The next tasks in line count as started before they are placed. Too many "started" are safe: after a failover they
--- a/src/core/state/usage_ledger.cpp
+++ b/src/core/state/usage_ledger.cpp
@@ -168,7 +168,7 @@
   if (!event.found) usage[accounts::Attempts] = 1;
   if (event.unaccounted) usage[accounts::Uncertain] = since_written_ms(charged);
   charge(event.job, usage);
-  if (event.found) jobs_.changed(event.job, false);
+  if (event.found) jobs_.publish_changed(event.job, false);
 }
 
 void UsageLedger::on(const TaskReleased &event) {
@@ -189,7 +189,7 @@
   usage[accounts::Retries] = useful ? 0 : 1;
   usage[accounts::Cost] = cost(event, released - allocated);
   charge(event.job, usage);
-  jobs_.changed(event.job, false);
+  jobs_.publish_changed(event.job, false);
 }
 
 void UsageLedger::on(const TasksAbandoned &event) {
@@ -197,7 +197,7 @@
   accounts::Usage usage;
   usage[accounts::Uncertain] = event.tasks * since_written_ms(account(event.job));
   charge(event.job, usage);
-  jobs_.changed(event.job, false);
+  jobs_.publish_changed(event.job, false);
 }
 
 // The largest share that a task takes of its machine, by the machine's price.
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -249,7 +249,7 @@
             graph.ready(job_index) && !jobs[job_index].cancelled && !reference.jobs[id].dependency_ids.empty();
         stopped_count += !graph.cancelled_dependency(job_index).empty();
       }
-      ASSERT_EQ(graph.topological_order().size(), jobs.open());
+      ASSERT_EQ(graph.topological_order().size(), jobs.open_count());
     }
   }
   EXPECT_GT(ready_count, 1000);
@@ -416,7 +416,8 @@
   }
 }
 
-// The state service rejects records below its announced size limit: rejected ones are made smaller, and all jobs still end.
+// The state service rejects records below its announced size limit: rejected ones are made smaller, and all jobs still
+// end.
 TEST(Pipelines, RejectedRecordsAreMadeSmaller) {
   WorldOptions options;
   options.untold_value_kb = 0.8;
