--- a/include/loftrouter/core/jobs/dependencies.hpp
+++ b/include/loftrouter/core/jobs/dependencies.hpp
@@ -1,9 +1,8 @@
 // The dependency graph of the jobs, maintained while this node leads.
 //
-// Owns the graph; used by the core's thread alone. It alone decides whether a job may start: a job is ready once the
-// state service has confirmed that all its dependencies are done (docs/safety.md "too_early"). When a dependency is
-// cancelled, its dependents are cancelled too, transitively ("orphaned"); they were never ready, so none of their tasks
-// has started. Dependencies that are not open here are looked up one by one, rate-limited by the budget for users'
+// Owns the graph; used by the core's thread alone. A job is ready once the state service has confirmed that all its
+// dependencies are done (docs/safety.md "too_early"). Cancelling a job cancels its transitive dependents ("orphaned"),
+// none of whose tasks has started. Dependencies that are not open here are looked up within the budget for users'
 // reads.
 //
 // Priorities and deadlines propagate from dependents to their dependencies.
@@ -26,11 +25,11 @@
 
 namespace loftrouter::core {
 
-// The estimated schedule of all open jobs; each vector is indexed by job.
+// The estimated schedule of all open jobs, by job index.
 struct CriticalPath {
-  std::vector<double> starts_in_s;       // seconds until the job can start
-  std::vector<double> done_in_s;         // seconds until the job is done
-  std::vector<JobIndex> last_dependency; // the open dependency that is done last; invalid: none
+  std::vector<double> starts_in_s;
+  std::vector<double> done_in_s;
+  std::vector<JobIndex> last_dependency; // invalid: none is open
 };
 
 class Dependencies {
@@ -40,33 +39,28 @@
       : runtime_(runtime), settings_(settings), state_limits_(state_limits), leadership_(leadership), jobs_(jobs),
         ended_(ended) {}
 
-  // ---- the graph ----
-
   bool ready(JobIndex job_index) const;
-  // Wall-clock time of the submission or of the latest end of a dependency, whichever is later. For a job that is not
-  // ready yet, the value so far.
+  // Wall-clock time of the submission or the last known end of a dependency, whichever is later.
   double ready_wall(JobIndex job_index) const { return node(job_index).ready_wall; }
   const std::vector<JobIndex> &open_dependencies(JobIndex job_index) const { return node(job_index).open_dependencies; }
-  // The number of dependencies that are not open here and are being looked up.
+  // The number of dependencies that are being looked up.
   std::size_t unresolved_count(JobIndex job_index) const;
   const std::vector<JobIndex> &dependents(JobIndex job_index) const { return node(job_index).dependents; }
-  // The id of the dependency whose cancellation cancelled this job; empty: none.
+  // The dependency whose cancellation cancelled this job; empty: none.
   const std::string &cancelled_dependency(JobIndex job_index) const { return node(job_index).cancelled_dependency; }
 
-  // ---- priority and deadlines ----
-
-  // The highest priority of the job and of its transitive dependents.
+  // The highest of the job and its transitive dependents.
   Urgency urgency(JobIndex job_index) const;
-  // The deadline in seconds after `ready_wall`, early enough that all dependents can still meet theirs.
+  // Seconds after `ready_wall`; early enough for all dependents to meet theirs.
   std::optional<double> deadline(JobIndex job_index) const;
-  // The job's own deadline in seconds after `ready_wall`, ignoring its dependents.
+  // Seconds after `ready_wall`; ignores the dependents.
   std::optional<double> own_deadline(JobIndex job_index) const;
   // All open jobs, each after its open dependencies.
   const std::vector<JobIndex> &topological_order() const;
-  // `remaining_s` returns how long a job takes once it can start.
+  // `remaining_s`: how long a job takes once it can start.
   CriticalPath critical_path(const std::function<double(JobIndex)> &remaining_s) const;
 
-  void tick(); // starts the look-ups that are due
+  void tick();
   void on(const JobAccepted &event);
   void on(const JobCancelled &event);
   void on(const JobEndLearned &event);
@@ -74,21 +68,21 @@
   void on(const TermEnded &);
 
 private:
-  struct Node { // an open job
+  struct Node {
     bool known = false;
     std::string id;
     std::vector<JobIndex> open_dependencies;
     std::vector<JobIndex> dependents;
-    std::size_t unmet = 0; // dependencies that are not known to be done
+    std::size_t unmet = 0; // dependencies not known to be done
     double ready_wall = 0;
     std::string cancelled_dependency;
   };
-  struct Lookup { // a dependency that is not open here and whose end is not known
+  struct Lookup { // a dependency that is not open here
     std::vector<JobIndex> dependents;
     bool in_flight = false;
     double next_at = 0; // monotonic s
   };
-  struct Requirement { // combined from a job and its transitive dependents
+  struct Requirement { // of a job and its transitive dependents
     Urgency urgency{};
     std::optional<double> due_wall;
   };
--- a/include/loftrouter/core/jobs/failure_attribution.hpp
+++ b/include/loftrouter/core/jobs/failure_attribution.hpp
@@ -1,9 +1,8 @@
 // Attributes task failures to machines or to jobs.
 //
-// A faulty machine fails tasks of many jobs; a faulty job fails on many machines. Failures of jobs that succeed
-// elsewhere count against the machine; failures on several machines without a success count against the job. Used by
-// the core's thread alone. Safety does not depend on it: at worst a healthy machine is returned to the cloud, or a
-// faulty one is kept.
+// Failures of jobs that succeed elsewhere count against the machine; failures on several machines without a success
+// count against the job. Owns the failure counts; used by the core's thread alone. Not relevant for safety: a wrong
+// result returns a healthy machine or keeps a faulty one.
 #pragma once
 
 #include <cstddef>
@@ -24,17 +23,16 @@
   FailureAttribution(Runtime &runtime, Events &events, JobTable &jobs, const Operators &operators)
       : runtime_(runtime), events_(events), jobs_(jobs), operators_(operators) {}
 
-  // True if the job has failed on several machines and never succeeded, so that the job itself is probably faulty.
+  // The job itself is probably faulty: it has failed on several machines and never succeeded.
   bool suspected(JobIndex job_index) const;
-  // The number of different machines on which tasks of the job have failed since its last success.
+  // Different machines on which the job has failed since its last success.
   std::uint32_t failed_machine_count(JobIndex job_index) const;
   bool has_failed(JobIndex job_index) const { return failed_machine_count(job_index) > 0; }
-  // When a suspected job may be placed again, in monotonic seconds.
+  // When a suspected job may be placed again, monotonic s.
   double retry_at(JobIndex job_index) const;
-  // Machines on which the job has failed recently and must not be placed.
+  // Machines on which the job has failed recently.
   std::vector<MachineIndex> avoided_machines(JobIndex job_index) const;
 
-  // Restores the count from an earlier leader's progress record.
   void restore(JobIndex job_index, std::uint32_t failed_machine_count);
   void on(const TaskExited &event);
   void on(const JobCancelled &event);
@@ -53,15 +51,15 @@
     double retry_at = 0;           // monotonic s
     int probes = 0;                // since the job became suspected
   };
-  struct FailedJob { // a job that has failed on this machine
+  struct FailedJob {
     std::string id;
     bool succeeded_elsewhere = false;
   };
   struct MachineHistory {
-    std::vector<FailedJob> failed_jobs; // since `failing_since`; cleared by a success of a task placed later
+    std::vector<FailedJob> failed_jobs; // cleared when a task placed after `failing_since` succeeds
     int errors = 0;
     double failing_since = -1;       // monotonic s
-    double last_good_placement = -1; // when the newest task that succeeded was placed, monotonic s
+    double last_good_placement = -1; // of a task that succeeded, monotonic s
     bool quarantined = false;
 
     bool is_faulty() const;
--- a/include/loftrouter/core/jobs/job_objectives.hpp
+++ b/include/loftrouter/core/jobs/job_objectives.hpp
@@ -1,6 +1,5 @@
-// Computes when a job should be complete, by its deadline or by the service-level objectives of its class.
-//
-// Stateless functions of the settings, a job and its age. They affect scheduling order and fleet size only.
+// Computes when a job should be complete, by its deadline or by the service-level objectives of its class. Affects only
+// scheduling order and fleet size.
 #pragma once
 
 #include <optional>
@@ -16,11 +15,11 @@
 public:
   explicit JobObjectives(const Settings &settings) : settings_(settings) {}
 
-  // The time after which the job counts as late; nothing without a deadline or an objective.
+  // When the job becomes late; nothing without a deadline or an objective.
   std::optional<double> completion_target(const JobSpec &spec, std::optional<double> deadline) const;
-  // The time to schedule for: the tightest objective that a job of this age can still meet.
+  // The tightest objective that a job of this age can still meet.
   double achievable_target(const JobSpec &spec, std::optional<double> deadline, double age_s) const;
-  // True for small work without a completion target that may still wait for cheaper machines.
+  // True for small work without a target that may still wait for cheaper machines.
   bool deferrable(const JobSpec &spec, Urgency urgency, std::optional<double> deadline, double age_s) const;
 
 private:
@@ -28,7 +27,7 @@
   const Settings &settings_;
 };
 
-// True for low-priority jobs that tolerate spot machines; they are kept off machines that other jobs need whole.
+// Small work is of low priority and tolerates spot machines. It is kept off machines that others need whole.
 inline bool is_small(const JobSpec &spec, Urgency urgency) {
   return urgency == Urgency::Low && spec.spot;
 }
--- a/include/loftrouter/core/jobs/job_reasons.hpp
+++ b/include/loftrouter/core/jobs/job_reasons.hpp
@@ -1,6 +1,5 @@
 // The texts that tell users what happened to their jobs: the last notable event of each open job, and the final record.
-//
-// Owns the event texts. Only listens to events; has no effect on scheduling.
+// Has no effect on scheduling.
 #pragma once
 
 #include <string>
@@ -28,7 +27,7 @@
 
   // The last event with its time of day; empty: none.
   const std::string &last_event(JobIndex job_index) const;
-  // Builds the final record of a job that ends now.
+  // The final record of a job that ends now.
   EndRecord end_record(JobIndex job_index) const;
 
   void on(const JobAccepted &event) { grown(last_events_, event.job).clear(); }
--- a/include/loftrouter/core/jobs/job_table.hpp
+++ b/include/loftrouter/core/jobs/job_table.hpp
@@ -1,10 +1,9 @@
 // The leader's table of open jobs and the state of each of their tasks.
 //
-// Owns jobs and tasks; used by the core's thread alone. Invariants: the counts agree with the task states, and a task
-// leaves `Placed` only by `release` or `finish`, from the machine that it was placed on. Violating them could place a
-// running task a second time (docs/safety.md "ran_twice") or report a job as done with a task missing ("not_done").
-//
-// An index identifies a job; it is reused once `JobFinalized` has been delivered.
+// Owns jobs and tasks; used by the core's thread alone. Invariants: the counts match the task states, and a task leaves
+// `Placed` only by `finish`, or by `release` for its machine. Otherwise a running task could be placed again
+// (docs/safety.md "ran_twice"), or a job reported as done too early ("not_done"). Indices are reused after
+// `JobFinalized`.
 #pragma once
 
 #include <cstddef>
@@ -25,16 +24,16 @@
 
 enum class TaskState : std::uint8_t {
   Pending,
-  Unaccounted, // started by an earlier leader, and not listed in a heartbeat since
-  Placed,      // allocated on a machine
+  Unaccounted, // started by an earlier leader, not listed in a heartbeat since
+  Placed,
   Done,
   Delegated, // may run in a remote cell
 };
 
 struct Task {
   TaskState state = TaskState::Pending;
-  MachineIndex machine;   // valid while placed
-  std::int32_t zone = -1; // zone of that machine
+  MachineIndex machine; // valid while placed
+  std::int32_t zone = -1;
 };
 
 struct Job {
@@ -43,7 +42,7 @@
   std::uint64_t serial = 0;            // distinguishes jobs that reuse an index
   std::uint64_t open_mod_revision = 0; // newest known revision of the open record
   int team = -1;                       // -1: not in the settings
-  int image = -1;                      // index of the image name
+  int image = -1;
 
   bool cancelled = false;
   bool ending = false; // the final record is being written
@@ -54,13 +53,13 @@
   std::uint32_t placed = 0;
   std::uint32_t unaccounted = 0;
   std::uint32_t delegated = 0;
-  std::vector<int> zone_used; // number of placed tasks by zone
+  std::vector<int> zone_used; // placed tasks by zone
 
-  std::uint64_t gang_attempt = 0; // the current attempt of a gang
-  bool gang_closed = false;       // the attempt has started; lost tasks are not replaced within it
+  std::uint64_t gang_attempt = 0;
+  bool gang_closed = false; // started: lost tasks are not replaced within this attempt
 
   std::vector<DelegationRecord> delegations;      // to remote cells
-  std::uint32_t delegated_running = 0;            // delegated tasks that run, by the last report of the remote cells
+  std::uint32_t delegated_running = 0;            // by the last reports of the remote cells
   std::optional<DelegationSource> delegated_here; // set: work of an origin cell; its other tasks count as done
   bool origin_confirmed_end = false;              // if delegated here: the origin cell knows the result
 
@@ -73,13 +72,9 @@
 public:
   JobTable(Runtime &runtime, Events &events, const Settings &settings);
 
-  // ---- look-ups ----
-
-  std::size_t index_limit() const { return jobs_.size(); } // all indices are below this
+  std::size_t index_limit() const { return jobs_.size(); }
   std::size_t open_count() const { return index_by_id_.size(); }
-  // Returns null if there is no job at this index.
-  const Job *find(JobIndex job_index) const { return jobs_[job_index.position()].get(); }
-  // There must be a job at this index.
+  const Job *find(JobIndex job_index) const { return jobs_[job_index.position()].get(); } // or null
   const Job &operator[](JobIndex job_index) const { return *jobs_[job_index.position()]; }
   JobIndex index(const std::string &id) const;            // invalid: not open
   template <class Visit> void each(Visit &&visit) const { // visit(index, job), in index order
@@ -87,16 +82,16 @@
       if (jobs_[i]) visit(JobIndex(i), *jobs_[i]);
   }
   int find_team(const std::string &name) const { return team_names_.find(name); } // -1: not in the settings
-  // Monotonic time when all leases that an earlier leader may have renewed have expired; 0: that has passed.
+  // When all leases renewed by earlier leaders have expired, monotonic s; 0: already.
   double unaccounted_until() const { return unaccounted_until_; }
-  // A counter that increases whenever a job is added or a task becomes placeable.
+  // Increases whenever a job is added or a task becomes placeable.
   std::uint64_t arrivals() const { return arrivals_; }
-  bool consistent(JobIndex job_index) const; // checks the counts against the states; for asserts and tests
+  bool consistent(JobIndex job_index) const; // for asserts and tests
 
   // ---- jobs ----
 
   JobIndex add(OpenRecord record, std::uint64_t mod_revision);
-  // Applies the progress record of earlier leaders. Must precede the first placement.
+  // Must precede the first placement.
   void restore(JobIndex job_index, const ProgressRecord &progress);
   void remove(JobIndex job_index);
   void cancel(JobIndex job_index);
@@ -104,29 +99,28 @@
   [[nodiscard]] bool update_mod_revision(JobIndex job_index, std::uint64_t mod_revision);
   void set_ending(JobIndex job_index, bool ending);
   void pause(JobIndex job_index, bool paused);
-  void mark_ready(JobIndex job_index);                   // all dependencies are done
-  void confirm_end_by_origin(JobIndex job_index);        // for jobs delegated here
+  void mark_ready(JobIndex job_index); // all dependencies are done
+  void confirm_end_by_origin(JobIndex job_index);
   void publish_changed(JobIndex job_index, bool urgent); // requests an update of the progress record
 
   // ---- tasks ----
 
   void place(JobIndex job_index, std::uint32_t task_index, MachineIndex machine, int zone);
   void finish(JobIndex job_index, std::uint32_t task_index);
-  // Called when the attempt on `machine` is over. `unaccounted`: another attempt may still run somewhere.
+  // `unaccounted`: another attempt may still run elsewhere.
   void release(JobIndex job_index, std::uint32_t task_index, MachineIndex machine, bool unaccounted);
-  // After `unaccounted_until`, makes tasks that no worker has listed pending again. Returns the affected jobs.
+  // Makes unaccounted tasks pending after `unaccounted_until`. Returns the affected jobs.
   [[nodiscard]] std::vector<JobIndex> expire_unaccounted();
 
   // ---- gangs ----
 
-  // `min_attempt`: greater than any attempt number of earlier leaders.
+  // `min_attempt`: exceeds all attempt numbers of earlier leaders.
   std::uint64_t next_gang_attempt(JobIndex job_index, std::uint64_t min_attempt);
   void adopt_gang_attempt(JobIndex job_index, std::uint64_t attempt);
   void close_gang(JobIndex job_index, bool closed);
 
   // ---- delegations to remote cells ----
-  // Delegated tasks cannot be placed here until the delegation has expired or is removed. `finish` also applies to
-  // tasks that are done in the remote cell.
+  // Delegated tasks cannot be placed here until the delegation expires or is removed.
 
   void delegate(JobIndex job_index, DelegationRecord delegation);
   void charge_delegation(JobIndex job_index, std::uint64_t generation, const accounts::Usage &charged);
--- a/include/loftrouter/core/workers/machine.hpp
+++ b/include/loftrouter/core/workers/machine.hpp
@@ -1,8 +1,6 @@
 // The leader's view of a worker machine and of the tasks allocated to it.
 //
-// Plain data, owned by the `WorkerRegistry` and modified by it alone. Times are monotonic seconds; -1 means "never".
-// The lifecycle of an allocation only moves forward: if a sent start counted as unsent, its task could be started
-// elsewhere while it runs (docs/safety.md "ran_twice").
+// Owned and modified by the `WorkerRegistry` alone. Times are monotonic seconds; -1 means "never".
 #pragma once
 
 #include <compare>
@@ -20,33 +18,32 @@
 
 namespace loftrouter::core {
 
-// The lifecycle of an allocation; the values are ordered.
+// The lifecycle of an allocation, which only moves forward: if a sent start counted as unsent, the task could be
+// started elsewhere while it runs (docs/safety.md "ran_twice").
 enum class AllocationState : std::uint8_t {
-  Unsent,    // no response has carried the start, so the worker cannot know of it
-  Sent,      // a response has carried the start; it may not have arrived
+  Unsent,    // no response has carried the start
+  Sent,      // a response that may not have arrived has carried it
   Observed,  // a heartbeat has listed the task
-  Completed, // a heartbeat has listed the task as succeeded; kept until the result is recorded
+  Completed, // listed as succeeded; kept until the result is recorded
 };
 
 // How the last heartbeat listed an allocated task.
 enum class Presence : std::uint8_t {
-  Absent, // not listed
+  Absent,
   Listed,
   Failed, // listed as exited, and not completed
 };
 
-// A task bound to a machine.
 struct Allocation {
-  JobIndex job; // invalid: the task belongs to no open job and is to be stopped
+  JobIndex job; // invalid: belongs to no open job and is being stopped
   std::string job_id;
-  std::uint32_t index = 0; // task index in the job
+  std::uint32_t index = 0;
   std::uint64_t attempt = 0;
   AllocationState state = AllocationState::Unsent;
-  TaskPhase phase = TaskPhase::Fetching; // in the last heartbeat that listed the task
-  // Adopted: started by an earlier leader and unaccounted for until a heartbeat listed it.
-  bool was_unaccounted = false;
+  TaskPhase phase = TaskPhase::Fetching;
+  bool was_unaccounted = false; // adopted from an earlier leader while unaccounted for
   Presence presence = Presence::Absent;
-  std::optional<double> stop_grace_s; // set: stop requested, with this much time to save a checkpoint
+  std::optional<double> stop_grace_s; // set: stop requested; time to save a checkpoint
   double placed_at = 0;
   double start_sent_at = -1;
   double waiting_since = -1;
@@ -59,35 +56,33 @@
   bool stop_requested() const { return stop_grace_s.has_value(); }
 };
 
-// The availability of the machine. `MachineLost` is published on the change to `Lost`; an accepted heartbeat makes the
-// machine available again.
+// An accepted heartbeat makes a lost machine available again.
 enum class MachineAvailability : std::uint8_t {
-  Starting,  // no heartbeat yet
-  Available, // a heartbeat was accepted, and the lease it renewed has not expired
-  Lost,      // the lease expired, or the machine failed or was removed
+  Starting, // no heartbeat yet
+  Available,
+  Lost, // the lease expired, or the machine failed or was removed
 };
 
-// The scale-in decision for the machine. `Returning` is final.
+// Scale-in progress; `Returning` is final.
 enum class ScaleInState : std::uint8_t {
   Retained,
-  Draining,  // surplus: takes no new tasks, and is returned to the cloud once it is empty
-  Returning, // takes no new tasks, and is being returned to the cloud
+  Draining,  // takes no new tasks; is returned to the cloud once it is empty
+  Returning, // takes no new tasks; is being returned to the cloud
 };
 
-// The state derived from the worker's accepted heartbeats.
 struct HeartbeatState {
   std::string worker_address;      // receives stop commands; empty: none
   ReplicaIndex forwarding_replica; // forwarded the last heartbeat; invalid: received directly
-  std::uint64_t incarnation = 0;   // of the last heartbeat
-  std::uint64_t sequence = 0;      // of the last heartbeat within its incarnation
+  std::uint64_t incarnation = 0;
+  std::uint64_t sequence = 0;
   double incarnation_since = 0;
   double first_accepted_at = -1;
-  double last_accepted_at = -1; // also the last lease renewal
+  double last_accepted_at = -1; // also renews the lease
 
   bool received() const { return first_accepted_at >= 0; }
 };
 
-// What the cloud's machine list has shown; both flags stay set.
+// What the cloud's machine list has shown so far.
 struct CloudListing {
   bool running = false; // listed as running; may have stopped since
   bool failed = false;  // stopped without a request
@@ -95,7 +90,7 @@
 
 struct Machine {
   std::string name;
-  int type = -1; // index in the instance type catalog; -1: not in it
+  int type = -1; // in the instance type catalog; -1: unknown
   int zone = -1;
   bool spot = false;
   Resources size;
@@ -103,7 +98,7 @@
   double known_since = 0;
   double rented_at = 0;
   double idle_since = -1;                             // -1: not idle, or unknown
-  std::optional<double> reclaim_at;                   // when the cloud reclaims the spot instance
+  std::optional<double> reclaim_at;                   // by the spot reclaim notice
   std::optional<wire::MachineAdminState> admin_state; // set by an operator: takes no new tasks
 
   MachineAvailability availability = MachineAvailability::Starting;
@@ -113,9 +108,9 @@
   CloudListing listing;
 
   std::vector<Allocation> allocations;
-  bool stop_commands_pending = false;       // requested stops that no response has carried yet
+  bool stop_commands_pending = false;       // not yet sent with a response
   Resources used;                           // by allocations that are not completed
-  std::list<std::pair<int, double>> images; // cached image indices and sizes in GB, most recently used first
+  std::list<std::pair<int, double>> images; // cached images and their GB, most recently used first
   double busy_cpu_s = 0;                    // CPU seconds of tasks that succeeded here
 
   bool lost() const { return availability == MachineAvailability::Lost; }
@@ -127,7 +122,6 @@
   }
 };
 
-// The kind of instance that is requested from the cloud.
 struct MachineKind {
   int type = -1;
   int zone = -1;
--- a/include/loftrouter/core/workers/worker_registry.hpp
+++ b/include/loftrouter/core/workers/worker_registry.hpp
@@ -1,11 +1,9 @@
 // The leader's registry of machines and of the tasks that run or may run on them.
 //
-// Owns machines and their allocations; used by the core's thread alone. Invariant: an allocation is released only on
-// proof that its attempt is over on that machine: its start was never sent, a newer heartbeat does not list it, the
-// lease has expired, or the cloud has removed the machine. Otherwise the task could be started elsewhere while it runs
-// (docs/safety.md "ran_twice").
-//
-// An index identifies a machine; it is reused once `MachineRemoved` has been delivered.
+// Owns machines and allocations; used by the core's thread alone. Invariant: an allocation is released only on proof
+// that its attempt is over: the start was never sent, a newer heartbeat does not list it, the lease has expired, or the
+// machine was removed. Otherwise the task could be started elsewhere while it runs (docs/safety.md "ran_twice").
+// Indices are reused after `MachineRemoved`.
 #pragma once
 
 #include <cstddef>
@@ -35,12 +33,8 @@
       : runtime_(runtime), events_(events), settings_(settings), catalog_(catalog), operators_(operators),
         leadership_(leadership), jobs_(jobs), state_writer_(state_writer) {}
 
-  // ---- look-ups ----
-
-  std::size_t index_limit() const { return machines_.size(); } // all indices are below this
-  // Returns null if there is no machine at this index.
-  const Machine *find(MachineIndex machine_index) const { return machines_[machine_index.position()].get(); }
-  // There must be a machine at this index.
+  std::size_t index_limit() const { return machines_.size(); }
+  const Machine *find(MachineIndex machine_index) const { return machines_[machine_index.position()].get(); } // or null
   const Machine &operator[](MachineIndex machine_index) const { return *machines_[machine_index.position()]; }
   MachineIndex index(const std::string &name) const;      // invalid: unknown
   template <class Visit> void each(Visit &&visit) const { // visit(index, machine), in index order
@@ -48,59 +42,55 @@
       if (machines_[i]) visit(MachineIndex(i), *machines_[i]);
   }
   std::size_t available_count() const;
-  // Counts available workers whose heartbeats this replica forwards; with an invalid index, those received directly.
+  // Counts the workers whose heartbeats this replica forwards; invalid: those received directly.
   std::size_t available_count(ReplicaIndex forwarding_replica) const;
-  // When the machine was removed, in monotonic seconds; nothing if it was not, or if the removal was forgotten.
+  // Monotonic s; nothing if the machine was not removed or the removal was forgotten.
   std::optional<double> removed_at(const std::string &name) const;
-  // Indexed by job. Includes unaccounted tasks, most of which are running.
+  // Indexed by job. Includes unaccounted tasks, as most of them are running.
   std::vector<std::uint32_t> running_tasks_by_job() const;
   std::uint32_t running_tasks(JobIndex job_index) const;
-  // Checks the allocations against the job table and `used`; for asserts and tests.
-  bool consistent(MachineIndex machine_index) const;
+  bool consistent(MachineIndex machine_index) const; // for asserts and tests
 
   // ---- lifecycle of machines ----
 
   MachineIndex find_or_add(const std::string &name, const std::string &type, const std::string &zone, bool spot);
   void set_rented_at(MachineIndex machine_index, double rented_at); // monotonic s
-  void mark_verified(MachineIndex machine_index);                   // rented by this leader
-  void mark_returning(MachineIndex machine_index);                  // it takes no new tasks from now on
-  void set_draining(MachineIndex machine_index, bool draining);     // no effect on a returning machine
+  void mark_verified(MachineIndex machine_index);
+  void mark_returning(MachineIndex machine_index);
+  void set_draining(MachineIndex machine_index, bool draining);
   void mark_listed_running(MachineIndex machine_index);
-  void mark_listed_failed(MachineIndex machine_index);                      // it becomes lost and returning
-  void remove(MachineIndex machine_index);                                  // the cloud no longer has it
-  void forget_removal(const std::string &name) { removed_at_.erase(name); } // the cloud lists it again
+  void mark_listed_failed(MachineIndex machine_index);
+  void remove(MachineIndex machine_index);
+  void forget_removal(const std::string &name) { removed_at_.erase(name); }
   void forget_removals(double older_than_s);
 
   // ---- heartbeats ----
 
   enum class HeartbeatResult : std::uint8_t {
-    Stale,         // not newer than the last accepted one, so its task list is outdated
-    MachineFailed, // the cloud has listed the machine as failed
+    Stale,         // not newer than the last accepted one
+    MachineFailed, // by the cloud's list
     Accepted,
   };
-  // Renews the lease and reconciles the allocations with the tasks that the worker lists. Appends to `commands` which
-  // of those are to be forgotten or stopped; `build_response` adds the rest after the events have been handled.
+  // Renews the lease and reconciles the allocations with the listed tasks. Appends the commands for listed tasks;
+  // `build_response` adds the others after the events have been handled.
   [[nodiscard]] HeartbeatResult accept_heartbeat(MachineIndex machine_index, const Heartbeat &heartbeat,
                                                  ReplicaIndex forwarding_replica, std::vector<TaskCommand> &commands);
-  // Appends the requested stops and, with `may_start`, the starts that are recorded in the state service.
+  // Appends requested stops and, with `may_start`, the recorded starts.
   void build_response(MachineIndex machine_index, bool may_start, std::vector<TaskCommand> &commands);
 
   // ---- allocations ----
 
   void allocate(MachineIndex machine_index, JobIndex job_index, std::uint32_t task_index, std::uint64_t attempt);
-  // Releases the allocation at once if its start was never sent, otherwise when a heartbeat no longer lists it.
+  // Releases an unsent allocation at once, others when a heartbeat no longer lists them.
   // `grace_s`: time to save a checkpoint.
   void stop(MachineIndex machine_index, std::size_t position, double grace_s);
-  // Stops all tasks of a job; returns false if all of them were being stopped already.
+  // Returns false if all tasks of the job were being stopped already.
   bool stop_job(JobIndex job_index, double grace_s);
   void release_unsent(JobIndex job_index);
-  // Stops the attempt of a gang that has lost a task since it started; the next attempt begins once all tasks of this
-  // one are gone.
+  // Stops a gang that has lost a task since it started, so that it can be started again as a whole.
   void reconcile_gang(JobIndex job_index);
 
-  // ---- time and events ----
-
-  void tick();               // handles expired leases and upcoming spot reclaims
+  void tick();               // expired leases and spot reclaims
   void send_stop_commands(); // called at the end of each batch
   void on(const JobCancelled &event) { stop_job(event.job, 0); }
   void on(const JobFinalized &event);
@@ -110,7 +100,7 @@
   void on(const TermEnded &);
 
 private:
-  struct TaskListing; // the tasks listed by a heartbeat, matched with the allocations
+  struct TaskListing; // a heartbeat's tasks matched with the allocations
 
   Machine &at(MachineIndex machine_index) { return *machines_[machine_index.position()]; }
   MachineIndex free_index();
@@ -152,8 +142,8 @@
   StateWriter &state_writer_;
   std::vector<std::unique_ptr<Machine>> machines_; // by index; null: free
   std::unordered_map<std::string, MachineIndex> index_by_name_;
-  std::unordered_map<std::string, double> removed_at_; // by name, monotonic s; pruned by `forget_removals`
-  std::vector<MachineIndex> stop_commands_pending_;    // machines whose flag was set in this batch
+  std::unordered_map<std::string, double> removed_at_; // by name, monotonic s
+  std::vector<MachineIndex> stop_commands_pending_;
 };
 
 } // namespace loftrouter::core
--- a/src/core/jobs/critical_path.cpp
+++ b/src/core/jobs/critical_path.cpp
@@ -10,7 +10,7 @@
 constexpr double kStartDelayS = 2.0;
 } // namespace
 
-// How long before its due time a job must become ready. A start waits for up to one heartbeat.
+// The time from ready to done. A start waits for a heartbeat.
 double Dependencies::lead_time_s(JobIndex job_index) const {
   return kEstimateFactor * jobs_[job_index].spec.estimate_s + kStartDelayS + settings_.heartbeat_interval_s;
 }
@@ -19,7 +19,6 @@
   outdated_ = false;
   sort_topologically();
   requirements_.assign(nodes_.size(), {});
-  // In reverse order, because a requirement depends on those of the dependents.
   for (auto it = topological_order_.rbegin(); it != topological_order_.rend(); ++it)
     requirements_[it->position()] = combined_requirement(*it);
 }
@@ -28,7 +27,7 @@
   topological_order_.clear();
   std::vector<std::size_t> unsorted_dependencies(nodes_.size(), 0);
   jobs_.each([&](JobIndex job_index, const Job &) {
-    if (!has_node(job_index)) return; // its JobAccepted event has not been delivered yet
+    if (!has_node(job_index)) return; // its event has not been delivered yet
     unsorted_dependencies[job_index.position()] = node(job_index).open_dependencies.size();
     if (node(job_index).open_dependencies.empty()) topological_order_.push_back(job_index);
   });
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -11,11 +11,9 @@
 namespace {
 constexpr double kLookupRetryS = 1.0;    // after a look-up that found no end
 constexpr double kLookupDeadlineS = 1.0; // for each read
-constexpr double kReadsPerLookup = 1.3;  // average charged to the read budget; the second read is rarely needed
+constexpr double kReadsPerLookup = 1.3;  // average; the second read is rarely needed
 } // namespace
 
-// ---- accessors ----
-
 const Dependencies::Node &Dependencies::node(JobIndex job_index) const {
   static const Node kUnknown;
   return has_node(job_index) ? nodes_[job_index.position()] : kUnknown;
@@ -31,8 +29,6 @@
   return job.unmet - job.open_dependencies.size();
 }
 
-// ---- the graph ----
-
 void Dependencies::on(const JobAccepted &event) {
   const JobIndex job_index = event.job;
   if (!jobs_.find(job_index)) return;
@@ -86,7 +82,7 @@
   if (ready(job_index) && jobs_.find(job_index) && !jobs_[job_index].cancelled) jobs_.mark_ready(job_index);
 }
 
-// Cancels a job whose dependency was cancelled. Its own dependents follow when its JobCancelled event is delivered.
+// The dependents of the job are cancelled when its JobCancelled event is delivered.
 void Dependencies::dependency_cancelled(JobIndex job_index, const std::string &dependency_id) {
   Node &job = node(job_index);
   if (job.cancelled_dependency.empty()) job.cancelled_dependency = dependency_id;
@@ -128,7 +124,7 @@
     std::erase(it->second.dependents, event.job);
     it = it->second.dependents.empty() ? lookups_.erase(it) : std::next(it);
   }
-  for (JobIndex dependent : ended.dependents) { // its end is not known here and has to be looked up
+  for (JobIndex dependent : ended.dependents) { // how the job ended has to be looked up
     std::erase(node(dependent).open_dependencies, event.job);
     lookups_[ended.id].dependents.push_back(dependent);
   }
@@ -147,8 +143,6 @@
   outdated_ = false;
 }
 
-// ---- look-ups of jobs that are not open here ----
-
 void Dependencies::tick() {
   if (!leadership_.leading()) return;
   for (auto &[id, lookup] : lookups_) {
@@ -161,8 +155,8 @@
   }
 }
 
-// Every job has either an open record or an end record, and one write replaces the former by the latter. The end record
-// is therefore read after the open record was found missing. The watch reports the end of a job that is still open.
+// One write replaces the open record of a job by its end record, so the end record is read only if the open record is
+// missing. The watch reports the end of open jobs.
 void Dependencies::look_up_open(const std::string &id) {
   const auto epoch = leadership_.epoch();
   runtime_.store(StoreGet{wire::open_key(id)}, kLookupDeadlineS, [this, id, epoch](const wire::StoreReply &reply) {
--- a/src/core/jobs/failure_attribution.cpp
+++ b/src/core/jobs/failure_attribution.cpp
@@ -8,7 +8,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr std::uint32_t kSuspectedAfterMachines = 2; // machines on which a job has failed without ever succeeding
+constexpr std::uint32_t kSuspectedAfterMachines = 2; // without any success
 constexpr double kPauseAfterFailoverS = 20.0;        // for jobs that an earlier leader suspected
 constexpr double kMachineAvoidedS = 120.0;           // after a failure of the job there
 constexpr std::size_t kMaxFailuresPerJob = 8;
@@ -16,8 +16,6 @@
 constexpr int kMaxProbes = 10;           // bounds the exponent of the backoff
 } // namespace
 
-// ---- accessors ----
-
 const FailureAttribution::JobHistory &FailureAttribution::history(JobIndex job_index) const {
   static const JobHistory kEmpty;
   return job_index.position() < job_histories_.size() ? job_histories_[job_index.position()] : kEmpty;
@@ -48,8 +46,6 @@
   return confirmed >= 2 || failed_jobs.size() >= 3 || (confirmed >= 1 && errors >= 3);
 }
 
-// ---- exits ----
-
 void FailureAttribution::restore(JobIndex job_index, std::uint32_t failed_machine_count) {
   JobHistory &job = grown(job_histories_, job_index);
   job.failed_machine_count = failed_machine_count;
@@ -63,7 +59,6 @@
 
 void FailureAttribution::task_succeeded(const TaskExited &event) {
   MachineHistory &machine = grown(machine_histories_, event.machine);
-  // Only the success of a task placed after the first failure shows that the machine works.
   machine.last_good_placement = std::max(machine.last_good_placement, event.placed_at);
   if (event.placed_at >= machine.failing_since) {
     machine.failed_jobs.clear();
@@ -74,7 +69,7 @@
   std::erase_if(job.failures,
                 [this](const Failure &failure) { return runtime_.now() - failure.at >= kMachineAvoidedS; });
   for (const auto &failure : job.failures)
-    count_against_machine(failure.machine, event.job, failure.at); // the job can succeed, so the machine is at fault
+    count_against_machine(failure.machine, event.job, failure.at); // the job is not at fault
 }
 
 void FailureAttribution::task_failed(const TaskExited &event) {
@@ -119,8 +114,6 @@
   history.probes = std::min(history.probes + 1, kMaxProbes);
 }
 
-// ---- machines ----
-
 void FailureAttribution::count_against_machine(MachineIndex machine_index, JobIndex job_index, double failed_at) {
   MachineHistory &machine = grown(machine_histories_, machine_index);
   if (machine.last_good_placement > failed_at) return;
@@ -138,7 +131,6 @@
   events_.publish(MachineQuarantined{machine_index, machine.failed_jobs.size()});
 }
 
-// Removes the job's failures from the histories of its machines, because the job is probably at fault.
 void FailureAttribution::clear_machines_of(JobIndex job_index) {
   const std::string &id = jobs_[job_index].spec.id;
   for (const auto &failure : grown(job_histories_, job_index).failures) {
--- a/src/core/jobs/job_objectives.cpp
+++ b/src/core/jobs/job_objectives.cpp
@@ -10,7 +10,7 @@
 namespace {
 constexpr double kDefaultTargetS = 3600.0; // for jobs without a deadline or an objective
 constexpr double kDeferrableS = 1800.0;    // then small work without a target may use expensive machines, too
-// Kinds of objectives in the settings.
+// Objective kinds in the settings.
 constexpr std::string_view kFinished = "finished";
 constexpr std::string_view kWait = "wait";
 } // namespace
@@ -24,7 +24,7 @@
   return latest ? latest : start_target(spec);
 }
 
-// The completion target implied by objectives for the start: the latest start plus the estimated run time.
+// The completion target implied by a start objective.
 std::optional<double> JobObjectives::start_target(const JobSpec &spec) const {
   std::optional<double> latest;
   for (const auto &objective : settings_.objectives)
--- a/src/core/jobs/job_table.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-// Calls visit(task_index) for each task in `ranges`. Skips indices beyond `task_count`, which records may contain.
+// Skips indices beyond `task_count`, which records may contain.
 template <class Visit> void each_task(const Ranges &ranges, std::uint32_t task_count, Visit &&visit) {
   for (const auto &[begin, end] : ranges)
     for (std::uint32_t task_index = begin; task_index < end && task_index < task_count; ++task_index)
       visit(task_index);
 }
 
-// Returns the job's counter for this state; null for pending tasks, which have none.
+// Returns null for pending tasks, which are not counted.
 std::uint32_t *count_of(Job &job, TaskState state) {
   switch (state) {
   case TaskState::Placed:
@@ -64,8 +64,6 @@
          counted.delegated == job.delegated;
 }
 
-// ---- jobs ----
-
 JobIndex JobTable::free_index() {
   if (free_indices_.empty()) {
     jobs_.emplace_back();
@@ -96,8 +94,8 @@
   return job_index;
 }
 
-// Initializes a job delegated by an origin cell. Its team name "@<cell>" separates it from local work in accounts and
-// queues; JobApiHandler refuses such names from users. The job is paused until the origin cell confirms the delegation.
+// The team name "@<cell>" separates delegated work from local work; JobApiHandler refuses such names from users. The
+// job is paused until the origin cell confirms the delegation.
 void JobTable::accept_delegation(JobIndex job_index, DelegationSource source) {
   Job &job = at(job_index);
   job.spec.team = "@" + source.origin;
@@ -177,8 +175,6 @@
   index_by_id_.clear();
 }
 
-// ---- tasks ----
-
 void JobTable::set_state(JobIndex job_index, std::uint32_t task_index, TaskState state, MachineIndex machine,
                          int zone) {
   Job &job = at(job_index);
@@ -193,8 +189,7 @@
 }
 
 void JobTable::place(JobIndex job_index, std::uint32_t task_index, MachineIndex machine, int zone) {
-  // Only pending tasks, and unaccounted ones when a worker lists them, may be placed. Guards against a second start of
-  // a task that may still run.
+  // Guards against a second start of a task that may still run.
   assert(at(job_index).tasks[task_index].state == TaskState::Pending ||
          at(job_index).tasks[task_index].state == TaskState::Unaccounted);
   set_state(job_index, task_index, TaskState::Placed, machine, zone);
@@ -227,8 +222,6 @@
   return affected;
 }
 
-// ---- gangs ----
-
 std::uint64_t JobTable::next_gang_attempt(JobIndex job_index, std::uint64_t min_attempt) {
   Job &job = at(job_index);
   assert(job.placed == 0);
@@ -246,8 +239,6 @@
   at(job_index).gang_closed = closed;
 }
 
-// ---- delegations to remote cells ----
-
 void JobTable::delegate(JobIndex job_index, DelegationRecord delegation) {
   Job &job = at(job_index);
   each_task(delegation.tasks, job.spec.tasks, [&](std::uint32_t task_index) {
--- a/src/core/workers/allocations.cpp
+++ b/src/core/workers/allocations.cpp
@@ -35,8 +35,7 @@
   publish_released(machine_index, allocation, false);
   machine.used.add(allocation.need, -1);
   if (!allocation.job.valid()) return;
-  // A delayed heartbeat may have listed an outdated attempt of an earlier leader. A newer attempt may still run
-  // elsewhere without being known yet, so the end of this one is no proof that the task is gone.
+  // A delayed heartbeat may have listed an outdated attempt of an earlier leader, while a newer one runs elsewhere.
   const bool unaccounted = allocation.was_unaccounted && jobs_.unaccounted_until() > 0;
   jobs_.release(allocation.job, allocation.index, machine_index, unaccounted);
 }
@@ -50,8 +49,7 @@
                                machine.spot});
 }
 
-// Models the image cache of the machine: LRU eviction that always keeps the image just used, even if it exceeds the
-// cache.
+// Models the image cache of the worker, with LRU eviction. The image just used always stays.
 void WorkerRegistry::touch_cached_image(Machine &machine, int image, double image_gb) {
   if (image < 0) return;
   machine.images.remove_if([image](const auto &cached) { return cached.first == image; });
@@ -66,8 +64,6 @@
   }
 }
 
-// ---- stops ----
-
 void WorkerRegistry::stop(MachineIndex machine_index, std::size_t position, double grace_s) {
   Allocation &allocation = at(machine_index).allocations[position];
   if (allocation.sent())
@@ -102,7 +98,7 @@
   }
 }
 
-// Several requests for one allocation combine to the shortest grace period.
+// The shortest grace period of several requests applies.
 void WorkerRegistry::request_stop(MachineIndex machine_index, Allocation &allocation, double grace_s) {
   if (allocation.completed()) return;
   if (allocation.stop_requested()) {
@@ -113,14 +109,11 @@
   if (!std::exchange(at(machine_index).stop_commands_pending, true)) stop_commands_pending_.push_back(machine_index);
 }
 
-// Sends requested stops immediately instead of with the next heartbeat response. The worker sends a heartbeat when its
-// tasks have stopped, so their successors can start up to a heartbeat interval earlier. Also stops tasks that were sent
-// but not observed, for example while they fetch an image. If the start has not arrived, the command has no effect:
-// attempt numbers are not reused.
+// Sends stops without waiting for the next heartbeat, so that other tasks can start sooner. This includes tasks that
+// were sent but not observed. If the start has not arrived, the stop has no effect: attempt numbers are not reused.
 void WorkerRegistry::send_stop_commands() {
   for (MachineIndex machine_index : std::exchange(stop_commands_pending_, {})) {
     Machine *machine = machines_[machine_index.position()].get();
-    // The machine was removed, or a response has carried the stops.
     if (!machine || !std::exchange(machine->stop_commands_pending, false)) continue;
     const HeartbeatState &worker = machine->heartbeat;
     if (!leadership_.active() || machine->lost() || worker.worker_address.empty()) continue;
@@ -135,8 +128,6 @@
   }
 }
 
-// ---- gangs ----
-
 void WorkerRegistry::reconcile_gang(JobIndex job_index) {
   const Job &job = jobs_[job_index];
   if (job.spec.shape != Shape::Gang || job.placed == 0) return;
--- a/src/core/workers/heartbeat_reconciliation.cpp
+++ b/src/core/workers/heartbeat_reconciliation.cpp
@@ -1,6 +1,4 @@
-// WorkerRegistry: reconciling a worker's task list with the allocations, and building the heartbeat response.
-//
-// A heartbeat that no longer lists a task is proof that the task is gone, see docs/safety.md "ran_twice".
+// WorkerRegistry: handling heartbeats, see docs/safety.md "ran_twice".
 #include <algorithm>
 #include <cassert>
 #include <utility>
@@ -29,7 +27,7 @@
 } // namespace
 
 struct WorkerRegistry::TaskListing {
-  std::vector<std::pair<std::size_t, const TaskStatus *>> exits; // allocation position and status, in heartbeat order
+  std::vector<std::pair<std::size_t, const TaskStatus *>> exits; // with the position of the allocation
   std::vector<const TaskStatus *> unknown;                       // tasks without an allocation
 };
 
@@ -48,9 +46,8 @@
   return HeartbeatResult::Accepted;
 }
 
-// Infers from timing, token and incarnation whether the last response arrived. A worker has one heartbeat in flight and
-// waits 4 s for its response, so the next heartbeat acknowledges the response if it comes sooner and shows our token. A
-// single result may be misleading, for example after a lost packet or a restart.
+// Infers whether the last response arrived. A worker waits 4 s for a response before it sends the next heartbeat, so
+// one that comes sooner with our token acknowledges the response.
 DownlinkEvidence WorkerRegistry::fencing_token_evidence(const Machine &machine, const Heartbeat &heartbeat) const {
   const bool shows_our_token = heartbeat.fencing_token >= leadership_.term();
   DownlinkEvidence evidence;
@@ -105,7 +102,7 @@
     }
     const auto position = static_cast<std::size_t>(found - allocations.begin());
     found->presence = Presence::Listed;
-    // A listed task proves that the response with its start has arrived.
+    // The response with its start has arrived.
     evidence.acknowledged |= found->state == AllocationState::Sent;
     observe(machine_index, *found, task);
     if (task.phase == TaskPhase::Exited) listing.exits.emplace_back(position, &task);
@@ -177,12 +174,11 @@
   }
 }
 
-// Releases allocations that the heartbeat does not list or lists as failed. Absence proves that the attempt is over,
-// because the heartbeat is newer than every response that could have carried the start. An allocation that was never
-// listed is kept while its start can still be sent (again).
+// Absence proves that an attempt is over, because the heartbeat is newer than every response that could have carried
+// its start. An allocation that was never listed is kept while its start can still be sent (again).
 //
-// `reconcile_gang` may release other allocations and shift positions. `presence` is therefore stored in the allocation
-// itself: with a list by position, a running task could be taken for an absent one.
+// `reconcile_gang` may release other allocations and shift positions. `presence` is therefore stored in the allocation;
+// by position, a running task could be taken for an absent one.
 void WorkerRegistry::release_absent(MachineIndex machine_index) {
   Machine &machine = at(machine_index);
   for (std::size_t position = machine.allocations.size(); position-- > 0;) {
@@ -197,8 +193,6 @@
   }
 }
 
-// ---- listed tasks without an allocation ----
-
 void WorkerRegistry::reconcile_unknown_task(MachineIndex machine_index, const TaskStatus &task,
                                             std::vector<TaskCommand> &commands) {
   const JobIndex job_index = jobs_.index(task.job);
@@ -212,7 +206,7 @@
   }
 }
 
-// Returns true if an earlier leader may have started the task and no other attempt of it is known here.
+// Returns true if an earlier leader may have started the task and no newer attempt is known.
 bool WorkerRegistry::may_adopt(JobIndex job_index, const TaskStatus &task) {
   if (!job_index.valid() || task.index >= jobs_[job_index].spec.tasks) return false;
   const Job &job = jobs_[job_index];
@@ -260,7 +254,7 @@
   }
 }
 
-// Adds an allocation without a job for a task that is being stopped. It occupies capacity until it is no longer listed.
+// The task occupies capacity until a heartbeat no longer lists it.
 void WorkerRegistry::add_unwanted(MachineIndex machine_index, JobIndex job_index, const TaskStatus &task) {
   Machine &machine = at(machine_index);
   Allocation unwanted;
@@ -276,8 +270,6 @@
   machine.allocations.push_back(std::move(unwanted));
 }
 
-// ---- the response ----
-
 void WorkerRegistry::build_response(MachineIndex machine_index, bool may_start, std::vector<TaskCommand> &commands) {
   Machine &machine = at(machine_index);
   machine.stop_commands_pending = false;
@@ -300,14 +292,13 @@
   assert(consistent(machine_index));
 }
 
-// A start is sent only once it is recorded, so that the next leader knows of every task that may run.
+// Starts are recorded before they are sent, so that the next leader knows of every task that may run.
 bool WorkerRegistry::may_send_start(const Machine &machine, const Allocation &allocation) const {
   if (machine.downlink.lost() || machine.returning()) return false;
   if (allocation.observed() || !allocation.job.valid() || jobs_[allocation.job].paused) return false;
   return state_writer_.start_recorded(allocation.job, allocation.index);
 }
 
-// Records the first time a start is sent. Starts are resent until a heartbeat lists the task.
 void WorkerRegistry::mark_start_sent(MachineIndex machine_index, Allocation &allocation) {
   if (allocation.sent()) return;
   allocation.state = AllocationState::Sent;
--- a/src/core/workers/worker_registry.cpp
+++ b/src/core/workers/worker_registry.cpp
@@ -10,8 +10,6 @@
 constexpr double kLeaseExpiryMarginS = 0.5;
 } // namespace
 
-// ---- accessors ----
-
 MachineIndex WorkerRegistry::index(const std::string &name) const {
   const auto it = index_by_name_.find(name);
   return it == index_by_name_.end() ? MachineIndex() : it->second;
@@ -63,15 +61,12 @@
     if (allocation.completed()) continue;
     used.add(allocation.need);
     if (!allocation.job.valid()) continue;
-    // The task must stay placed on this machine until the allocation is released.
     const Task &task = jobs_[allocation.job].tasks[allocation.index];
     if (task.state != TaskState::Placed || task.machine != machine_index) return false;
   }
   return std::abs(used.cpus - machine.used.cpus) < 1e-3 && std::abs(used.memory - machine.used.memory) < 1e-3;
 }
 
-// ---- lifecycle of machines ----
-
 MachineIndex WorkerRegistry::free_index() {
   const auto free = std::find(machines_.begin(), machines_.end(), nullptr);
   const auto position = free - machines_.begin();
@@ -161,8 +156,6 @@
   std::erase_if(removed_at_, [&](const auto &removal) { return runtime_.now() - removal.second > older_than_s; });
 }
 
-// ---- time and events ----
-
 void WorkerRegistry::tick() {
   for (std::size_t i = 0; i < machines_.size(); ++i) {
     if (!machines_[i]) continue;
@@ -172,15 +165,14 @@
   }
 }
 
-// The last response that can have renewed the lease is this leader's: earlier leaders stopped responding before this
-// term began.
+// Earlier leaders stopped responding before this term began, so only this leader's responses count.
 bool WorkerRegistry::lease_expired(const Machine &machine) const {
   return leadership_.active() && machine.available() &&
          runtime_.now() >
              machine.heartbeat.last_accepted_at + settings_.lease_s * (1 + kMaxClockDrift) + kLeaseExpiryMarginS;
 }
 
-// Stops tasks with checkpoints shortly before a spot reclaim, just early enough to save.
+// Stops tasks with checkpoints just early enough to save before a spot reclaim.
 void WorkerRegistry::stop_checkpointable_before_reclaim(MachineIndex machine_index) {
   Machine &machine = at(machine_index);
   if (!machine.reclaim_at || !machine.available()) return;
@@ -198,7 +190,7 @@
     if (!machine) continue;
     for (auto &allocation : machine->allocations) {
       if (allocation.job != event.job) continue;
-      allocation.job = {}; // stopped at the next heartbeat like any task of an unknown job
+      allocation.job = {}; // stopped like any task of an unknown job
       allocation.stop_grace_s = 0;
     }
   }
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -1,5 +1,5 @@
-// Tests job dependencies: record compatibility with production, the graph against a reference model, and pipelines in
-// the simulated world under faults, rolling upgrades and lowered state service limits.
+// Tests record compatibility with production, the dependency graph against a reference model, and pipelines in the
+// simulated world.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -24,7 +24,7 @@
   world.submit(spec);
 }
 
-// Submits a diamond-shaped pipeline of four jobs and returns their ids.
+// Submits a diamond of four jobs and returns their ids.
 std::vector<std::string> submit_pipeline(World &world, int variant) {
   std::vector<std::string> ids;
   auto first = world.job(Shape::Array, 4, 1, 4);
@@ -44,12 +44,11 @@
   return ids;
 }
 
-// Submits `count` pipelines and cancels one job of every third.
 void submit_pipelines(World &world, int count, std::uint64_t seed) {
   for (int i = 0; i < count; ++i)
     world.at(15 + 6.0 * i, [&world, i, seed] {
       auto ids = submit_pipeline(world, i);
-      if (i % 3 == 2) // at any stage
+      if (i % 3 == 2)
         world.at(world.now() + 1 + (seed * 7 + static_cast<std::uint64_t>(i) * 5) % 25, [&world, ids, i] {
           const auto &id = ids[static_cast<std::size_t>(i / 3) % 3];
           if (const auto *job = world.own(id); job && job->accepted) world.cancel(id);
@@ -61,8 +60,7 @@
 
 // ---- compatibility with the version in production ----
 
-// tests/golden/production.txt holds each kind of record and frame (frames in hexadecimal) as written by the version in
-// production. Decoding and encoding them again must yield the same bytes.
+// tests/golden/production.txt holds one of each record and frame (in hexadecimal) written by the version in production.
 TEST(Upgrade, RecordsAndFramesRoundTripUnchanged) {
   std::ifstream golden(GOLDEN);
   int checked = 0;
@@ -125,13 +123,13 @@
 
 namespace {
 
-// A slow reference model, which evaluates all jobs recursively for each query.
+// Evaluates each query recursively, without incremental state.
 struct ReferenceGraph {
   struct ReferenceJob {
     std::vector<std::string> dependency_ids;
     bool open = true, cancelled = false, done = false;
     bool end_known = true;           // to the graph under test
-    bool dependency_stopped = false; // the job or a transitive dependency was cancelled; stays set
+    bool dependency_stopped = false; // stays set
   };
   std::map<std::string, ReferenceJob> jobs;
 
@@ -214,7 +212,7 @@
         if (action < 6 && job_index.valid()) { // cancelled by its user
           jobs.cancel(job_index);
           expected.cancelled = true;
-        } else if (action < 9 && job_index.valid()) { // ends; the end is not always known
+        } else if (action < 9 && job_index.valid()) { // ends, not always observed
           const bool cancelled = reference.stopped(id);
           if (!cancelled && !reference.ready(id)) continue;
           expected.open = false;
@@ -226,7 +224,7 @@
           end.end_wall = runtime.wall();
           if (expected.end_known) ended.remember(id, end);
           jobs.remove(job_index);
-        } else if (!job_index.valid() && !expected.end_known) { // found by a look-up
+        } else if (!job_index.valid() && !expected.end_known) { // look-up
           ++lookup_count;
           expected.end_known = true;
           EndRecord end;
@@ -287,8 +285,7 @@
   EXPECT_EQ(submit_with(0, {"j-999998"})->status, 503) << "cannot be checked during the outage";
 }
 
-// A replica of an earlier version ignores dependencies and would start jobs too early. Jobs with dependencies are
-// therefore refused until every replica is upgraded or gone.
+// Guards against a replica of an earlier version, which ignores dependencies and would start jobs too early.
 TEST(Pipelines, DependenciesAreRefusedBesideAnEarlierVersion) {
   Settings settings;
   settings.node = "node-0";
@@ -317,7 +314,7 @@
     return !effects.replies.empty() &&
            wire::decode(effects.replies[0].body)->dump().find("all nodes") != std::string::npos;
   };
-  // Provides machine types, without which submissions cannot be validated.
+  // Submissions are validated against the machine types.
   for (const auto &op : core.apply({core::TickCommand{}}, {now, 1.7e9 + now}).store)
     if (const auto *get = std::get_if<core::StoreGet>(&op.request); get && get->key == "conf/types") {
       wire::StoreReply reply;
@@ -341,7 +338,7 @@
   EXPECT_FALSE(dependency_refused());
 }
 
-// A cancellation reaches a large number of dependents: every node reports it before all records are written.
+// Every node reports the cancellations before all records are written.
 TEST(Pipelines, CancellationReachesAThousandDependents) {
   WorldOptions options;
   options.next_value_kb = 2;
@@ -395,7 +392,7 @@
   EXPECT_EQ(world.finished_jobs, 50);
 }
 
-// On every node, the reason of a waiting job names its dependency and warns early that the deadline is at risk.
+// Every node reports the dependency of a waiting job and that its deadline is at risk.
 TEST(Pipelines, ReasonNamesTheDependencyAndTheRisk) {
   World world(7, {});
   auto first = world.job(Shape::Array, 3, 1, 200), last = world.job(Shape::Array, 1, 1, 5);
@@ -403,7 +400,7 @@
   last.deadline_s = 100;
   world.at(2, [&] { world.submit(first); });
   world.at(5, [&] { world.submit(last); });
-  world.run(12); // before the first has started, by its estimate alone
+  world.run(12); // before the first job has started
   for (int node = 0; node < 3; ++node) {
     auto answer = world.look_up(node, last.id);
     auto late = world.admin(node, "GET", "/admin/v1/foreseen");
@@ -416,8 +413,7 @@
   }
 }
 
-// The state service rejects records below its announced size limit: rejected ones are made smaller, and all jobs still
-// end.
+// The state service rejects records below its announced size limit.
 TEST(Pipelines, RejectedRecordsAreMadeSmaller) {
   WorldOptions options;
   options.untold_value_kb = 0.8;
@@ -433,8 +429,7 @@
 
 class PipelineSeeds : public ::testing::TestWithParam<int> {};
 
-// Injects all faults during a rolling upgrade from a version that writes records of 8 KiB, while the limits are
-// lowered.
+// All faults during a rolling upgrade, while the limits are lowered below the record size of the old version.
 TEST_P(PipelineSeeds, SafetyHoldsUnderFaults) {
   const auto seed = static_cast<std::uint64_t>(GetParam());
   WorldOptions options = troubled(seed);
@@ -444,7 +439,7 @@
   options.begins_old = true;
   World world(seed, options);
   mixed_load(world, 24);
-  for (int i = 0; i < 12; ++i) // large arrays, whose records exceed the lowered limit
+  for (int i = 0; i < 12; ++i) // records exceed the lowered limit
     world.at(1 + 0.1 * i, [&world] {
       auto spec = world.job(Shape::Array, 900, 0.05, 30);
       spec.urgency = Urgency::Low;
