--- a/include/loftrouter/core/jobs/job_table.hpp
+++ b/include/loftrouter/core/jobs/job_table.hpp
@@ -56,7 +56,7 @@
   std::vector<int> zone_used; // placed tasks by zone
 
   std::uint64_t gang_attempt = 0;
-  bool gang_closed = false; // started: lost tasks are not replaced within this attempt
+  bool gang_started = false; // started: lost tasks are not replaced within this attempt
 
   std::vector<DelegationRecord> delegations;      // to remote cells
   std::uint32_t delegated_running = 0;            // by the last reports of the remote cells
@@ -117,7 +117,7 @@
   // `min_attempt`: exceeds all attempt numbers of earlier leaders.
   std::uint64_t next_gang_attempt(JobIndex job_index, std::uint64_t min_attempt);
   void adopt_gang_attempt(JobIndex job_index, std::uint64_t attempt);
-  void close_gang(JobIndex job_index, bool closed);
+  void set_gang_started(JobIndex job_index, bool closed);
 
   // ---- delegations to remote cells ----
   // Delegated tasks cannot be placed here until the delegation expires or is removed.
--- a/src/core/jobs/job_table.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -226,7 +226,7 @@
   Job &job = at(job_index);
   assert(job.placed == 0);
   job.gang_attempt = std::max(job.gang_attempt + 1, min_attempt);
-  job.gang_closed = false;
+  job.gang_started = false;
   return job.gang_attempt;
 }
 
@@ -235,8 +235,8 @@
   job.gang_attempt = std::max(job.gang_attempt, attempt);
 }
 
-void JobTable::close_gang(JobIndex job_index, bool closed) {
-  at(job_index).gang_closed = closed;
+void JobTable::set_gang_started(JobIndex job_index, bool closed) {
+  at(job_index).gang_started = closed;
 }
 
 void JobTable::delegate(JobIndex job_index, DelegationRecord delegation) {
--- a/src/core/scheduling/placement_queue.cpp
+++ b/src/core/scheduling/placement_queue.cpp
@@ -108,7 +108,7 @@
   // Where unaccounted tasks are is not known, so neither are their zones; a gang may still run elsewhere.
   const bool gang = job.spec.shape == Shape::Gang;
   if (job.unaccounted > 0 && (job.spec.one_zone || job.spec.spread || gang)) return true;
-  return gang && job.placed > 0 && job.gang_closed; // the old attempt has to be gone first
+  return gang && job.placed > 0 && job.gang_started; // the old attempt has to be gone first
 }
 
 // The last of its tasks starts once the others have had their turn on the fleet.
--- a/src/core/workers/allocations.cpp
+++ b/src/core/workers/allocations.cpp
@@ -132,8 +132,8 @@
   const Job &job = jobs_[job_index];
   if (job.spec.shape != Shape::Gang || job.placed == 0) return;
   const bool complete = job.placed + job.done + job.unaccounted >= job.spec.tasks;
-  const bool started = job.gang_closed || gang_has_started(job_index);
-  jobs_.close_gang(job_index, started);
+  const bool started = job.gang_started || gang_has_started(job_index);
+  jobs_.set_gang_started(job_index, started);
   if (started && !complete) stop_job(job_index, job.spec.save_s + 1);
 }
 
