--- a/include/loftrouter/core/jobs/job_table.hpp
+++ b/include/loftrouter/core/jobs/job_table.hpp
@@ -85,7 +85,7 @@
   // When all leases renewed by earlier leaders have expired, monotonic s; 0: already.
   double unaccounted_until() const { return unaccounted_until_; }
   // Increases whenever a job is added or a task becomes placeable.
-  std::uint64_t arrivals() const { return arrivals_; }
+  std::uint64_t pending_work_version() const { return pending_work_version_; }
   bool consistent(JobIndex job_index) const; // for asserts and tests
 
   // ---- jobs ----
@@ -146,7 +146,7 @@
   std::vector<JobIndex> free_indices_;
   std::unordered_map<std::string, JobIndex> index_by_id_;
   std::uint64_t last_serial_ = 0;
-  std::uint64_t arrivals_ = 0;
+  std::uint64_t pending_work_version_ = 0;
   double unaccounted_until_ = 0;
   NameIndex team_names_;
   NameIndex image_names_;
--- a/include/loftrouter/core/scheduling/scheduler.hpp
+++ b/include/loftrouter/core/scheduling/scheduler.hpp
@@ -46,7 +46,7 @@
     PlacementJob placement;
     std::uint64_t serial = 0; // of the job: its index may be another's by now
   };
-  bool something_changed() const { return room_freed_ || context_.jobs.arrivals() != arrivals_seen_; }
+  bool something_changed() const { return room_freed_ || context_.jobs.pending_work_version() != arrivals_seen_; }
   void mark_seen();
   void place_on_all();
   void fill_queue(const std::vector<JobIndex> &jobs);
--- a/src/core/jobs/job_table.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -90,7 +90,7 @@
   job.team = team_names_.find(job.spec.team);
   job.image = image_names_.get(job.spec.image);
   index_by_id_[job.spec.id] = job_index;
-  ++arrivals_;
+  ++pending_work_version_;
   return job_index;
 }
 
@@ -152,11 +152,11 @@
 
 void JobTable::pause(JobIndex job_index, bool paused) {
   const bool was_paused = std::exchange(at(job_index).paused, paused);
-  if (was_paused && !paused) ++arrivals_;
+  if (was_paused && !paused) ++pending_work_version_;
 }
 
 void JobTable::mark_ready(JobIndex job_index) {
-  ++arrivals_;
+  ++pending_work_version_;
   publish_changed(job_index, true);
 }
 
@@ -184,7 +184,7 @@
   task = {state, machine, zone};
   if (std::uint32_t *count = count_of(job, state)) ++*count;
   if (state == TaskState::Placed) ++grown(job.zone_used, zone);
-  if (state == TaskState::Pending) ++arrivals_;
+  if (state == TaskState::Pending) ++pending_work_version_;
   assert(job.done + job.placed + job.unaccounted + job.delegated <= job.spec.tasks);
 }
 
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -55,7 +55,7 @@
 
 void Scheduler::mark_seen() {
   room_freed_ = false;
-  arrivals_seen_ = context_.jobs.arrivals();
+  arrivals_seen_ = context_.jobs.pending_work_version();
 }
 
 void Scheduler::place_on_all() {
