--- a/include/loftrouter/core/jobs/job_objectives.hpp
+++ b/include/loftrouter/core/jobs/job_objectives.hpp
@@ -1,7 +1,5 @@
-// When its team wants a job to be complete, by its own deadline or by the objectives of the settings.
-//
-// Owns nothing and keeps no state: pure functions of the settings, a job and its age. No rule rests on them; they order
-// work and size the fleet.
+// Computes when a job should be complete, by its deadline or by the service-level objectives of its class. Affects only
+// scheduling order and fleet size.
 #pragma once
 
 #include <optional>
@@ -11,17 +9,17 @@
 
 namespace loftrouter::core {
 
-// Times are seconds from when the job could start, and so is a job's age. `deadline`: the job's own, or what the jobs
-// that depend on it leave it (`Dependencies::deadline`).
+// Times and ages are in seconds since the job became ready. `deadline`: the job's own, or the one that its dependents
+// require (`Dependencies::deadline`).
 class JobObjectives {
 public:
   explicit JobObjectives(const Settings &settings) : settings_(settings) {}
 
-  // When it is late: nothing if nobody has said.
+  // When the job becomes late; nothing without a deadline or an objective.
   std::optional<double> completion_target(const JobSpec &spec, std::optional<double> deadline) const;
-  // What to work for: of several objectives the first that a job of this age can still meet.
+  // The tightest objective that a job of this age can still meet.
   double achievable_target(const JobSpec &spec, std::optional<double> deadline, double age_s) const;
-  // Small work that nobody wants at a certain time.
+  // True for small work without a target that may still wait for cheaper machines.
   bool deferrable(const JobSpec &spec, Priority priority, std::optional<double> deadline, double age_s) const;
 
 private:
@@ -29,7 +27,7 @@
   const Settings &settings_;
 };
 
-// Keeps off machines that others need whole.
+// Small work is of low priority and tolerates spot machines. It is kept off machines that others need whole.
 inline bool is_small(const JobSpec &spec, Priority priority) {
   return priority == Priority::Low && spec.spot;
 }
