--- a/bench/lab/lab.cpp
+++ b/bench/lab/lab.cpp
@@ -23,7 +23,7 @@
 using nlohmann::json;
 
 struct Class {
-  std::string name, shape = "array", team = "red", urgency = "low";
+  std::string name, shape = "array", team = "red", priority = "low";
   std::vector<int> cells;
   double cpus = 1, memory = 1, run_s = 25, rate = 1; // jobs a minute, in each of its cells
   int tasks = 100, initial = 0;
@@ -86,7 +86,7 @@
     Class c;
     c.name = t["name"].value_or("");
     c.shape = t["shape"].value_or(c.shape);
-    c.urgency = t["urgency"].value_or(c.urgency);
+    c.priority = t["urgency"].value_or(c.priority);
     c.cpus = t["cpus"].value_or(c.cpus);
     c.memory = t["memory"].value_or(c.memory);
     c.run_s = t["run_s"].value_or(c.run_s);
@@ -158,7 +158,7 @@
     o.max_boot_share = 1.5;
     o.page = 200;
     o.users_at_once = true;
-    o.cells.at_random = mode == "random";
+    o.cells.random_delegation = mode == "random";
     if (one)
       for (const auto &cell : s.cells)
         for (const auto &[type, n] : cell)
@@ -183,7 +183,7 @@
                            c.run_s);
       spec.need.memory = c.memory;
       spec.job_class = c.name;
-      spec.urgency = c.urgency == "high" ? Urgency::High : c.urgency == "normal" ? Urgency::Normal : Urgency::Low;
+      spec.priority = c.priority == "high" ? Priority::High : c.priority == "normal" ? Priority::Normal : Priority::Low;
       spec.spot = c.spot;
       spec.one_zone = c.one_zone;
       spec.deadline_s = c.finished_within_s;
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -63,7 +63,7 @@
   s.job_class = "bulk";
   s.team = "red";
   s.tasks = tasks;
-  s.urgency = Urgency::Low;
+  s.priority = Priority::Low;
   s.need = {1, 0, 1.5};
   s.image = fmt::format("img-{}", next_job_ % 12);
   s.image_gb = 1;
--- a/bench/scale/runner.cpp
+++ b/bench/scale/runner.cpp
@@ -494,7 +494,7 @@
     for (std::size_t c = 0; c < scenario_.classes.size(); ++c) {
       const auto &w = judge_.waits()[c];
       waits[w.job_class] = spread(w.all);
-      if (scenario_.classes[c].urgency >= Urgency::High) urgent.insert(urgent.end(), w.all.begin(), w.all.end());
+      if (scenario_.classes[c].priority >= Priority::High) urgent.insert(urgent.end(), w.all.begin(), w.all.end());
     }
     const double running = mean(running_);
     const double starts = static_cast<double>(judge_.starts()) / scenario_.seconds;
--- a/bench/scale/scenario.cpp
+++ b/bench/scale/scenario.cpp
@@ -112,11 +112,11 @@
   JobClass c;
   f.text("name", c.name);
   f.word<Shape>("shape", c.shape, {{"array", Shape::Array}, {"gang", Shape::Gang}});
-  f.word<Urgency>("urgency", c.urgency,
-                  {{"low", Urgency::Low},
-                   {"normal", Urgency::Normal},
-                   {"urgent", Urgency::High},
-                   {"production", Urgency::Production}});
+  f.word<Priority>("urgency", c.priority,
+                   {{"low", Priority::Low},
+                    {"normal", Priority::Normal},
+                    {"urgent", Priority::High},
+                    {"production", Priority::Production}});
   f.count<std::uint32_t>("least_tasks", c.min_tasks, 1, 100'000);
   f.count<std::uint32_t>("most_tasks", c.max_tasks, c.min_tasks, 100'000);
   f.number("cpus", c.cpus, 0.1, 1000);
--- a/bench/scale/scenario.hpp
+++ b/bench/scale/scenario.hpp
@@ -22,7 +22,7 @@
 struct JobClass {
   std::string name;
   Shape shape = Shape::Array;
-  Urgency urgency = Urgency::Normal;
+  Priority priority = Priority::Normal;
   std::uint32_t min_tasks = 1, max_tasks = 1;
   double cpus = 1, memory_gb = 1; // a task
   double run_s = 30;              // mean
--- a/bench/scale/workload.cpp
+++ b/bench/scale/workload.cpp
@@ -55,7 +55,7 @@
   spec.job_class = c.name;
   spec.team = scenario_.team_name(plan.team);
   spec.shape = c.shape;
-  spec.urgency = c.urgency;
+  spec.priority = c.priority;
   spec.tasks = std::uniform_int_distribution<std::uint32_t>(c.min_tasks, c.max_tasks)(random);
   spec.need = {c.cpus, 0, c.memory_gb};
   spec.image = fmt::format("{}-{}", c.name, std::uniform_int_distribution<int>(0, c.images - 1)(random));
--- a/include/loftrouter/accounts/period.hpp
+++ b/include/loftrouter/accounts/period.hpp
@@ -9,11 +9,11 @@
 namespace loftrouter::accounts {
 
 // Divides time into periods without gaps. Wall-clock times are in seconds since 1970, UTC.
-struct Clock {
+struct PeriodSchedule {
   int starts_min = 0;  // when a period begins: minute of the local day, 0 to 1439
   int offset_min = 0;  // local time minus UTC, in minutes, -840 to 840
   bool weekly = false; // periods of a week, from Monday; otherwise of a day
-  bool operator==(const Clock &) const = default;
+  bool operator==(const PeriodSchedule &) const = default;
 
   // Begin of the period that `wall` lies in.
   [[nodiscard]] double begin(double wall) const;
--- a/include/loftrouter/accounts/usage.hpp
+++ b/include/loftrouter/accounts/usage.hpp
@@ -55,7 +55,7 @@
   bool operator==(const Row &) const = default;
 
   // Whether all columns are 0.
-  [[nodiscard]] bool none() const { return *this == Row{}; }
+  [[nodiscard]] bool all_zero() const { return *this == Row{}; }
   // Time in all, the uncertain part included.
   [[nodiscard]] std::int64_t held() const {
     return values[Useful] + values[Fetch] + values[Wait] + values[Lost] + values[Unsorted] + values[Uncertain];
@@ -66,7 +66,7 @@
 
 // What the tasks of a job have used, each of which needs `need`.
 Sums sums_of(const Usage &usage, const Resources &need);
-constexpr double kSumsAnHour = 1000.0 * 3'600'000.0; // CPU hours are sums divided by this
+constexpr double kSumsPerHour = 1000.0 * 3'600'000.0; // CPU hours are sums divided by this
 
 // The stored form: numbers to base 36, joined by points, zeros at the end left out.
 template <std::size_t Columns> std::string pack(const Row<Columns> &row);
--- a/include/loftrouter/core/api/administration_api_handler.hpp
+++ b/include/loftrouter/core/api/administration_api_handler.hpp
@@ -18,10 +18,10 @@
 class AdministrationApiHandler {
 public:
   AdministrationApiHandler(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog,
-                           const Operators &operators, StateServiceLimits &state_limits, const Leadership &leadership,
-                           const Cancellations &cancellations, const JobTable &jobs, const Dependencies &dependencies,
-                           const FailureAttribution &failure_attribution, const WorkerRegistry &workers,
-                           const Autoscaler &autoscaler, const Replicas &replicas,
+                           const OperatorSettings &operators, StateServiceLimits &state_limits,
+                           const Leadership &leadership, const Cancellations &cancellations, const JobTable &jobs,
+                           const Dependencies &dependencies, const FailureAttribution &failure_attribution,
+                           const WorkerRegistry &workers, const Autoscaler &autoscaler, const Replicas &replicas,
                            const ConnectivityMonitor &connectivity, const CellFederation &cells,
                            const HeartbeatHandler &heartbeats, const ServiceLevelCounters &service_levels,
                            const StatusReporter &status_reporter, const UsageLedger &ledger,
@@ -46,7 +46,7 @@
   Runtime &runtime_;
   const Settings &settings_;
   const InstanceTypeCatalog &catalog_;
-  const Operators &operators_;
+  const OperatorSettings &operators_;
   StateServiceLimits &state_limits_;
   const Leadership &leadership_;
   const Cancellations &cancellations_;
--- a/include/loftrouter/core/api/configuration_api_handler.hpp
+++ b/include/loftrouter/core/api/configuration_api_handler.hpp
@@ -18,7 +18,7 @@
 class ConfigurationApiHandler {
 public:
   ConfigurationApiHandler(Runtime &runtime, const Settings &settings, Configuration &configuration,
-                          Operators &operators, const Quotas &quotas, QuotaChanges &changes,
+                          OperatorSettings &operators, const Quotas &quotas, QuotaChanges &changes,
                           const QuotaExchange &exchange, StateServiceLimits &state_limits)
       : runtime_(runtime), settings_(settings), configuration_(configuration), operators_(operators), quotas_(quotas),
         changes_(changes), exchange_(exchange), state_limits_(state_limits) {}
@@ -54,7 +54,7 @@
   Runtime &runtime_;
   const Settings &settings_;
   Configuration &configuration_;
-  Operators &operators_;
+  OperatorSettings &operators_;
   const Quotas &quotas_;
   QuotaChanges &changes_;
   const QuotaExchange &exchange_;
--- a/include/loftrouter/core/api/job_api_handler.hpp
+++ b/include/loftrouter/core/api/job_api_handler.hpp
@@ -68,7 +68,7 @@
   struct KnownOpen {
     std::uint64_t mod_revision;
     bool cancelled, service;
-    std::vector<std::string> waits_for; // without those known to be done
+    std::vector<std::string> dependencies; // without those known to be done
   };
   // What is known of a job that another names; Never: nobody has accepted it.
   enum class Named : std::uint8_t { Open, Service, Done, Cancelled, Never, Unknown };
--- a/include/loftrouter/core/api/status_reporter.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -21,7 +21,7 @@
 class StatusReporter {
 public:
   StatusReporter(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog,
-                 const Operators &operators, const Leadership &leadership, const Cancellations &cancellations,
+                 const OperatorSettings &operators, const Leadership &leadership, const Cancellations &cancellations,
                  const JobTable &jobs, const EndedJobs &ended, const Dependencies &dependencies,
                  const FailureAttribution &failure_attribution, const PendingReasons &pending_reasons,
                  const WorkerRegistry &workers, const Scheduler &scheduler, const Quotas &quotas,
@@ -75,7 +75,7 @@
   Runtime &runtime_;
   const Settings &settings_;
   const InstanceTypeCatalog &catalog_;
-  const Operators &operators_;
+  const OperatorSettings &operators_;
   const Leadership &leadership_;
   const Cancellations &cancellations_;
   const JobTable &jobs_;
--- a/include/loftrouter/core/autoscaling/autoscaling_context.hpp
+++ b/include/loftrouter/core/autoscaling/autoscaling_context.hpp
@@ -10,7 +10,7 @@
   Runtime &runtime;
   const Settings &settings;
   InstanceTypeCatalog &catalog;
-  const Operators &operators;
+  const OperatorSettings &operators;
   const Leadership &leadership;
   const JobTable &jobs;
   const Dependencies &dependencies;
--- a/include/loftrouter/core/configuration/configuration.hpp
+++ b/include/loftrouter/core/configuration/configuration.hpp
@@ -31,7 +31,7 @@
 
   void tick();
   // What this node has committed itself; nothing: it was removed.
-  void learn(const std::string &key, std::optional<wire::Json> value, std::uint64_t revision);
+  void apply_committed(const std::string &key, std::optional<wire::Json> value, std::uint64_t revision);
   const Record *find(const std::string &key) const;
   template <class Fn> void each(std::string_view prefix, Fn &&fn) const { // fn(rest of the key, record)
     for (auto it = records_.lower_bound(std::string(prefix)); it != records_.end() && it->first.starts_with(prefix);
@@ -42,7 +42,7 @@
   // The newest revision under config/ that is in the copy, with all before it; 0: there is none.
   std::uint64_t revision() const { return revision_; }
   double current_at() const { return current_at_; } // mono, when the copy was last known to be complete
-  bool watches() const { return following_; }
+  bool watch_open() const { return following_; }
   bool listed_since(double at) const { return list_begun_at_ >= at; }
   void on(const LeaderElected &) { // a list, at once
     if (settings_.configuration) next_ = 0;
--- a/include/loftrouter/core/configuration/operator_settings.hpp
+++ b/include/loftrouter/core/configuration/operator_settings.hpp
@@ -16,20 +16,20 @@
 
 namespace loftrouter::core {
 
-class Operators {
+class OperatorSettings {
 public:
-  static constexpr const char *kTunablesKey = "conf/operator", *kOrdersKey = "conf/machines",
+  static constexpr const char *kTunablesKey = "conf/operator", *kMachineAdminStatesKey = "conf/machines",
                               *kBudgetsKey = "conf/budgets", *kCellsKey = "conf/cells";
 
-  Operators(Runtime &runtime, Events &events, const Configuration &configuration)
+  OperatorSettings(Runtime &runtime, Events &events, const Configuration &configuration)
       : runtime_(runtime), events_(events), configuration_(configuration) {}
 
   void on(const ConfigurationChanged &event);
   const wire::Tunables &tunables() const { return tunables_; }
   const wire::Budgets &budgets() const { return budgets_; }
   const wire::CellRules &cell_rules() const { return cell_rules_; }
-  const wire::MachineAdminStates &orders() const { return orders_; }
-  std::optional<wire::MachineAdminState> order(const std::string &machine) const;
+  const wire::MachineAdminStates &machine_admin_states() const { return orders_; }
+  std::optional<wire::MachineAdminState> machine_admin_state(const std::string &machine) const;
 
 private:
   // Of the records under `prefix` and the document's entries: those that count, by name.
--- a/include/loftrouter/core/core.hpp
+++ b/include/loftrouter/core/core.hpp
@@ -30,7 +30,7 @@
 
   bool leading() const { return leadership_.leading(); }
   std::uint64_t term() const { return leading() ? leadership_.term() : 0; }
-  void log_up_to(LogLevel most) { runtime_.set_log_level(most); } // lines beyond it are not made
+  void set_log_level(LogLevel most) { runtime_.set_log_level(most); } // lines beyond it are not made
 
 private:
   void on(TickCommand &&);
@@ -54,7 +54,7 @@
   JobObjectives objectives_;
   InstanceTypeCatalog catalog_;
   Configuration configuration_;
-  Operators operators_;
+  OperatorSettings operators_;
   StateServiceLimits state_limits_;
   Leadership leadership_;
   JobTable jobs_;
--- a/include/loftrouter/core/federation/cell_federation.hpp
+++ b/include/loftrouter/core/federation/cell_federation.hpp
@@ -41,7 +41,7 @@
   };
 
   CellFederation(Runtime &runtime, Events &events, const Settings &settings, const InstanceTypeCatalog &catalog,
-                 const Operators &operators, const Leadership &leadership, const Cancellations &cancellations,
+                 const OperatorSettings &operators, const Leadership &leadership, const Cancellations &cancellations,
                  StateServiceLimits &state_limits, JobTable &jobs, const FailureAttribution &failure_attribution,
                  UsageLedger &ledger, StateWriter &state_writer, WorkerRegistry &workers, Replicas &replicas,
                  const Quotas &quotas, const Autoscaler &autoscaler, const JobObjectives &objectives);
@@ -155,7 +155,7 @@
   Events &events_;
   const Settings &settings_;
   const InstanceTypeCatalog &catalog_;
-  const Operators &operators_;
+  const OperatorSettings &operators_;
   const Leadership &leadership_;
   const Cancellations &cancellations_;
   StateServiceLimits &state_limits_;
--- a/include/loftrouter/core/federation/delegation_plan.hpp
+++ b/include/loftrouter/core/federation/delegation_plan.hpp
@@ -18,7 +18,7 @@
   bool spot = false, whole = false;
   std::uint32_t tasks = 0;
   double estimate_s = 0, image_gb = 0;
-  Urgency urgency = Urgency::Normal;
+  Priority priority = Priority::Normal;
   double wait_here_s = 0; // expected until it starts at home
 };
 struct View { // of a cell, as last told
--- a/include/loftrouter/core/jobs/dependencies.hpp
+++ b/include/loftrouter/core/jobs/dependencies.hpp
@@ -58,7 +58,7 @@
   // ---- what a job has to meet ----
 
   // The highest of its own and of those that depend on it, directly or through others.
-  Urgency urgency(JobIndex job_index) const;
+  Priority priority(JobIndex job_index) const;
   // Seconds after `ready_wall`: by its own deadline, and so that every job that depends on it can still meet its own.
   std::optional<double> deadline(JobIndex job_index) const;
   // Seconds after `ready_wall`, by its own deadline alone.
@@ -91,7 +91,7 @@
     double next_at = 0; // monotonic
   };
   struct Requirement { // what a job has to meet, by its own and by all that depend on it
-    Urgency urgency{};
+    Priority priority{};
     std::optional<double> due_wall;
   };
   static constexpr std::size_t kMaxLookups = 8; // in flight
--- a/include/loftrouter/core/jobs/failure_attribution.hpp
+++ b/include/loftrouter/core/jobs/failure_attribution.hpp
@@ -20,7 +20,7 @@
 
 class FailureAttribution {
 public:
-  FailureAttribution(Runtime &runtime, Events &events, JobTable &jobs, const Operators &operators)
+  FailureAttribution(Runtime &runtime, Events &events, JobTable &jobs, const OperatorSettings &operators)
       : runtime_(runtime), events_(events), jobs_(jobs), operators_(operators) {}
 
   // It has failed wherever it was tried: more likely a mistake in the job than several faulty machines.
@@ -77,7 +77,7 @@
   Runtime &runtime_;
   Events &events_;
   JobTable &jobs_;
-  const Operators &operators_;
+  const OperatorSettings &operators_;
   std::vector<JobHistory> job_histories_;         // by job
   std::vector<MachineHistory> machine_histories_; // by machine
 };
--- a/include/loftrouter/core/jobs/job_objectives.hpp
+++ b/include/loftrouter/core/jobs/job_objectives.hpp
@@ -22,7 +22,7 @@
   // What to work for: of several objectives the first that a job of this age can still meet.
   double achievable_target(const JobSpec &spec, std::optional<double> deadline, double age_s) const;
   // Small work that nobody wants at a certain time.
-  bool deferrable(const JobSpec &spec, Urgency urgency, std::optional<double> deadline, double age_s) const;
+  bool deferrable(const JobSpec &spec, Priority priority, std::optional<double> deadline, double age_s) const;
 
 private:
   std::optional<double> start_target(const JobSpec &spec) const;
@@ -30,8 +30,8 @@
 };
 
 // Keeps off machines that others need whole.
-inline bool is_small(const JobSpec &spec, Urgency urgency) {
-  return urgency == Urgency::Low && spec.spot;
+inline bool is_small(const JobSpec &spec, Priority priority) {
+  return priority == Priority::Low && spec.spot;
 }
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/quotas/quota_changes.hpp
+++ b/include/loftrouter/core/quotas/quota_changes.hpp
@@ -30,7 +30,7 @@
 
   void request(const wire::QuotaChange &change, Done done);
   // In the owner's cell: commits the change, unless this number was carried out before.
-  void carry_out(const wire::QuotaChange &change, std::uint64_t number, Done done);
+  void commit_once(const wire::QuotaChange &change, std::uint64_t number, Done done);
   // In the owner's cell: a record that has taken a step by itself. `done`: whether it is committed.
   void commit(const std::string &team, const wire::QuotaRecord &record, std::uint64_t revision,
               std::function<void(bool)> done);
--- a/include/loftrouter/core/quotas/quota_shares.hpp
+++ b/include/loftrouter/core/quotas/quota_shares.hpp
@@ -11,18 +11,18 @@
 namespace loftrouter::cells {
 
 // The cell that decides a team's quota: all cells find the same one. `names`: of all cells.
-const std::string &owner_of(const std::string &team, const std::vector<std::string> &names);
+const std::string &owner_cell(const std::string &team, const std::vector<std::string> &names);
 
 // Each cell's part when nothing was ever changed.
-wire::Amounts even_part(const wire::Amounts &limit, std::size_t cells);
+wire::Amounts even_share(const wire::Amounts &limit, std::size_t cells);
 
 // What each cell is to have in the end: shares that were set, and even parts of what they leave.
-wire::AmountsByCell wanted_parts(const wire::Amounts &limit, const wire::AmountsByCell &shares,
-                                 const std::vector<std::string> &names);
+wire::AmountsByCell target_shares(const wire::Amounts &limit, const wire::AmountsByCell &shares,
+                                  const std::vector<std::string> &names);
 
 // Why shares cannot be; nothing if they can: a cell that does not exist, or more than the limit together.
-std::optional<std::string> shares_problem(const wire::Amounts &limit, const wire::AmountsByCell &shares,
-                                          const std::vector<std::string> &names);
+std::optional<std::string> validate_shares(const wire::Amounts &limit, const wire::AmountsByCell &shares,
+                                           const std::vector<std::string> &names);
 
 // After a change of limits or shares: each cap falls to what is wanted, none rises beyond what is held.
 // `before`: what each cell goes by if the record had no caps yet.
--- a/include/loftrouter/core/quotas/quotas.hpp
+++ b/include/loftrouter/core/quotas/quotas.hpp
@@ -17,28 +17,28 @@
 
 class Quotas {
 public:
-  static constexpr double kOverLimitFor = 30.0; // s, that work beyond a lowered limit may go on
+  static constexpr double kOverLimitGraceS = 30.0; // s, that work beyond a lowered limit may go on
 
   Quotas(Runtime &runtime, Events &events, const Settings &settings, const Configuration &configuration,
          const Leadership &leadership, const JobTable &jobs, WorkerRegistry &workers);
 
   // Guarantee and limit of a team; 0: none, as in the settings file.
-  const Team &here(int team) const { return here_[static_cast<std::size_t>(team)]; }
-  const Team &over_all_cells(int team) const { return whole_[static_cast<std::size_t>(team)]; }
+  const Team &local_quota(int team) const { return here_[static_cast<std::size_t>(team)]; }
+  const Team &total_quota(int team) const { return whole_[static_cast<std::size_t>(team)]; }
   double largest_share(int team) const { return largest_share_[static_cast<std::size_t>(team)]; } // CPUs; 0: no limit
   // Whether this leader may place: it has read all records since its election.
   bool ready() const { return !settings_.configuration || configuration_.listed_since(elected_at_); }
 
   // What each team may still use here: negative where there is no limit. Everything that may be on a machine counts,
   // unaccounted and lent tasks included.
-  std::vector<Resources> room() const;
+  std::vector<Resources> headroom() const;
   std::vector<Resources> used() const;
   // The record of a team's quota, if it has one and can be read.
   std::optional<wire::QuotaRecord> record(const std::string &team) const;
   const std::vector<std::string> &cells() const { return cells_; } // all names, this one's first; one if it is alone
   const std::string &this_cell() const { return cells_.front(); }
   // The settings file's limits, as a record has them.
-  wire::QuotaLimits platform(int team) const;
+  wire::QuotaLimits platform_limits(int team) const;
   int find_team(const std::string &name) const;
 
   void tick(); // stops what is beyond a lowered limit and has had its time
--- a/include/loftrouter/core/runtime/state_service_limits.hpp
+++ b/include/loftrouter/core/runtime/state_service_limits.hpp
@@ -51,7 +51,7 @@
 
   // Shares the limits out anew, `dt_s` seconds after the last time. `others`: the other replicas' usage; nothing for
   // one that is not heard of.
-  void share(double now, double dt_s, const std::vector<std::optional<Usage>> &others);
+  void rebalance(double now, double dt_s, const std::vector<std::optional<Usage>> &others);
 
 private:
   // Gives each replica its equal part.
--- a/include/loftrouter/core/scheduling/placement.hpp
+++ b/include/loftrouter/core/scheduling/placement.hpp
@@ -50,7 +50,7 @@
   std::uint32_t limit = 0;   // most of them that may be placed now
 
   // How it ranks.
-  Urgency urgency = Urgency::Normal;
+  Priority priority = Priority::Normal;
   bool guaranteed = false;     // within its team's guarantee
   bool delegated_here = false; // another cell's: after all of this cell's own work
   double wait_s = 0;
--- a/include/loftrouter/core/scheduling/scheduling_context.hpp
+++ b/include/loftrouter/core/scheduling/scheduling_context.hpp
@@ -20,7 +20,7 @@
   Events &events;
   const Settings &settings;
   const InstanceTypeCatalog &catalog;
-  const Operators &operators;
+  const OperatorSettings &operators;
   const Leadership &leadership;
   JobTable &jobs;
   const Dependencies &dependencies;
--- a/include/loftrouter/core/state/usage_ledger.hpp
+++ b/include/loftrouter/core/state/usage_ledger.hpp
@@ -23,7 +23,7 @@
 class UsageLedger {
 public:
   UsageLedger(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog, JobTable &jobs,
-              const Operators &operators);
+              const OperatorSettings &operators);
 
   // Whether accounts are kept at all (Settings::accounts). If not, nothing is ever charged.
   [[nodiscard]] bool enabled() const { return settings_.accounts; }
@@ -91,7 +91,7 @@
     std::string name;
     double begin = 0; // wall clock, s
     double end = -1;
-    accounts::Clock clock; // that it follows from
+    accounts::PeriodSchedule clock; // that it follows from
   };
 
   Account &account(JobIndex job_index) { return accounts_[job_index.position()]; }
@@ -108,7 +108,7 @@
   const Settings &settings_;
   const InstanceTypeCatalog &catalog_;
   JobTable &jobs_;
-  const Operators &operators_;
+  const OperatorSettings &operators_;
 
   std::vector<Account> accounts_;      // by job
   std::vector<SumsByTeam> sums_;       // by shard
--- a/include/loftrouter/core/workers/worker_registry.hpp
+++ b/include/loftrouter/core/workers/worker_registry.hpp
@@ -31,7 +31,8 @@
 class WorkerRegistry {
 public:
   WorkerRegistry(Runtime &runtime, Events &events, const Settings &settings, InstanceTypeCatalog &catalog,
-                 const Operators &operators, const Leadership &leadership, JobTable &jobs, StateWriter &state_writer)
+                 const OperatorSettings &operators, const Leadership &leadership, JobTable &jobs,
+                 StateWriter &state_writer)
       : runtime_(runtime), events_(events), settings_(settings), catalog_(catalog), operators_(operators),
         leadership_(leadership), jobs_(jobs), state_writer_(state_writer) {}
 
@@ -147,7 +148,7 @@
   Events &events_;
   const Settings &settings_;
   InstanceTypeCatalog &catalog_;
-  const Operators &operators_;
+  const OperatorSettings &operators_;
   const Leadership &leadership_;
   JobTable &jobs_;
   StateWriter &state_writer_;
--- a/include/loftrouter/model/settings.hpp
+++ b/include/loftrouter/model/settings.hpp
@@ -33,7 +33,7 @@
 struct CellSettings {
   std::string name; // this cell's; empty: it is in no federation
   std::vector<OtherCell> others;
-  bool at_random = false; // a baseline for measurements: work goes to any cell that grants capacity
+  bool random_delegation = false; // a baseline for measurements: work goes to any cell that grants capacity
 };
 struct Settings {
   std::string node, zone, listen, peer_listen;
--- a/include/loftrouter/model/types.hpp
+++ b/include/loftrouter/model/types.hpp
@@ -22,7 +22,7 @@
   Service, // runs until it is cancelled
 };
 // Priority of a job: the higher may preempt the lower.
-enum class Urgency : std::uint8_t { Low, Normal, High, Production };
+enum class Priority : std::uint8_t { Low, Normal, High, Production };
 // Where a worker is with a task.
 enum class TaskPhase : std::uint8_t {
   Fetching, // its image
@@ -64,7 +64,7 @@
 struct JobSpec {
   std::string id, job_class, team;
   Shape shape = Shape::Array;
-  Urgency urgency = Urgency::Normal;
+  Priority priority = Priority::Normal;
   std::uint32_t tasks = 1;
   Resources need; // of each task
   std::string image;
@@ -75,12 +75,12 @@
   bool spread = false;                           // at most half of the tasks in one zone
   bool spot = false;                             // may use spot machines
   double estimate_s = 0;                         // running time of a task
-  double checkpoint_s = 0;            // of progress between two checkpoints; 0: its work is lost when it is stopped
-  double save_s = 0;                  // that it takes to save when it is stopped
-  std::optional<double> deadline_s;   // after its submission
-  std::vector<std::string> waits_for; // jobs that have to be done before any of its tasks starts, each once
+  double checkpoint_s = 0;               // of progress between two checkpoints; 0: its work is lost when it is stopped
+  double save_s = 0;                     // that it takes to save when it is stopped
+  std::optional<double> deadline_s;      // after its submission
+  std::vector<std::string> dependencies; // jobs that have to be done before any of its tasks starts, each once
 };
-constexpr std::size_t kMaxWaitsFor = 100; // names; a record has room for about so many where values are small
+constexpr std::size_t kMaxDependencies = 100; // names; a record has room for about so many where values are small
 
 // Half-open ranges of task indices, sorted, without overlap.
 using Ranges = std::vector<std::pair<std::uint32_t, std::uint32_t>>;
--- a/include/loftrouter/wire/admin_budgets.hpp
+++ b/include/loftrouter/wire/admin_budgets.hpp
@@ -21,11 +21,11 @@
   double warn_share = 0.8; // of cpu_hours; from there on the status warns that it will run out
   bool stop = false;       // running tasks are stopped, with saving, once it is spent; otherwise they may finish
   // In the unit of accounts::Sums.
-  [[nodiscard]] std::int64_t limit() const { return static_cast<std::int64_t>(cpu_hours * accounts::kSumsAnHour); }
+  [[nodiscard]] std::int64_t limit() const { return static_cast<std::int64_t>(cpu_hours * accounts::kSumsPerHour); }
 };
 
 struct Budgets {
-  accounts::Clock clock; // the accounting periods
+  accounts::PeriodSchedule clock; // the accounting periods
   std::map<std::string, TeamBudget> teams;
 };
 
--- a/include/loftrouter/wire/admin_configuration.hpp
+++ b/include/loftrouter/wire/admin_configuration.hpp
@@ -36,7 +36,7 @@
 struct AdminConfiguration {
   std::string node;
   std::uint64_t revision = 0;     // applied here
-  bool watches = false;           // a watch is open; otherwise changes come by lists alone
+  bool watch_open = false;        // a watch is open; otherwise changes come by lists alone
   double current_s = -1;          // since the copy was last known to be complete; negative: never
   std::vector<std::string> nodes; // of this cell
   std::vector<AdminConfigRecord> records;
--- a/src/accounts/period.cpp
+++ b/src/accounts/period.cpp
@@ -27,7 +27,7 @@
 }
 } // namespace
 
-double Clock::begin(double wall) const {
+double PeriodSchedule::begin(double wall) const {
   const double local = wall + offset_min * kMinute - starts_min * kMinute;
   double day = std::floor(local / kDay);
   if (weekly) {
@@ -37,11 +37,11 @@
   return day * kDay + starts_min * kMinute - offset_min * kMinute;
 }
 
-double Clock::end(double wall) const {
+double PeriodSchedule::end(double wall) const {
   return begin(wall) + (weekly ? kDaysPerWeek : 1) * kDay;
 }
 
-std::string Clock::name(double wall) const {
+std::string PeriodSchedule::name(double wall) const {
   const auto days_since_1970 = static_cast<int>(std::floor((begin(wall) + offset_min * kMinute) / kDay));
   const std::chrono::year_month_day date{std::chrono::sys_days{std::chrono::days{days_since_1970}}};
   return fmt::format("{:04}-{:02}-{:02}", static_cast<int>(date.year()), static_cast<unsigned>(date.month()),
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -70,9 +70,9 @@
         }) {}
 
   void run() {
-    core_.log_up_to(spdlog::should_log(spdlog::level::debug)  ? core::LogLevel::Debug
-                    : spdlog::should_log(spdlog::level::info) ? core::LogLevel::Info
-                                                              : core::LogLevel::Error);
+    core_.set_log_level(spdlog::should_log(spdlog::level::debug)  ? core::LogLevel::Debug
+                        : spdlog::should_log(spdlog::level::info) ? core::LogLevel::Info
+                                                                  : core::LogLevel::Error);
     tick_.once(0);
     loop_.run();
   }
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -178,7 +178,7 @@
     if (ledger_.budget_warning_due(t))
       out.push_back(fmt::format("team {} has used {:.1f} of its {:g} CPU hours of this period{}",
                                 settings_.teams[static_cast<std::size_t>(t)].name,
-                                static_cast<double>(ledger_.used(t)) / accounts::kSumsAnHour,
+                                static_cast<double>(ledger_.used(t)) / accounts::kSumsPerHour,
                                 ledger_.budget(t)->cpu_hours,
                                 ledger_.budget_exhausted(t) ? ": nothing new of it is started" : ""));
   if (suspects) out.push_back(fmt::format("jobs that fail on every machine: {}; see /admin/v1/jobs", suspects));
--- a/src/core/api/configuration_api_handler.cpp
+++ b/src/core/api/configuration_api_handler.cpp
@@ -18,7 +18,7 @@
 constexpr const char *kTeams = "teams";
 
 wire::Json &entries_in(wire::Json &document, const std::string &key) {
-  if (key != Operators::kBudgetsKey) return document;
+  if (key != OperatorSettings::kBudgetsKey) return document;
   if (!document.contains(kTeams)) document[kTeams] = wire::Json::object();
   return document[kTeams];
 }
@@ -48,7 +48,7 @@
 }
 
 void ConfigurationApiHandler::answer(RequestId req, const wire::AdminRequest &ask) const {
-  const auto &orders = operators_.orders();
+  const auto &machine_admin_states = operators_.machine_admin_states();
   switch (ask.kind) {
   case Kind::Budgets:
   case Kind::ChangeBudgets:
@@ -57,31 +57,32 @@
   case Kind::ChangeCellRules:
     return runtime_.reply_json(req, 200, wire::encode_cell_rules(operators_.cell_rules()));
   case Kind::ChangeMachine:
-    if (orders.size() > kMaxOrdersWhole) return one_order(req, ask.machine);
-    return orders_page(req, orders.begin());
+    if (machine_admin_states.size() > kMaxOrdersWhole) return one_order(req, ask.machine);
+    return orders_page(req, machine_admin_states.begin());
   default:
-    return orders_page(req, ask.from.empty() ? orders.begin() : orders.upper_bound(ask.from));
+    return orders_page(req,
+                       ask.from.empty() ? machine_admin_states.begin() : machine_admin_states.upper_bound(ask.from));
   }
 }
 
 void ConfigurationApiHandler::one_order(RequestId req, const std::string &machine) const {
   wire::MachineAdminStates one;
-  if (const auto order = operators_.order(machine)) one[machine] = *order;
+  if (const auto machine_admin_state = operators_.machine_admin_state(machine)) one[machine] = *machine_admin_state;
   runtime_.reply_json(req, 200, wire::encode_settings(operators_.tunables(), one, ""));
 }
 
 // Operators' settings, with orders about machines from `first` on, as far as an answer holds them.
 void ConfigurationApiHandler::orders_page(RequestId req, wire::MachineAdminStates::const_iterator first) const {
-  const auto &orders = operators_.orders();
+  const auto &machine_admin_states = operators_.machine_admin_states();
   wire::MachineAdminStates page;
   std::size_t bytes = 0;
   auto it = first;
-  for (; it != orders.end(); ++it) {
+  for (; it != machine_admin_states.end(); ++it) {
     bytes += wire::listed_bytes(it->first);
     if (bytes > wire::kMaxListingBytes) break;
     page.insert(page.end(), *it);
   }
-  const auto next = it == orders.end() || page.empty() ? std::string() : page.rbegin()->first;
+  const auto next = it == machine_admin_states.end() || page.empty() ? std::string() : page.rbegin()->first;
   runtime_.reply_json(req, 200, wire::encode_settings(operators_.tunables(), page, next));
 }
 
@@ -93,7 +94,7 @@
   for (int team = 0; team < static_cast<int>(settings_.teams.size()); ++team) {
     const auto &name = settings_.teams[static_cast<std::size_t>(team)].name;
     if (name.starts_with('@')) continue; // stands for another cell
-    wire::AdminQuota q{quotas_.here(team), quotas_.over_all_cells(team), 0, "", {}, {}};
+    wire::AdminQuota q{quotas_.local_quota(team), quotas_.total_quota(team), 0, "", {}, {}};
     if (const auto record = quotas_.record(name)) {
       q.version = record->version;
       q.caps = record->caps;
@@ -122,7 +123,7 @@
   wire::AdminConfiguration out;
   out.node = settings_.node;
   out.revision = configuration_.revision();
-  out.watches = configuration_.watches();
+  out.watch_open = configuration_.watch_open();
   out.current_s = configuration_.current_at() < -1e8 ? -1 : runtime_.now() - configuration_.current_at();
   out.nodes.push_back(settings_.node);
   for (const auto &s : settings_.replicas)
@@ -158,7 +159,7 @@
   switch (ask.kind) {
   case Kind::ChangeBudgets:
     if (!settings_.accounts) return fail(req, 409, "accounts are not kept here: switch them on in the features file");
-    change.document = Operators::kBudgetsKey;
+    change.document = OperatorSettings::kBudgetsKey;
     change.prefix = wire::kConfigBudget;
     if (ask.change.contains(kTeams))
       for (const auto &[team, budget] : ask.change[kTeams].items()) {
@@ -167,15 +168,15 @@
       }
     break;
   case Kind::ChangeCellRules:
-    change.document = Operators::kCellsKey;
+    change.document = OperatorSettings::kCellsKey;
     break;
   case Kind::ChangeMachine:
-    change.document = Operators::kOrdersKey;
+    change.document = OperatorSettings::kMachineAdminStatesKey;
     change.prefix = wire::kConfigMachine;
     change.left[ask.machine] = ask.machine_state ? std::optional(wire::to_json(*ask.machine_state)) : std::nullopt;
     break;
   default:
-    change.document = Operators::kTunablesKey;
+    change.document = OperatorSettings::kTunablesKey;
     break;
   }
   write(std::move(change));
@@ -215,16 +216,16 @@
     (void)wire::apply_budgets(fields, budgets); // checked at the door
     after = wire::to_json(budgets);
   } else {
-    auto orders = wire::machine_admin_states_from_json(before);
+    auto machine_admin_states = wire::machine_admin_states_from_json(before);
     if (!settings_.configuration) {
       if (!ask.machine_state)
-        orders.erase(ask.machine);
-      else if (orders.size() < wire::kMaxMachineOrders || orders.contains(ask.machine))
-        orders[ask.machine] = *ask.machine_state;
+        machine_admin_states.erase(ask.machine);
+      else if (machine_admin_states.size() < wire::kMaxMachineOrders || machine_admin_states.contains(ask.machine))
+        machine_admin_states[ask.machine] = *ask.machine_state;
       else
         return fail(change.req, 409, "too many machines are under an order; release some first"), std::nullopt;
     }
-    after = wire::to_json(orders);
+    after = wire::to_json(machine_admin_states);
   }
   if (state_limits_.fits(after)) return after;
   fail(change.req, 409, "that is more than one record of the state service holds, now or after its limits fall");
@@ -282,7 +283,7 @@
                    if (reply.status != 200)
                      return fail(change.req, 503, "the state service did not confirm the change");
                    for (const auto &w : writes) {
-                     configuration_.learn(w.key, w.value, reply.revision);
+                     configuration_.apply_committed(w.key, w.value, reply.revision);
                      operators_.on(ConfigurationChanged{w.key}); // so that the answer has it
                    }
                    if (change.left.empty()) return answer(change.req, change.ask);
--- a/src/core/api/job_api_handler.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -33,7 +33,7 @@
     why = fmt::format("unknown team {}", spec.team);
     return Verdict::Never;
   }
-  const Team &team_quota = quotas_.over_all_cells(team);
+  const Team &team_quota = quotas_.total_quota(team);
   double times = spec.shape == Shape::Array ? 1 : spec.tasks;
   constexpr double eps = 1e-6;
   if ((team_quota.cpus_max > 0 && spec.need.cpus * times > team_quota.cpus_max + eps) ||
@@ -108,7 +108,7 @@
 }
 
 void JobApiHandler::no_answer(const Question &question, const JobSpec &spec, std::string_view why) {
-  no_answer(question, Verb::Submit, why, wire::encode(wire::to_json(spec)), !spec.waits_for.empty());
+  no_answer(question, Verb::Submit, why, wire::encode(wire::to_json(spec)), !spec.dependencies.empty());
 }
 
 void JobApiHandler::take_asked(const PeerMessageCommand &cmd) {
@@ -181,7 +181,7 @@
   const Question question{cmd.req, cmd.spec.id, true, runtime_.now()};
   // Known, so accepted before: whatever would be said of it now, it stays so, and its state costs no write.
   if (ended_.find(question.id) || known_open(question.id)) return answer_state(question);
-  const bool waits = !cmd.spec.waits_for.empty();
+  const bool waits = !cmd.spec.dependencies.empty();
   std::string why;
   switch (judge(cmd.spec, why)) {
   case Verdict::Never:
@@ -239,7 +239,7 @@
 // That a job was accepted is for ever, so what this node knows of it will do; that it was not, only reads made since
 // can tell.
 void JobApiHandler::check_names(std::shared_ptr<Submission> s) {
-  for (const auto &name : s->record.spec.waits_for) {
+  for (const auto &name : s->record.spec.dependencies) {
     if (const Named found = known(name); found != Named::Unknown) {
       s->take(name, found);
       continue;
@@ -350,7 +350,7 @@
           return question.as_submit ? want_id(question, reply.entries[0].mod_revision, std::move(*open))
                                     : read_end(question, false);
         note_open(*open, reply.entries[0].mod_revision, open->cancelled);
-        if (open->cancelled || open->spec.waits_for.empty()) return tell_open(question, open->cancelled);
+        if (open->cancelled || open->spec.dependencies.empty()) return tell_open(question, open->cancelled);
         Question names = question; // how those are that it waits for
         names.patience = kNamesPatience;
         names.unchanged.push_back(wire::open_key(question.id));
@@ -362,7 +362,7 @@
 std::string JobApiHandler::cancelled_name(const std::string &id) {
   const auto it = known_open_.find(id);
   if (it == known_open_.end()) return {};
-  const auto names = it->second.waits_for;
+  const auto names = it->second.dependencies;
   for (const auto &name : names)
     if (known(name) == Named::Cancelled) return name;
   return {};
@@ -386,7 +386,7 @@
   const auto before = known_open_.find(id);
   if (cancelled && (before == known_open_.end() || !before->second.cancelled)) cancellations_.record(id);
   auto [it, fresh] = known_open_.try_emplace(
-      id, KnownOpen{mod_revision, cancelled, record.spec.shape == Shape::Service, record.spec.waits_for});
+      id, KnownOpen{mod_revision, cancelled, record.spec.shape == Shape::Service, record.spec.dependencies});
   if (!fresh && mod_revision > it->second.mod_revision) {
     it->second.mod_revision = mod_revision;
     it->second.cancelled = cancelled;
@@ -410,7 +410,7 @@
   }
   Compared out;
   all.emplace_back(wire::open_key(question.id), own->second.mod_revision);
-  const auto names = own->second.waits_for; // what is learnt below may move the entry
+  const auto names = own->second.dependencies; // what is learnt below may move the entry
   std::vector<std::string> done;
   for (const auto &name : names) {
     const Named found = known(name);
@@ -433,7 +433,7 @@
       all.emplace_back(wire::open_key(name), known_open_.find(name)->second.mod_revision);
   }
   if (auto it = known_open_.find(question.id); it != known_open_.end() && !done.empty())
-    std::erase_if(it->second.waits_for,
+    std::erase_if(it->second.dependencies,
                   [&](const auto &n) { return std::find(done.begin(), done.end(), n) != done.end(); });
   for (auto &[key, mod_revision] : all) {
     if (std::find(question.unchanged.begin(), question.unchanged.end(), key) != question.unchanged.end()) continue;
@@ -585,7 +585,7 @@
     if (!state_limits_.fits(value)) { // from when values were larger
       auto shorter = *open;
       shorter.spec.types.reset(); // nothing of it starts any more
-      shorter.spec.waits_for.clear();
+      shorter.spec.dependencies.clear();
       value = wire::to_json(shorter);
     }
     runtime_.store(StoreCommit{{{wire::open_key(question.id), r.entries[0].mod_revision}},
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -107,19 +107,19 @@
 
 std::string StatusReporter::why_limited(const Job &job) const {
   if (job.team < 0) return "";
-  const Team &here = quotas_.here(job.team);
-  if (here.cpus_max <= 0) return "";
+  const Team &local_quota = quotas_.local_quota(job.team);
+  if (local_quota.cpus_max <= 0) return "";
   const bool shared = quotas_.cells().size() > 1;
   const std::string limit =
-      fmt::format("{} of {:g} CPUs{}", shared ? "share" : "limit", here.cpus_max, shared ? " in this cell" : "");
+      fmt::format("{} of {:g} CPUs{}", shared ? "share" : "limit", local_quota.cpus_max, shared ? " in this cell" : "");
   const double at_once = job.spec.need.cpus * (job.spec.shape == Shape::Array ? 1 : job.spec.tasks);
-  if (at_once > here.cpus_max) {
+  if (at_once > local_quota.cpus_max) {
     const double largest = quotas_.largest_share(job.team);
     const bool nowhere = shared && at_once > largest;
     return fmt::format("its {:g} CPUs at once are more than team {}'s {}{}", at_once, job.spec.team, limit,
                        nowhere ? fmt::format("; no cell has a larger share than {:g}", largest) : "");
   }
-  if (quotas_.room()[static_cast<std::size_t>(job.team)].cpus >= job.spec.need.cpus) return "";
+  if (quotas_.headroom()[static_cast<std::size_t>(job.team)].cpus >= job.spec.need.cpus) return "";
   return fmt::format("team {} uses all of its {}", job.spec.team, limit);
 }
 
@@ -276,14 +276,14 @@
   wire::PeerMessage message;
   message.kind = wire::PeerMessage::Kind::Digest;
   message.term = leadership_.term();
-  std::size_t room = wire::kPeerMaxBody - 64;
+  std::size_t headroom = wire::kPeerMaxBody - 64;
   for (const auto *list : {&first, &rest})
     for (JobIndex job_index : *list) {
-      if (message.jobs.size() >= wire::kPeerMaxDigestJobs || room < 256) break;
+      if (message.jobs.size() >= wire::kPeerMaxDigestJobs || headroom < 256) break;
       wire::PeerMessage::JobDigest news{jobs_[job_index].spec.id, jobs_[job_index].done, running[job_index.position()],
                                         foreseen_late(job_index), why(job_index, supply)};
       grown(told_, job_index) = {news.done, news.running};
-      room -= std::min(room, wire::job_digest_size(news));
+      headroom -= std::min(headroom, wire::job_digest_size(news));
       if (list == &rest) cursor_ = job_index.position() + 1;
       message.jobs.push_back(std::move(news));
     }
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -173,7 +173,8 @@
   std::vector<JobIndex> order;
   context_.jobs.each([&order](JobIndex job_index, const Job &) { order.push_back(job_index); });
   const auto rank = [this](JobIndex job_index) {
-    return std::pair(-static_cast<int>(context_.dependencies.urgency(job_index)), context_.jobs[job_index].submit_wall);
+    return std::pair(-static_cast<int>(context_.dependencies.priority(job_index)),
+                     context_.jobs[job_index].submit_wall);
   };
   std::sort(order.begin(), order.end(), [&rank](JobIndex left, JobIndex right) { return rank(left) < rank(right); });
   return order;
@@ -247,7 +248,7 @@
   demand.target_s = context_.objectives.achievable_target(spec, context_.dependencies.deadline(job_index),
                                                           context_.scheduler.queue().age_s(job_index));
   demand.left_s = demand.target_s - job.wait_s;
-  demand.low = job.urgency == Urgency::Low;
+  demand.low = job.priority == Priority::Low;
   demand.strict = job.gang && job.wait_s > context_.operators.tunables().reserve_after_s;
   demand.in_zone = demand.strict && job.one_zone;
   if (demand.low && !demand.strict)
--- a/src/core/configuration/applied_configuration.cpp
+++ b/src/core/configuration/applied_configuration.cpp
@@ -25,7 +25,7 @@
                    writing_ = false;
                    if (reply.status != 200) return;
                    told_ = telling;
-                   configuration_.learn(key, value, reply.revision);
+                   configuration_.apply_committed(key, value, reply.revision);
                  });
 }
 
--- a/src/core/configuration/configuration.cpp
+++ b/src/core/configuration/configuration.cpp
@@ -92,7 +92,7 @@
                  });
 }
 
-void Configuration::learn(const std::string &key, std::optional<wire::Json> value, std::uint64_t revision) {
+void Configuration::apply_committed(const std::string &key, std::optional<wire::Json> value, std::uint64_t revision) {
   if (!value) removed_[key] = revision;
   set(key, std::move(value), revision);
 }
--- a/src/core/configuration/operator_settings.cpp
+++ b/src/core/configuration/operator_settings.cpp
@@ -13,15 +13,15 @@
 }
 } // namespace
 
-void Operators::on(const ConfigurationChanged &event) {
+void OperatorSettings::on(const ConfigurationChanged &event) {
   if (event.key == kTunablesKey) read_tunables();
   if (event.key == kCellsKey) read_cell_rules();
   if (event.key == kBudgetsKey || event.key.starts_with(wire::kConfigBudget)) read_budgets();
-  if (event.key == kOrdersKey) read_orders();
+  if (event.key == kMachineAdminStatesKey) read_orders();
   if (event.key.starts_with(wire::kConfigMachine)) read_order(event.key.substr(wire::kConfigMachine.size()));
 }
 
-void Operators::read_tunables() {
+void OperatorSettings::read_tunables() {
   const auto *document = configuration_.find(kTunablesKey);
   wire::Tunables tunables;
   if (!document) return;
@@ -31,7 +31,7 @@
     tunables_ = tunables;
 }
 
-void Operators::read_cell_rules() {
+void OperatorSettings::read_cell_rules() {
   const auto *document = configuration_.find(kCellsKey);
   wire::CellRules rules;
   if (!document) return;
@@ -41,8 +41,8 @@
     cell_rules_ = std::move(rules);
 }
 
-std::map<std::string, wire::Json> Operators::entries(std::string_view prefix, const wire::Json &document,
-                                                     std::uint64_t document_revision) const {
+std::map<std::string, wire::Json> OperatorSettings::entries(std::string_view prefix, const wire::Json &document,
+                                                            std::uint64_t document_revision) const {
   std::map<std::string, wire::Json> out;
   if (document.is_object())
     for (const auto &[name, value] : document.items())
@@ -53,7 +53,7 @@
   return out;
 }
 
-void Operators::read_budgets() {
+void OperatorSettings::read_budgets() {
   const auto *document = configuration_.find(kBudgetsKey);
   wire::Json whole = document ? document->value : wire::Json::object();
   if (!whole.is_object()) whole = wire::Json::object();
@@ -70,18 +70,18 @@
     budgets_ = std::move(budgets);
 }
 
-void Operators::read_orders() {
-  const auto *document = configuration_.find(kOrdersKey);
+void OperatorSettings::read_orders() {
+  const auto *document = configuration_.find(kMachineAdminStatesKey);
   orders_.clear();
-  for (const auto &[machine, order] :
+  for (const auto &[machine, machine_admin_state] :
        entries(wire::kConfigMachine, document ? document->value : wire::Json(), document ? document->revision : 0))
-    if (const auto read = wire::machine_admin_state_from_json(order)) orders_[machine] = *read;
+    if (const auto read = wire::machine_admin_state_from_json(machine_admin_state)) orders_[machine] = *read;
   events_.publish(MachineAdminStatesChanged{});
 }
 
 // One record alone: thousands come one by one when a node lists them first.
-void Operators::read_order(const std::string &machine) {
-  const auto *document = configuration_.find(kOrdersKey);
+void OperatorSettings::read_order(const std::string &machine) {
+  const auto *document = configuration_.find(kMachineAdminStatesKey);
   const auto *record = configuration_.find(std::string(wire::kConfigMachine) + machine);
   std::optional<wire::MachineAdminState> read;
   if (record && counts(*record, document ? document->revision : 0))
@@ -95,7 +95,7 @@
   events_.publish(MachineAdminStatesChanged{machine});
 }
 
-std::optional<wire::MachineAdminState> Operators::order(const std::string &machine) const {
+std::optional<wire::MachineAdminState> OperatorSettings::machine_admin_state(const std::string &machine) const {
   auto it = orders_.find(machine);
   return it == orders_.end() ? std::nullopt : std::optional(it->second);
 }
--- a/src/core/connectivity/replicas.cpp
+++ b/src/core/connectivity/replicas.cpp
@@ -53,7 +53,7 @@
     const bool recent = runtime_.now() - state.status_as_of < kRecentS;
     usages.push_back(recent ? std::optional(state.state_service_usage) : std::nullopt);
   }
-  state_limits_.share(runtime_.now(), kPingIntervalS, usages);
+  state_limits_.rebalance(runtime_.now(), kPingIntervalS, usages);
 }
 
 void Replicas::send_pings() {
--- a/src/core/federation/capacity_survey.cpp
+++ b/src/core/federation/capacity_survey.cpp
@@ -46,12 +46,12 @@
   }
   std::vector<JobIndex> order;
   jobs_.each([&](JobIndex job_index, const Job &job) {
-    if (!job.delegated_here && !job.cancelled && job.pending() > 0 && job.spec.waits_for.empty())
+    if (!job.delegated_here && !job.cancelled && job.pending() > 0 && job.spec.dependencies.empty())
       order.push_back(job_index);
   });
   std::sort(order.begin(), order.end(), [this](JobIndex a, JobIndex b) {
-    return std::pair(-static_cast<int>(jobs_[a].spec.urgency), jobs_[a].submit_wall) <
-           std::pair(-static_cast<int>(jobs_[b].spec.urgency), jobs_[b].submit_wall);
+    return std::pair(-static_cast<int>(jobs_[a].spec.priority), jobs_[a].submit_wall) <
+           std::pair(-static_cast<int>(jobs_[b].spec.priority), jobs_[b].submit_wall);
   });
   waits_.assign(jobs_.index_limit(), 0);
   std::fill(std::begin(wait_by_urgency_), std::end(wait_by_urgency_), 0);
@@ -78,7 +78,7 @@
       }
       const auto &type = catalog_.type(l.kind.type);
       const bool price_premium = InstanceTypeCatalog::cpu_price(type, l.kind.spot) > kExpensiveRatio * cheapest;
-      if (l.starting > 0 || (!l.refused && !(price_premium && job.spec.urgency == Urgency::Low)))
+      if (l.starting > 0 || (!l.refused && !(price_premium && job.spec.priority == Priority::Low)))
         soon = std::min(soon, 1.1 * type.boot_s + 1);
     }
     double wait = cpus > 0 ? (load + 0.5 * own) / cpus : std::numeric_limits<double>::infinity();
@@ -90,7 +90,7 @@
     const double age = runtime_.wall() - job.submit_wall;
     if (job.placed + job.done + job.unaccounted == 0 && age > kLongWait) wait = std::max(wait, 0.5 * age);
     waits_[job_index.position()] = std::isfinite(wait) ? wait : 1e6;
-    auto &of_class = wait_by_urgency_[static_cast<std::size_t>(job.spec.urgency)];
+    auto &of_class = wait_by_urgency_[static_cast<std::size_t>(job.spec.priority)];
     of_class = std::max(of_class, std::min(wait, 3600.0));
     own_waiting_cpus_ += job.pending() * job.spec.need.cpus;
     for (auto *l : mine)
--- a/src/core/federation/cell_federation.cpp
+++ b/src/core/federation/cell_federation.cpp
@@ -16,7 +16,7 @@
 }
 
 CellFederation::CellFederation(Runtime &runtime, Events &events, const Settings &settings,
-                               const InstanceTypeCatalog &catalog, const Operators &operators,
+                               const InstanceTypeCatalog &catalog, const OperatorSettings &operators,
                                const Leadership &leadership, const Cancellations &cancellations,
                                StateServiceLimits &state_limits, JobTable &jobs,
                                const FailureAttribution &failure_attribution, UsageLedger &ledger,
--- a/src/core/federation/delegation_plan.cpp
+++ b/src/core/federation/delegation_plan.cpp
@@ -60,7 +60,7 @@
     const double fetch = work.image_gb / std::max(0.01, k.fetch_gb_per_s);
     if (now && k.machines > 0) take(fetch);
     if (!k.refused) take(k.boot_s + fetch); // its cloud may have some
-    const auto u = static_cast<std::size_t>(work.urgency);
+    const auto u = static_cast<std::size_t>(work.priority);
     if (k.machines > 0 && u < cell.wait_s.size()) take(cell.wait_s[u] + fetch);
   }
   if (!best) return std::nullopt;
--- a/src/core/federation/delegations_out.cpp
+++ b/src/core/federation/delegations_out.cpp
@@ -34,7 +34,7 @@
   auto among = [](const std::vector<std::string> &all, const std::string &x) {
     return std::find(all.begin(), all.end(), x) != all.end();
   };
-  if (!rules.delegate || spec.shape == Shape::Service || spec.team.starts_with('@') || !spec.waits_for.empty())
+  if (!rules.delegate || spec.shape == Shape::Service || spec.team.starts_with('@') || !spec.dependencies.empty())
     return false;
   if (among(rules.stay_teams, spec.team) || among(rules.stay_classes, spec.job_class)) return false;
   return !spec.zone; // its zone is here
@@ -50,7 +50,7 @@
   work.tasks = job.pending();
   work.estimate_s = job.spec.estimate_s;
   work.image_gb = job.spec.image_gb;
-  work.urgency = job.spec.urgency;
+  work.priority = job.spec.priority;
   work.wait_here_s = job_index.position() < waits_.size() ? waits_[job_index.position()] : 0;
   return work;
 }
@@ -107,7 +107,7 @@
     }
     const auto work = work_of(job_index);
     auto choice = cells::choose(work, mine, kRules);
-    if (settings_.cells.at_random && work.wait_here_s > 1) {
+    if (settings_.cells.random_delegation && work.wait_here_s > 1) {
       const auto any = static_cast<std::size_t>(runtime_.random() * static_cast<double>(mine.size()));
       if (mine[any].open) choice = cells::Choice{static_cast<int>(any), 0, 0};
     }
@@ -128,12 +128,12 @@
 // How many more of a job's tasks its team's limit allows, all that may be on a machine anywhere counted.
 std::uint32_t CellFederation::team_allows(JobIndex job_index) const {
   const Job &job = jobs_[job_index];
-  const auto room = quotas_.room()[static_cast<std::size_t>(job.team)];
+  const auto headroom = quotas_.headroom()[static_cast<std::size_t>(job.team)];
   double most = 1e6;
-  if (room.cpus >= 0 && job.spec.need.cpus > 0)
-    most = std::min(most, std::floor(room.cpus / job.spec.need.cpus + 1e-9));
-  if (room.gpus >= 0 && job.spec.need.gpus > 0)
-    most = std::min(most, std::floor(room.gpus / job.spec.need.gpus + 1e-9));
+  if (headroom.cpus >= 0 && job.spec.need.cpus > 0)
+    most = std::min(most, std::floor(headroom.cpus / job.spec.need.cpus + 1e-9));
+  if (headroom.gpus >= 0 && job.spec.need.gpus > 0)
+    most = std::min(most, std::floor(headroom.gpus / job.spec.need.gpus + 1e-9));
   return static_cast<std::uint32_t>(most);
 }
 
@@ -242,13 +242,13 @@
     // Nobody has asked on for so long that nothing of it runs there any more.
     if (l.state.offers() && l.state.confirmed() && now >= l.state.until()) l.state.close();
     if (!l.state.closing() && l.taken && !l.progressed) { // taken, not begun, and there is room here again
-      const bool room =
+      const bool headroom =
           waits_.size() > job_index.position() && waits_[job_index.position()] < 1 && own_waiting_cpus_ < 1;
-      if (!room)
+      if (!headroom)
         l.idle_since = -1;
       else if (l.idle_since < 0)
         l.idle_since = now;
-      if (room && now - l.idle_since > kHomeHasRoom) l.state.close();
+      if (headroom && now - l.idle_since > kHomeHasRoom) l.state.close();
     }
     if (l.state.closing() && now >= l.next_recall && l.state.confirmed()) {
       l.next_recall = now + kOfferAgain;
--- a/src/core/federation/quota_exchange.cpp
+++ b/src/core/federation/quota_exchange.cpp
@@ -119,14 +119,14 @@
   const auto j = wire::decode(message.body);
   const auto forwarded = j ? wire::forwarded_from_json(*j) : std::nullopt;
   if (!forwarded || !leadership_.active() || !quotas_.ready() || !changes_.owns(forwarded->change.team)) return;
-  changes_.carry_out(forwarded->change, message.number,
-                     [this, cell, number = message.number](const QuotaChanges::Outcome &o) {
-                       auto answer = federation_.message(Kind::QuotaOutcome, cell);
-                       answer.number = number;
-                       answer.status = static_cast<std::uint32_t>(o.status);
-                       answer.body = o.text;
-                       federation_.tell_quota(cell, std::move(answer));
-                     });
+  changes_.commit_once(forwarded->change, message.number,
+                       [this, cell, number = message.number](const QuotaChanges::Outcome &o) {
+                         auto answer = federation_.message(Kind::QuotaOutcome, cell);
+                         answer.number = number;
+                         answer.status = static_cast<std::uint32_t>(o.status);
+                         answer.body = o.text;
+                         federation_.tell_quota(cell, std::move(answer));
+                       });
 }
 
 // ---- the others ----
@@ -207,7 +207,7 @@
   state_limits_.take_leader_writes(runtime_.now(), 1);
   runtime_.store(StoreCommit{{{key, revision}}, {{key, value, 0}}}, kCommitWithin,
                  [this, key, value, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
-                   if (reply.status == 200) configuration_.learn(key, value, reply.revision);
+                   if (reply.status == 200) configuration_.apply_committed(key, value, reply.revision);
                    if (epoch == leadership_.epoch()) committing_.erase(key);
                  });
 }
--- a/src/core/jobs/critical_path.cpp
+++ b/src/core/jobs/critical_path.cpp
@@ -44,12 +44,12 @@
 Dependencies::Requirement Dependencies::combined_requirement(JobIndex job_index) const {
   const JobSpec &spec = jobs_[job_index].spec;
   Requirement combined;
-  combined.urgency = spec.urgency;
+  combined.priority = spec.priority;
   if (spec.deadline_s) combined.due_wall = jobs_[job_index].submit_wall + *spec.deadline_s;
   for (JobIndex dependent : node(job_index).dependents) {
     if (!jobs_.find(dependent) || jobs_[dependent].cancelled) continue;
     const Requirement &theirs = requirements_[dependent.position()];
-    combined.urgency = std::max(combined.urgency, theirs.urgency);
+    combined.priority = std::max(combined.priority, theirs.priority);
     if (!theirs.due_wall) continue;
     const double latest_wall = *theirs.due_wall - lead_time_s(dependent);
     combined.due_wall = std::min(combined.due_wall.value_or(latest_wall), latest_wall);
@@ -57,11 +57,11 @@
   return combined;
 }
 
-Urgency Dependencies::urgency(JobIndex job_index) const {
+Priority Dependencies::priority(JobIndex job_index) const {
   if (outdated_) recompute();
-  const Urgency own = jobs_[job_index].spec.urgency;
+  const Priority own = jobs_[job_index].spec.priority;
   if (job_index.position() >= requirements_.size()) return own;
-  return std::max(own, requirements_[job_index.position()].urgency);
+  return std::max(own, requirements_[job_index.position()].priority);
 }
 
 std::optional<double> Dependencies::deadline(JobIndex job_index) const {
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -51,8 +51,8 @@
     for (JobIndex dependent : dependents)
       add_edge(dependent, job_index);
   }
-  added.unmet = job.spec.waits_for.size();
-  for (const auto &id : job.spec.waits_for) {
+  added.unmet = job.spec.dependencies.size();
+  for (const auto &id : job.spec.dependencies) {
     if (const auto *end = ended_.find(id))
       resolve({job_index}, id, *end);
     else if (const auto it = index_.find(id); it != index_.end())
--- a/src/core/jobs/job_objectives.cpp
+++ b/src/core/jobs/job_objectives.cpp
@@ -46,9 +46,9 @@
   return std::isfinite(first) ? first : last;
 }
 
-bool JobObjectives::deferrable(const JobSpec &spec, Urgency urgency, std::optional<double> deadline,
+bool JobObjectives::deferrable(const JobSpec &spec, Priority priority, std::optional<double> deadline,
                                double age_s) const {
-  return is_small(spec, urgency) && !completion_target(spec, deadline) && age_s < kDeferrableFor;
+  return is_small(spec, priority) && !completion_target(spec, deadline) && age_s < kDeferrableFor;
 }
 
 } // namespace loftrouter::core
--- a/src/core/quotas/quota_changes.cpp
+++ b/src/core/quotas/quota_changes.cpp
@@ -30,7 +30,7 @@
 } // namespace
 
 std::string QuotaChanges::owner(const std::string &team) const {
-  return cells::owner_of(team, quotas_.cells());
+  return cells::owner_cell(team, quotas_.cells());
 }
 
 bool QuotaChanges::owns(const std::string &team) const {
@@ -40,7 +40,7 @@
 void QuotaChanges::request(const wire::QuotaChange &change, Done done) {
   if (!settings_.configuration) return done({409, "quotas are not configured here: switch it on in the features file"});
   if (quotas_.find_team(change.team) < 0 || change.team.starts_with('@')) return done({422, "there is no such team"});
-  if (owns(change.team)) return carry_out(change, runtime_.nonce(), std::move(done));
+  if (owns(change.team)) return commit_once(change, runtime_.nonce(), std::move(done));
   // Checked here too, so that what cannot be is refused at once, whoever owns it.
   auto record = quotas_.record(change.team).value_or(wire::QuotaRecord{});
   if (const auto problem = apply(change, 0, record); problem && problem->status == 422) return done(*problem);
@@ -53,7 +53,7 @@
   if (team < 0) return Outcome{422, "there is no such team"};
   if (change.version && *change.version != record.version)
     return Outcome{409, fmt::format("its version is {}; look at it and ask again", record.version)};
-  const auto file = quotas_.platform(team);
+  const auto file = quotas_.platform_limits(team);
   if (record.version == 0) record.limits = file;
   auto &limits = record.limits;
   if (change.guaranteed_cpus) limits.guaranteed.cpus = *change.guaranteed_cpus;
@@ -63,10 +63,10 @@
   if (change.shares) record.shares = *change.shares;
   if (larger(limits.most, file.most)) return Outcome{422, "that is more than the settings file allows the team"};
   if (larger(limits.guaranteed, limits.most)) return Outcome{422, "its guarantee is more than its limit"};
-  if (const auto problem = cells::shares_problem(limits.most, record.shares, quotas_.cells()))
+  if (const auto problem = cells::validate_shares(limits.most, record.shares, quotas_.cells()))
     return Outcome{422, *problem};
   if (quotas_.cells().size() > 1) {
-    cells::lower_caps(record, quotas_.cells(), cells::even_part(file.most, quotas_.cells().size()));
+    cells::lower_caps(record, quotas_.cells(), cells::even_share(file.most, quotas_.cells().size()));
     cells::raise_caps(record, quotas_.cells());
   }
   ++record.version;
@@ -75,7 +75,7 @@
   return std::nullopt;
 }
 
-void QuotaChanges::carry_out(const wire::QuotaChange &change, std::uint64_t number, Done done) {
+void QuotaChanges::commit_once(const wire::QuotaChange &change, std::uint64_t number, Done done) {
   const auto *known = configuration_.find(quota_key(change.team));
   auto record = quotas_.record(change.team).value_or(wire::QuotaRecord{});
   const bool repeated =
@@ -97,7 +97,7 @@
   auto value = wire::to_json(record);
   runtime_.store(StoreCommit{{{key, revision}}, {{key, value, 0}}}, kCommitWithin,
                  [this, key, value, done = std::move(done)](const wire::StoreReply &reply) {
-                   if (reply.status == 200) configuration_.learn(key, value, reply.revision);
+                   if (reply.status == 200) configuration_.apply_committed(key, value, reply.revision);
                    done(reply.status == 200);
                  });
 }
@@ -113,7 +113,7 @@
   auto value = wire::to_json(wire::ForwardedChange{change, settings_.node, 0, ""});
   runtime_.store(StoreCommit{{{key, 0}}, {{key, value, 0}}}, kCommitWithin,
                  [this, key, value](const wire::StoreReply &reply) {
-                   if (reply.status == 200) configuration_.learn(key, value, reply.revision);
+                   if (reply.status == 200) configuration_.apply_committed(key, value, reply.revision);
                  });
 }
 
@@ -138,7 +138,7 @@
   if (!found) return;
   runtime_.store(StoreCommit{{{key, found->revision}}, {{key, std::nullopt, 0}}}, kCommitWithin,
                  [this, key](const wire::StoreReply &reply) {
-                   if (reply.status == 200) configuration_.learn(key, std::nullopt, reply.revision);
+                   if (reply.status == 200) configuration_.apply_committed(key, std::nullopt, reply.revision);
                  });
 }
 
--- a/src/core/quotas/quota_shares.cpp
+++ b/src/core/quotas/quota_shares.cpp
@@ -28,18 +28,18 @@
 
 } // namespace
 
-const std::string &owner_of(const std::string &team, const std::vector<std::string> &names) {
+const std::string &owner_cell(const std::string &team, const std::vector<std::string> &names) {
   return *std::max_element(names.begin(), names.end(), [&team](const auto &a, const auto &b) {
     return std::pair(hash(a + "/" + team), a) < std::pair(hash(b + "/" + team), b);
   });
 }
 
-Amounts even_part(const Amounts &limit, std::size_t cells) {
+Amounts even_share(const Amounts &limit, std::size_t cells) {
   const auto parts = static_cast<double>(std::max<std::size_t>(1, cells));
   return {limit.cpus / parts, limit.gpus / parts};
 }
 
-AmountsByCell wanted_parts(const Amounts &limit, const AmountsByCell &shares, const std::vector<std::string> &names) {
+AmountsByCell target_shares(const Amounts &limit, const AmountsByCell &shares, const std::vector<std::string> &names) {
   AmountsByCell out;
   for (const auto &name : names)
     out[name] = {};
@@ -61,8 +61,8 @@
   return out;
 }
 
-std::optional<std::string> shares_problem(const Amounts &limit, const AmountsByCell &shares,
-                                          const std::vector<std::string> &names) {
+std::optional<std::string> validate_shares(const Amounts &limit, const AmountsByCell &shares,
+                                           const std::vector<std::string> &names) {
   Amounts sum;
   for (const auto &[cell, share] : shares) {
     if (std::find(names.begin(), names.end(), cell) == names.end())
@@ -76,7 +76,7 @@
 }
 
 void lower_caps(wire::QuotaRecord &record, const std::vector<std::string> &names, const Amounts &before) {
-  const auto wanted = wanted_parts(record.limits.most, record.shares, names);
+  const auto wanted = target_shares(record.limits.most, record.shares, names);
   for (const auto &name : names) {
     if (!record.held.contains(name)) record.held[name] = before;
     Amounts &cap = record.caps[name];
@@ -94,7 +94,7 @@
 }
 
 bool raise_caps(wire::QuotaRecord &record, const std::vector<std::string> &names) {
-  const auto wanted = wanted_parts(record.limits.most, record.shares, names);
+  const auto wanted = target_shares(record.limits.most, record.shares, names);
   bool changed = false;
   for (const auto field : kFields) {
     double free = record.limits.most.*field;
--- a/src/core/quotas/quotas.cpp
+++ b/src/core/quotas/quotas.cpp
@@ -52,7 +52,7 @@
     read(team);
 }
 
-wire::QuotaLimits Quotas::platform(int team) const {
+wire::QuotaLimits Quotas::platform_limits(int team) const {
   const Team &team_quota = settings_.teams[static_cast<std::size_t>(team)];
   return {{team_quota.cpus, team_quota.gpus},
           {unlimited_if_none(team_quota.cpus_max), unlimited_if_none(team_quota.gpus_max)}};
@@ -71,8 +71,8 @@
 
 void Quotas::read(int team) {
   const Team &team_quota = settings_.teams[static_cast<std::size_t>(team)];
-  const auto file = platform(team);
-  const auto even = cells::even_part(file.most, cells_.size());
+  const auto file = platform_limits(team);
+  const auto even = cells::even_share(file.most, cells_.size());
   wire::QuotaLimits whole = file, mine = file;
   mine.most = even;
   largest_share_[static_cast<std::size_t>(team)] = std::isfinite(even.cpus) ? even.cpus : 0;
@@ -120,7 +120,7 @@
   return out;
 }
 
-std::vector<Resources> Quotas::room() const {
+std::vector<Resources> Quotas::headroom() const {
   std::vector<Resources> out;
   bool limits = false;
   for (const auto &t : here_) {
@@ -140,13 +140,13 @@
 
 // What was placed and not sent is taken back: it would be a start beyond a limit that has been applied.
 void Quotas::withdraw_beyond(int team) {
-  if (!beyond(used()[static_cast<std::size_t>(team)], here(team))) return;
+  if (!beyond(used()[static_cast<std::size_t>(team)], local_quota(team))) return;
   std::vector<JobIndex> jobs;
   jobs_.each([&](JobIndex job_index, const Job &job) {
     if (job.team == team && job.placed > 0) jobs.push_back(job_index);
   });
   for (JobIndex job_index : jobs) {
-    if (!beyond(used()[static_cast<std::size_t>(team)], here(team))) return;
+    if (!beyond(used()[static_cast<std::size_t>(team)], local_quota(team))) return;
     workers_.release_unsent(job_index);
   }
 }
@@ -165,13 +165,13 @@
       runtime_.log(LogLevel::Info, "team_quota_exceeded",
                    {{"team", here_[t].name}, {"cpus", all[t].cpus}, {"limit", here_[t].cpus_max}});
     }
-    if (runtime_.now() - over_since_[t] > kOverLimitFor) stop_beyond(static_cast<int>(t));
+    if (runtime_.now() - over_since_[t] > kOverLimitGraceS) stop_beyond(static_cast<int>(t));
   }
 }
 
 // The youngest jobs first; of an array its tasks one by one, of a gang all. What is stopping already counts as gone.
 void Quotas::stop_beyond(int team) {
-  const Team &limit = here(team);
+  const Team &limit = local_quota(team);
   Resources left = used()[static_cast<std::size_t>(team)];
   struct Place {
     double submitted, placed_at;
--- a/src/core/runtime/state_service_limits.cpp
+++ b/src/core/runtime/state_service_limits.cpp
@@ -69,7 +69,7 @@
   writes_measured_ = writes_.total_taken();
 }
 
-void StateServiceLimits::share(double now, double dt_s, const std::vector<std::optional<Usage>> &others) {
+void StateServiceLimits::rebalance(double now, double dt_s, const std::vector<std::optional<Usage>> &others) {
   measure_usage(dt_s);
   const auto replicas = static_cast<double>(others.size() + 1);
   const double user_reads = kUserReadShare * requests_per_s_;
--- a/src/core/scheduling/fleet_snapshot.cpp
+++ b/src/core/scheduling/fleet_snapshot.cpp
@@ -73,7 +73,7 @@
 bool FleetSnapshot::is_small(const Allocation &allocation) const {
   if (!allocation.job.valid()) return false;
   const JobSpec &spec = context_.jobs[allocation.job].spec;
-  return core::is_small(spec, spec.urgency);
+  return core::is_small(spec, spec.priority);
 }
 
 bool FleetSnapshot::holds_only_small(MachineIndex machine_index) const {
--- a/src/core/scheduling/placement.cpp
+++ b/src/core/scheduling/placement.cpp
@@ -148,7 +148,7 @@
 int Round::rank(std::size_t job) const {
   const PlacementJob &ranked = *jobs_[job];
   if (ranked.delegated_here) return -1;
-  return (waits_long(ranked) ? 100 : 0) + static_cast<int>(ranked.urgency) * 2 + (ranked.guaranteed ? 1 : 0);
+  return (waits_long(ranked) ? 100 : 0) + static_cast<int>(ranked.priority) * 2 + (ranked.guaranteed ? 1 : 0);
 }
 
 // The most pressing rank is planned first; within it the best plan goes first.
--- a/src/core/scheduling/placement_queue.cpp
+++ b/src/core/scheduling/placement_queue.cpp
@@ -18,9 +18,9 @@
 
 bool PlacementQueue::deferrable(JobIndex job_index) const {
   const JobSpec &spec = context_.jobs[job_index].spec;
-  const bool in_pipeline = !context_.dependencies.dependents(job_index).empty() || !spec.waits_for.empty();
+  const bool in_pipeline = !context_.dependencies.dependents(job_index).empty() || !spec.dependencies.empty();
   if (in_pipeline) return false; // others wait with it
-  return context_.objectives.deferrable(spec, context_.dependencies.urgency(job_index),
+  return context_.objectives.deferrable(spec, context_.dependencies.priority(job_index),
                                         context_.dependencies.deadline(job_index), age_s(job_index));
 }
 
@@ -80,13 +80,13 @@
   if (spec.spread) out.max_per_zone = static_cast<int>((spec.tasks + 1) / 2);
   out.zone_used = job.zone_used;
   out.avoided_machines = context_.failure_attribution.avoided_machines(job_index);
-  out.small = is_small(spec, spec.urgency); // whatever it is wanted for
+  out.small = is_small(spec, spec.priority); // whatever it is wanted for
   // Work that nobody wants at a certain time waits for cheap places, of which it may have what others leave.
   if (deferrable(job_index)) out.max_price_premium = 1 - 1 / kExpensiveRatio;
   out.pending = job.pending();
   if (suspected && !out.gang) out.pending = std::min(out.pending, 1U); // one try at a time
   out.limit = held_back(job, job_index) ? 0 : out.pending;
-  out.urgency = context_.dependencies.urgency(job_index);
+  out.priority = context_.dependencies.priority(job_index);
   out.delegated_here = job.delegated_here.has_value();
   out.wait_s = std::max(0.0, age_s(job_index));
   // A suspected job reserves nothing, nor does another cell's.
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -64,7 +64,7 @@
       continue;
     }
     if (!owner || owner->spec.shape != Shape::Array) continue;
-    const bool yields = owner->delegated_here || context_.dependencies.urgency(allocation.job) < job.urgency;
+    const bool yields = owner->delegated_here || context_.dependencies.priority(allocation.job) < job.priority;
     if (!yields) continue;
     const double ran_s = allocation.running_since >= 0 ? context_.runtime.now() - allocation.running_since : kUnseenRun;
     offer.victims.push_back({ran_s * allocation.need.cpus, i, allocation.need});
@@ -142,11 +142,11 @@
 // Jobs of low urgency and other cells' preempt nothing.
 void Preemption::make_room(std::vector<JobIndex> unplaced) {
   std::erase_if(unplaced, [this](JobIndex job_index) {
-    return context_.dependencies.urgency(job_index) == Urgency::Low || context_.jobs[job_index].delegated_here;
+    return context_.dependencies.priority(job_index) == Priority::Low || context_.jobs[job_index].delegated_here;
   });
   if (unplaced.empty()) return;
   std::stable_sort(unplaced.begin(), unplaced.end(), [this](JobIndex left, JobIndex right) {
-    return context_.dependencies.urgency(left) > context_.dependencies.urgency(right);
+    return context_.dependencies.priority(left) > context_.dependencies.priority(right);
   });
   auto machines = snapshot_.all();
   for (JobIndex job_index : unplaced)
@@ -183,7 +183,7 @@
 // Tasks that cannot save exit as soon as they are told, so their successors are started by the very same response.
 // Victims count against their team until they are gone, so a team with a limit waits for that.
 bool Preemption::may_start_at_once(const PlacementJob &job, const Offers &offers) const {
-  const Team &team = context_.quotas.here(job.team);
+  const Team &team = context_.quotas.local_quota(job.team);
   if (job.max_per_zone >= 0 || team.cpus_max > 0 || team.gpus_max > 0) return false;
   return std::all_of(offers.begin(), offers.end(), [](const Offer &offer) { return offer.at_once; });
 }
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -79,7 +79,7 @@
   for (const auto &queued : last_round_)
     placements.push_back(&queued.placement);
   std::vector<Reservation> reserved;
-  const auto plan = place_round(std::move(machines), placements, context_.quotas.room(), options(), &reserved);
+  const auto plan = place_round(std::move(machines), placements, context_.quotas.headroom(), options(), &reserved);
   const auto placed = placer_.place_all(plan, jobs, machine_indices);
   // Guards against a machine kept for a job that has waited too long being filled, place by place as places come free,
   // between two rounds over all machines.
@@ -97,7 +97,7 @@
     const Job &job = context_.jobs[job_index];
     queue_.note_waiting(job_index, kRoundInterval);
     QueuedJob queued{queue_.candidate(job_index), job.serial};
-    const Team &team = context_.quotas.here(job.team);
+    const Team &team = context_.quotas.local_quota(job.team);
     Resources &team_wanted = wanted[static_cast<std::size_t>(job.team)];
     team_wanted.add(job.spec.need, job.spec.tasks - job.done);
     const bool has_guarantee = team.cpus > 0 || team.gpus > 0;
@@ -130,7 +130,7 @@
     jobs.push_back(queued.placement.index);
   }
   if (placements.empty()) return;
-  placer_.place_all(place_round({*view}, placements, context_.quotas.room(), options()), jobs, {machine_index});
+  placer_.place_all(place_round({*view}, placements, context_.quotas.headroom(), options()), jobs, {machine_index});
 }
 
 // Brings a job of the last round up to date; false: nothing of it may be placed now.
@@ -162,7 +162,7 @@
   context_.jobs.each([&](JobIndex job_index, const Job &job) {
     if (job.cancelled || job.spec.shape == Shape::Gang || job.pending() == 0) return;
     if (!context_.dependencies.ready(job_index)) return;
-    order.emplace_back(-static_cast<int>(context_.dependencies.urgency(job_index)), !queue_.job(job_index).in_time,
+    order.emplace_back(-static_cast<int>(context_.dependencies.priority(job_index)), !queue_.job(job_index).in_time,
                        job.submit_wall, job_index);
   });
   std::sort(order.begin(), order.end());
--- a/src/core/state/open_record_loader.cpp
+++ b/src/core/state/open_record_loader.cpp
@@ -37,7 +37,7 @@
   ledger_.open_account(job_index, shards_.job(job_index).shard);
   if (loaded) restore(job_index, loaded->progress);
   events_.publish(JobAccepted{job_index});
-  jobs_.changed(job_index, job.spec.urgency != Urgency::Low && job.spec.waits_for.empty());
+  jobs_.changed(job_index, job.spec.priority != Priority::Low && job.spec.dependencies.empty());
 }
 
 void OpenRecordLoader::restore(JobIndex job_index, const ProgressRecord &progress) {
--- a/src/core/state/usage_ledger.cpp
+++ b/src/core/state/usage_ledger.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 UsageLedger::UsageLedger(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog, JobTable &jobs,
-                         const Operators &operators)
+                         const OperatorSettings &operators)
     : runtime_(runtime), settings_(settings), catalog_(catalog), jobs_(jobs), operators_(operators) {}
 
 void UsageLedger::on(const TermEnded &) {
@@ -54,7 +54,7 @@
 
 void UsageLedger::charge_to_sums(ShardIndex shard, const std::string &team, const accounts::Usage &usage,
                                  const Resources &need) {
-  if (!usage.none()) sums_at(shard)[{current_period(), team}] += accounts::sums_of(usage, need);
+  if (!usage.all_zero()) sums_at(shard)[{current_period(), team}] += accounts::sums_of(usage, need);
 }
 
 // Names of periods are dates, so the smallest is the oldest. What a change of the clock has left behind counts as past.
@@ -153,7 +153,7 @@
     return;
   }
   usage += std::exchange(charged.deferred, {});
-  if (usage.none()) return;
+  if (usage.all_zero()) return;
   charged.usage += usage;
   charged.changed = true;
   charge_to_sums(charged.shard, job.spec.team, usage, job.spec.need);
@@ -268,7 +268,7 @@
   runtime_.log(LogLevel::Info, exhausted ? "budget_spent" : "budget_has_room",
                {{"team", settings_.teams[team].name},
                 {"period", current_period()},
-                {"cpu_hours", static_cast<double>(used_[team]) / accounts::kSumsAnHour}});
+                {"cpu_hours", static_cast<double>(used_[team]) / accounts::kSumsPerHour}});
 }
 
 } // namespace loftrouter::core
--- a/src/core/workers/worker_registry.cpp
+++ b/src/core/workers/worker_registry.cpp
@@ -91,7 +91,7 @@
   machine.spot = spot;
   machine.known_since = runtime_.now();
   machine.rented_at = runtime_.now();
-  machine.admin_state = operators_.order(name);
+  machine.admin_state = operators_.machine_admin_state(name);
   if (machine.type >= 0) machine.size = catalog_.type(machine.type).size;
   index_[name] = machine_index;
   return machine_index;
@@ -206,11 +206,11 @@
 void WorkerRegistry::on(const MachineAdminStatesChanged &event) {
   if (!event.machine.empty()) {
     const auto it = index_.find(event.machine);
-    if (it != index_.end()) at(it->second).admin_state = operators_.order(event.machine);
+    if (it != index_.end()) at(it->second).admin_state = operators_.machine_admin_state(event.machine);
     return;
   }
   for (auto &machine : machines_)
-    if (machine) machine->admin_state = operators_.order(machine->name);
+    if (machine) machine->admin_state = operators_.machine_admin_state(machine->name);
 }
 
 void WorkerRegistry::on(const TermEnded &) {
--- a/src/wire/admin_budgets.cpp
+++ b/src/wire/admin_budgets.cpp
@@ -11,27 +11,27 @@
 constexpr std::size_t kMaxTeams = 100;
 constexpr double kMaxCpuHours = 1e6;
 
-std::optional<FieldError> apply_period(const Json &value, accounts::Clock &clock) {
+std::optional<FieldError> apply_period(const Json &value, accounts::PeriodSchedule &clock) {
   if (value != setting::kDaily && value != setting::kWeekly) return FieldError{"every: day or week is wanted"};
   clock.weekly = value == setting::kWeekly;
   return std::nullopt;
 }
 
-std::optional<FieldError> apply_period_start(const Json &value, accounts::Clock &clock) {
+std::optional<FieldError> apply_period_start(const Json &value, accounts::PeriodSchedule &clock) {
   const auto minute = accounts::parse_minute(read_text_or_empty(value));
   if (!minute) return FieldError{"starts: a time of day is wanted, as 20:00"};
   clock.starts_min = *minute;
   return std::nullopt;
 }
 
-std::optional<FieldError> apply_utc_offset(const Json &value, accounts::Clock &clock) {
+std::optional<FieldError> apply_utc_offset(const Json &value, accounts::PeriodSchedule &clock) {
   const auto offset = accounts::parse_offset(read_text_or_empty(value));
   if (!offset) return FieldError{"utc_offset: the distance of the local time from UTC is wanted, as +05:30"};
   clock.offset_min = *offset;
   return std::nullopt;
 }
 
-std::optional<FieldError> apply_field(const std::string &name, const Json &value, accounts::Clock &clock) {
+std::optional<FieldError> apply_field(const std::string &name, const Json &value, accounts::PeriodSchedule &clock) {
   if (name == setting::kPeriod) return apply_period(value, clock);
   if (name == setting::kPeriodStart) return apply_period_start(value, clock);
   if (name == setting::kUtcOffset) return apply_utc_offset(value, clock);
--- a/src/wire/admin_configuration.cpp
+++ b/src/wire/admin_configuration.cpp
@@ -82,7 +82,7 @@
     records.push_back(to_json(record, configuration.nodes));
   return dump_admin_json({{"node", configuration.node},
                           {"revision", configuration.revision},
-                          {"watches", configuration.watches},
+                          {"watches", configuration.watch_open},
                           {"current_s_ago", age_json(configuration.current_s)},
                           {"records", std::move(records)},
                           {"next", text_or_null(configuration.next)}});
--- a/src/wire/admin_jobs.cpp
+++ b/src/wire/admin_jobs.cpp
@@ -27,7 +27,7 @@
 }
 
 double hours(std::int64_t sum) {
-  return static_cast<double>(sum) / accounts::kSumsAnHour;
+  return static_cast<double>(sum) / accounts::kSumsPerHour;
 }
 
 // CPU hours by what they went to; `held` is their sum.
--- a/src/wire/job.cpp
+++ b/src/wire/job.cpp
@@ -57,12 +57,12 @@
 void read_dependencies(FieldReader &reader, JobSpec &spec) {
   const Json *list = reader.optional(field::kDependencies);
   if (!list) return;
-  if (!list->is_array() || list->size() > kMaxWaitsFor) return reader.refuse(field::kDependencies);
+  if (!list->is_array() || list->size() > kMaxDependencies) return reader.refuse(field::kDependencies);
   for (const auto &element : *list) {
     auto dependency = read_text(element);
     if (!dependency || !valid_job_id(*dependency) || *dependency == spec.id) return reader.refuse(field::kDependencies);
-    if (std::find(spec.waits_for.begin(), spec.waits_for.end(), *dependency) == spec.waits_for.end())
-      spec.waits_for.push_back(std::move(*dependency));
+    if (std::find(spec.dependencies.begin(), spec.dependencies.end(), *dependency) == spec.dependencies.end())
+      spec.dependencies.push_back(std::move(*dependency));
   }
 }
 
@@ -85,7 +85,7 @@
   reader.text(field::kTeam, spec.team);
   reader.text(field::kImage, spec.image);
   reader.spelled(field::kShape, spelling::kShapes, spec.shape);
-  reader.spelled(field::kPriority, spelling::kPriorities, spec.urgency);
+  reader.spelled(field::kPriority, spelling::kPriorities, spec.priority);
   read_task_count(reader, json, spec);
   reader.amount(field::kCpus, spec.need.cpus);
   reader.amount(field::kGpus, spec.need.gpus);
@@ -110,7 +110,7 @@
                {field::kJobClass, spec.job_class},
                {field::kTeam, spec.team},
                {field::kShape, spelling::kShapes[spec.shape]},
-               {field::kPriority, spelling::kPriorities[spec.urgency]},
+               {field::kPriority, spelling::kPriorities[spec.priority]},
                {field::kTaskCount, spec.tasks},
                {field::kCpus, spec.need.cpus},
                {field::kGpus, spec.need.gpus},
@@ -126,7 +126,7 @@
   if (spec.types) json[field::kMachineTypes] = *spec.types;
   if (spec.zone) json[field::kZone] = *spec.zone;
   if (spec.deadline_s) json[field::kDeadlineS] = *spec.deadline_s;
-  if (!spec.waits_for.empty()) json[field::kDependencies] = spec.waits_for;
+  if (!spec.dependencies.empty()) json[field::kDependencies] = spec.dependencies;
   return json;
 }
 
--- a/src/wire/protocol_names.hpp
+++ b/src/wire/protocol_names.hpp
@@ -111,7 +111,7 @@
 namespace spelling {
 
 inline constexpr EnumSpellings<Shape, 3> kShapes{{"array", "gang", "service"}};
-inline constexpr EnumSpellings<Urgency, 4> kPriorities{{"low", "normal", "urgent", "production"}};
+inline constexpr EnumSpellings<Priority, 4> kPriorities{{"low", "normal", "urgent", "production"}};
 inline constexpr EnumSpellings<JobState, 4> kJobStates{{"queued", "running", "done", "aborted"}};
 inline constexpr EnumSpellings<TaskPhase, 5> kTaskPhases{{"pulling", "gathering", "running", "saving", "exited"}};
 inline constexpr EnumSpellings<ExitCause, 9> kExitCauses{
--- a/tests/accounts_test.cpp
+++ b/tests/accounts_test.cpp
@@ -86,14 +86,14 @@
 }
 
 TEST(Accounts, DaysBeginByTheLocalClock) {
-  const Clock night{20 * 60, 330, false};    // 20:00 at +05:30 is 14:30 UTC
-  EXPECT_EQ(night.begin(1.7e9), 1699972200); // 2023-11-14 14:30 UTC
+  const PeriodSchedule night{20 * 60, 330, false}; // 20:00 at +05:30 is 14:30 UTC
+  EXPECT_EQ(night.begin(1.7e9), 1699972200);       // 2023-11-14 14:30 UTC
   EXPECT_EQ(night.name(1.7e9), "2023-11-14");
   EXPECT_EQ(night.name(night.begin(1.7e9) - 1), "2023-11-13");
 }
 
 TEST(Accounts, WeeksBeginOnMonday) {
-  const Clock week{0, -600, true};
+  const PeriodSchedule week{0, -600, true};
   EXPECT_EQ(week.name(1.7e9), "2023-11-13"); // a Monday
   EXPECT_EQ(week.end(1.7e9) - week.begin(1.7e9), 7 * 86400);
 }
@@ -175,7 +175,8 @@
   for (int i = 0; i < 60; ++i)
     world.at(2 + 0.1 * i, [&world, i] {
       auto job = world.job(Shape::Array, i % 3 ? 2 : 90, 1, 5, i % 2 ? "red" : "blue");
-      if (i % 3 == 0) job.urgency = i % 2 ? Urgency::Low : Urgency::High; // preempted, so that starts are scattered too
+      if (i % 3 == 0)
+        job.priority = i % 2 ? Priority::Low : Priority::High; // preempted, so that starts are scattered too
       world.submit(job);
     });
   for (int i = 1; i < 4; ++i)
--- a/tests/cells_plan_test.cpp
+++ b/tests/cells_plan_test.cpp
@@ -49,8 +49,8 @@
       const double fetch = w.image_gb / std::max(0.01, k.fetch_gb_per_s);
       if (places >= (w.whole ? w.tasks : 1) && k.machines > 0) wait = std::min(wait, fetch);
       if (!k.refused) wait = std::min(wait, k.boot_s + fetch);
-      if (k.machines > 0 && static_cast<std::size_t>(w.urgency) < v.wait_s.size())
-        wait = std::min(wait, v.wait_s[static_cast<std::size_t>(w.urgency)] + fetch);
+      if (k.machines > 0 && static_cast<std::size_t>(w.priority) < v.wait_s.size())
+        wait = std::min(wait, v.wait_s[static_cast<std::size_t>(w.priority)] + fetch);
     }
     if (wait > 1e17) continue;
     wait += r.hand_over_s + v.age_s;
@@ -82,7 +82,7 @@
     w.whole = rng() % 3 == 0;
     w.tasks = 1 + static_cast<std::uint32_t>(rng() % 40);
     w.image_gb = draw(0, 5);
-    w.urgency = static_cast<Urgency>(rng() % 4);
+    w.priority = static_cast<Priority>(rng() % 4);
     w.wait_here_s = draw(0, 200);
     std::vector<View> cells(rng() % 4);
     for (auto &v : cells) {
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -32,7 +32,7 @@
 public:
   PlainFleet(std::uint64_t seed, double limit) : rng_(seed), file_{limit, wire::Amounts::kUnlimited} {
     for (const auto &name : kCells)
-      cells_[name] = {cells::even_part(file_, kCells.size()).cpus, 0, {}};
+      cells_[name] = {cells::even_share(file_, kCells.size()).cpus, 0, {}};
   }
 
   void step() {
@@ -57,7 +57,7 @@
   double limit() const { return record_.version ? record_.limits.most.cpus : file_.cpus; }
   const wire::QuotaRecord &record() const { return record_; }
   bool settled() const {
-    const auto wanted = cells::wanted_parts(record_.limits.most, record_.shares, kCells);
+    const auto wanted = cells::target_shares(record_.limits.most, record_.shares, kCells);
     for (const auto &[name, cell] : cells_)
       if (std::abs(cell.cap - wanted.at(name).cpus) > 1e-6) return false;
     return true;
@@ -87,7 +87,7 @@
     record_.shares.clear();
     if (draw() < 0.5)
       record_.shares[kCells[0]] = {std::floor(record_.limits.most.cpus * draw()), wire::Amounts::kUnlimited};
-    cells::lower_caps(record_, kCells, cells::even_part(file_, kCells.size()));
+    cells::lower_caps(record_, kCells, cells::even_share(file_, kCells.size()));
     cells::raise_caps(record_, kCells);
     ++record_.version;
   }
@@ -149,16 +149,16 @@
 
 TEST(ConfigShares, PartsAndOwners) {
   const auto parts =
-      cells::wanted_parts({90, wire::Amounts::kUnlimited}, {{"south", {60, wire::Amounts::kUnlimited}}}, kCells);
+      cells::target_shares({90, wire::Amounts::kUnlimited}, {{"south", {60, wire::Amounts::kUnlimited}}}, kCells);
   EXPECT_EQ(parts.at("south").cpus, 60);
   EXPECT_EQ(parts.at("north").cpus, 15);
   EXPECT_TRUE(std::isinf(parts.at("west").gpus));
-  EXPECT_TRUE(cells::shares_problem({90, 0}, {{"east", {1, 0}}}, kCells));
-  EXPECT_TRUE(cells::shares_problem({90, 0}, {{"north", {50, 0}}, {"south", {50, 0}}}, kCells));
-  EXPECT_FALSE(cells::shares_problem({90, 0}, {{"north", {50, 0}}, {"south", {40, 0}}}, kCells));
+  EXPECT_TRUE(cells::validate_shares({90, 0}, {{"east", {1, 0}}}, kCells));
+  EXPECT_TRUE(cells::validate_shares({90, 0}, {{"north", {50, 0}}, {"south", {50, 0}}}, kCells));
+  EXPECT_FALSE(cells::validate_shares({90, 0}, {{"north", {50, 0}}, {"south", {40, 0}}}, kCells));
   std::map<std::string, int> owned;
   for (int t = 0; t < 230; ++t)
-    ++owned[cells::owner_of("team" + std::to_string(t), kCells)];
+    ++owned[cells::owner_cell("team" + std::to_string(t), kCells)];
   for (const auto &name : kCells)
     EXPECT_GT(owned[name], 50) << name;
 }
@@ -386,7 +386,7 @@
   f.run(20);
   const std::vector<std::string> names = {Federation::name(0), Federation::name(1), Federation::name(2)};
   const auto owner =
-      static_cast<int>(std::find(names.begin(), names.end(), cells::owner_of("blue", names)) - names.begin());
+      static_cast<int>(std::find(names.begin(), names.end(), cells::owner_cell("blue", names)) - names.begin());
   const int away = (owner + 1) % 3, other = (owner + 2) % 3;
   f.cut(away, owner, 60);
   f.cut(away, other, 60);
--- a/tests/fault_recovery_test.cpp
+++ b/tests/fault_recovery_test.cpp
@@ -180,7 +180,7 @@
   ASSERT_EQ(world.on_machines().size(), 1U);
   auto deferrable = world.job(Shape::Array, 3, 1, 5);
   deferrable.spot = true;
-  deferrable.urgency = Urgency::Low;
+  deferrable.priority = Priority::Low;
   world.submit(deferrable);
   world.run(60);
   EXPECT_EQ(world.starts_of(deferrable.id), 0) << "it waits for a cheap place at first";
@@ -210,7 +210,7 @@
       large.push_back(world.submit(gang));
       auto array = world.job(Shape::Array, 5000, 0.5, 3);
       array.spot = true;
-      array.urgency = Urgency::Low;
+      array.priority = Priority::Low;
       large.push_back(world.submit(array));
     });
     world.at(150, [&world] { world.crash(world.leader(), 1); });
--- a/tests/fingerprint/scenarios.cpp
+++ b/tests/fingerprint/scenarios.cpp
@@ -56,7 +56,7 @@
   const auto shape = kShapes[static_cast<std::size_t>(draw.below(kShapes.size()))];
   const auto tasks = static_cast<std::uint32_t>(shape == Shape::Array ? 1 + draw.below(16) : 1 + draw.below(3));
   auto spec = world.job(shape, tasks, 0.5 * (1 + draw.below(6)), draw.between(3, 25), draw.one_in(3) ? "blue" : "red");
-  spec.urgency = static_cast<Urgency>(draw.below(4));
+  spec.priority = static_cast<Priority>(draw.below(4));
   spec.spread = draw.one_in(5);
   spec.one_zone = shape == Shape::Gang && draw.one_in(2);
   if (draw.one_in(8)) spec.zone = draw.one_in(2) ? "a" : "b";
@@ -79,7 +79,7 @@
       if (!submitted->empty() && draw->one_in(3)) {
         const auto &earlier = (*submitted)[static_cast<std::size_t>(draw->below(static_cast<int>(submitted->size())))];
         const auto *needed = world.own(earlier);
-        if (needed && needed->accepted && needed->spec.shape != Shape::Service) spec.waits_for = {earlier};
+        if (needed && needed->accepted && needed->spec.shape != Shape::Service) spec.dependencies = {earlier};
       }
       const bool service = spec.shape == Shape::Service;
       const auto id = world.submit(spec);
@@ -93,14 +93,14 @@
   for (int i = 0; i < jobs; ++i) {
     world.at(2 + 3 * i, [&world] {
       auto spec = world.job(Shape::Array, 30, 1, 25);
-      spec.urgency = Urgency::Low;
+      spec.priority = Priority::Low;
       spec.checkpoint_s = 4;
       spec.save_s = 1;
       world.submit(spec);
     });
     world.at(15 + 5 * i, [&world, i] {
       auto spec = world.job(Shape::Gang, 2, 3, 6, i % 2 ? "blue" : "red");
-      spec.urgency = i % 3 ? Urgency::High : Urgency::Production;
+      spec.priority = i % 3 ? Priority::High : Priority::Production;
       spec.spread = i % 4 == 0;
       world.submit(spec);
     });
@@ -464,7 +464,7 @@
   for (int i = 0; i < 4; ++i)
     world.at(1 + 0.1 * i, [&world] {
       auto spec = world.job(Shape::Array, 900, 0.05, 30);
-      spec.urgency = Urgency::Low;
+      spec.priority = Priority::Low;
       world.submit(spec);
     });
   for (int node = 0; node < kNodes; ++node)
@@ -569,7 +569,7 @@
     world.at(2 + 2.5 * i, [&world, draw, i] {
       auto spec = world.job(Shape::Array, static_cast<std::uint32_t>(draw->between(100, 500)), 1, draw->between(10, 30),
                             i % 4 ? "red" : "blue");
-      spec.urgency = static_cast<Urgency>(draw->below(3));
+      spec.priority = static_cast<Priority>(draw->below(3));
       spec.spread = draw->one_in(6);
       if (draw->one_in(5)) spec.need.gpus = 1;
       world.submit(spec);
@@ -577,7 +577,7 @@
   for (int i = 0; i < 6; ++i)
     world.at(20 + 6 * i, [&world, draw] {
       auto gang = world.job(Shape::Gang, static_cast<std::uint32_t>(draw->between(4, 12)), 12, 10);
-      gang.urgency = draw->one_in(2) ? Urgency::Production : Urgency::High;
+      gang.priority = draw->one_in(2) ? Priority::Production : Priority::High;
       gang.one_zone = draw->one_in(2);
       world.submit(gang);
     });
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -485,7 +485,7 @@
     w.at(2 + 3 * i, [&w, i] {
       auto s = i % 3 == 0 ? bound(w, Shape::Gang, 3, 15) : w.job(Shape::Array, i % 3 == 1 ? 16 : 4, 2, 20);
       s.spot = true;
-      s.urgency = i % 3 == 1 ? Urgency::Low : i % 2 ? Urgency::High : Urgency::Normal;
+      s.priority = i % 3 == 1 ? Priority::Low : i % 2 ? Priority::High : Priority::Normal;
       s.checkpoint_s = i % 2 ? 5 : 0;
       s.save_s = i % 2 ? 2 : 0;
       w.submit(s);
@@ -1027,8 +1027,8 @@
                      : bound(w, Shape::Gang, 2 + static_cast<std::uint32_t>(i) % 4, run_s);
       if (i % 7 == 1) s.one_zone = true;
       if (i % 7 == 2 && i % 3) s.spread = true; // a gang bound to one zone could never run
-      if (i % 6 == 4) s.urgency = Urgency::Low;
-      if (i % 8 == 5) s.urgency = Urgency::High;
+      if (i % 6 == 4) s.priority = Priority::Low;
+      if (i % 8 == 5) s.priority = Priority::High;
       if (i % 4 == 0) s.checkpoint_s = s.save_s = 3;
       const auto id = w.submit(s);
       if (i % 2) w.at(w.now() + static_cast<double>((*rng)() % 40), [&w, id] { w.cancel(id); });
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -15,7 +15,7 @@
 
 // A pipeline of four stages, as its users submit it: each job as soon as those that it needs are accepted.
 void submit_when_accepted(World &w, JobSpec spec, double until) {
-  for (const auto &name : spec.waits_for)
+  for (const auto &name : spec.dependencies)
     if (const auto *named = w.own(name); !named || !named->accepted) {
       if (w.now() < until) w.at(w.now() + 0.2, [&w, spec, until] { submit_when_accepted(w, spec, until); });
       return;
@@ -28,12 +28,12 @@
   auto first = w.job(Shape::Array, 4, 1, 4);
   auto left = w.job(Shape::Array, 6, 1, 5, kind % 3 == 0 ? "blue" : "red"), right = w.job(Shape::Gang, 2, 1, 5);
   auto last = w.job(Shape::Array, 2, 1, 3);
-  first.urgency = left.urgency = Urgency::Low;
-  last.urgency = Urgency::High;
+  first.priority = left.priority = Priority::Low;
+  last.priority = Priority::High;
   last.deadline_s = 60;
-  left.waits_for = right.waits_for = {first.id};
-  last.waits_for = {left.id, right.id};
-  if (kind % 4 == 1) last.waits_for.push_back(first.id);
+  left.dependencies = right.dependencies = {first.id};
+  last.dependencies = {left.id, right.id};
+  if (kind % 4 == 1) last.dependencies.push_back(first.id);
   for (const auto &s : {first, left, right, last}) {
     ids.push_back(s.id);
     submit_when_accepted(w, s, w.now() + 120);
@@ -141,11 +141,11 @@
     return !stopped(id) && std::all_of(x.names.begin(), x.names.end(),
                                        [&](const auto &n) { return jobs.at(n).done && jobs.at(n).told; });
   }
-  Urgency urgency(const std::string &id, const std::map<std::string, Urgency> &own) {
-    Urgency u = own.at(id);
+  Priority priority(const std::string &id, const std::map<std::string, Priority> &own) {
+    Priority u = own.at(id);
     for (const auto &[other, x] : jobs)
       if (x.open && !stopped(other) && std::count(x.names.begin(), x.names.end(), id))
-        u = std::max(u, urgency(other, own));
+        u = std::max(u, priority(other, own));
     return u;
   }
 };
@@ -168,7 +168,7 @@
     core::EndedJobs ended(events);
     core::Dependencies graph(port, settings, budget, lead, jobs, ended);
     PlainGraph plain;
-    std::map<std::string, Urgency> own;
+    std::map<std::string, Priority> own;
     std::vector<std::string> ids;
     auto deliver = [&] {
       events.deliver([&](const auto &e) {
@@ -189,13 +189,13 @@
         OpenRecord r;
         r.spec.id = id;
         r.spec.team = "red";
-        r.spec.urgency = own[id] = static_cast<Urgency>(pick(4));
+        r.spec.priority = own[id] = static_cast<Priority>(pick(4));
         r.submit_wall = port.wall();
         for (std::size_t k = pick(4); k > 0 && !ids.empty(); --k)
           if (const auto &n = ids[ids.size() - 1 - pick(std::min<std::size_t>(ids.size(), 12))];
-              std::count(r.spec.waits_for.begin(), r.spec.waits_for.end(), n) == 0)
-            r.spec.waits_for.push_back(n);
-        plain.jobs[id].names = r.spec.waits_for;
+              std::count(r.spec.dependencies.begin(), r.spec.dependencies.end(), n) == 0)
+            r.spec.dependencies.push_back(n);
+        plain.jobs[id].names = r.spec.dependencies;
         ids.push_back(id);
         events.publish(core::JobAccepted{jobs.add(std::move(r), 1)});
       } else {
@@ -233,7 +233,7 @@
         ASSERT_EQ(jobs[j].cancelled, plain.stopped(id)) << "seed " << seed << " step " << step << " " << id;
         if (!jobs[j].cancelled) {
           ASSERT_EQ(graph.ready(j), plain.ready(id)) << "seed " << seed << " step " << step << " " << id;
-          ASSERT_EQ(graph.urgency(j), plain.urgency(id, own)) << "seed " << seed << " step " << step << " " << id;
+          ASSERT_EQ(graph.priority(j), plain.priority(id, own)) << "seed " << seed << " step " << step << " " << id;
         }
         readied += graph.ready(j) && !jobs[j].cancelled && !plain.jobs[id].names.empty();
         stopped += !graph.cancelled_with(j).empty();
@@ -258,7 +258,7 @@
   w.run(6);
   auto ask = [&](int node, std::vector<std::string> names) {
     auto s = w.job(Shape::Array, 1, 1, 5);
-    s.waits_for = std::move(names);
+    s.dependencies = std::move(names);
     auto answer = w.submit_at(node, s);
     w.run(w.now() + 1);
     return answer;
@@ -301,7 +301,7 @@
     JobSpec spec;
     spec.id = "j-000002";
     spec.team = "red";
-    spec.waits_for = {"j-000001"};
+    spec.dependencies = {"j-000001"};
     const auto e = core.apply({core::SubmitCommand{1, spec}}, {now, 1.7e9 + now});
     return !e.replies.empty() && wire::decode(e.replies[0].body)->dump().find("all nodes") != std::string::npos;
   };
@@ -342,7 +342,7 @@
   for (int i = 0; i < 1000; ++i)
     w.at(5 + 0.12 * i, [&] {
       auto s = w.job(Shape::Array, 1, 1, 5);
-      s.waits_for = {first.id};
+      s.dependencies = {first.id};
       ids.push_back(w.submit(s));
     });
   w.run(200);
@@ -370,7 +370,7 @@
   std::string before;
   for (int i = 0; i < 50; ++i) {
     auto s = w.job(Shape::Array, 1, 0.5, 1);
-    if (i) s.waits_for = {before};
+    if (i) s.dependencies = {before};
     before = s.id;
     w.at(3 + 0.3 * i, [&w, s] { submit_when_accepted(w, s, 100); });
   }
@@ -387,7 +387,7 @@
 TEST(Pipelines, PeopleAreToldWhatIsWaitedForAndWhatIsAtRisk) {
   World w(7, {});
   auto first = w.job(Shape::Array, 3, 1, 200), last = w.job(Shape::Array, 1, 1, 5);
-  last.waits_for = {first.id};
+  last.dependencies = {first.id};
   last.deadline_s = 100;
   w.at(2, [&] { w.submit(first); });
   w.at(5, [&] { w.submit(last); });
@@ -433,7 +433,7 @@
   for (int i = 0; i < 12; ++i) // large sets of tasks, so that records are larger than they may be afterwards
     w.at(1 + 0.1 * i, [&w] {
       auto s = w.job(Shape::Array, 900, 0.05, 30);
-      s.urgency = Urgency::Low;
+      s.priority = Priority::Low;
       w.submit(s);
     });
   for (int n = 0; n < 3; ++n)
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -46,7 +46,7 @@
     j.pending = static_cast<std::uint32_t>(1 + pick(std::max(6, max_machines)));
     j.limit = j.pending;
     if (pick(4) == 0) j.max_per_zone = static_cast<int>((j.pending + 1) / 2);
-    j.urgency = static_cast<Urgency>(pick(4));
+    j.priority = static_cast<Priority>(pick(4));
     j.wait_s = pick(200);
     j.image = pick(3);
     j.in_time = pick(2);
@@ -135,7 +135,7 @@
     for (auto &j : c.jobs) {
       j.one_zone = false;
       j.max_per_zone = -1;
-      j.urgency = Urgency::Normal;
+      j.priority = Priority::Normal;
       j.wait_s = std::min(j.wait_s, 100.0);
     }
     std::vector<std::pair<int, int>> got;
--- a/tests/scenario.hpp
+++ b/tests/scenario.hpp
@@ -27,8 +27,8 @@
         s = w.job(Shape::Array, 5, 1, 5);
         s.spread = true;
       }
-      if (i % 4 == 0) s.urgency = Urgency::Low;
-      if (i % 7 == 1) s.urgency = Urgency::High;
+      if (i % 4 == 0) s.priority = Priority::Low;
+      if (i % 7 == 1) s.priority = Priority::High;
       auto id = w.submit(s);
       if (i % 6 == 5) w.at(w.now() + 7, [&w, id] { w.cancel(id); });
     });
--- a/tests/state_fixture.hpp
+++ b/tests/state_fixture.hpp
@@ -42,7 +42,7 @@
   core::JobObjectives objectives{settings};
   core::InstanceTypeCatalog catalog{settings.zones};
   core::Configuration configuration{runtime, events, settings};
-  core::Operators operators{runtime, events, configuration};
+  core::OperatorSettings operators{runtime, events, configuration};
   core::StateServiceLimits state_limits{settings};
   core::Leadership leadership{runtime, events, settings, catalog};
   core::JobTable jobs{runtime, events, settings};
--- a/tests/state_service_limits_test.cpp
+++ b/tests/state_service_limits_test.cpp
@@ -24,7 +24,7 @@
   EXPECT_TRUE(limits.request_rejected(12));
   EXPECT_FALSE(limits.request_rejected(13));
   limits.take_leader_writes(12, limits.leader_writes_available(12));
-  limits.share(12.5, 0.5, {});
+  limits.rebalance(12.5, 0.5, {});
   EXPECT_LT(limits.leader_writes_available(13), 5);
 }
 
@@ -44,7 +44,7 @@
   auto writes_after_a_second = [](StateServiceLimits &limits, std::optional<StateServiceLimits::Usage> other) {
     while (limits.take_write(10)) {
     }
-    limits.share(10, 0.5, {other});
+    limits.rebalance(10, 0.5, {other});
     int writes = 0;
     while (limits.take_write(10.4))
       ++writes;
--- a/tests/wire_job_test.cpp
+++ b/tests/wire_job_test.cpp
@@ -22,7 +22,7 @@
   ASSERT_TRUE(std::holds_alternative<JobSpec>(decoded));
   const auto &spec = std::get<JobSpec>(decoded);
   EXPECT_EQ(spec.tasks, 16u);
-  EXPECT_EQ(spec.urgency, Urgency::High);
+  EXPECT_EQ(spec.priority, Priority::High);
   EXPECT_FALSE(spec.zone);
   const auto again = job_from_json(to_json(spec));
   ASSERT_TRUE(std::holds_alternative<JobSpec>(again)) << std::get<FieldError>(again).message;
@@ -42,13 +42,13 @@
   auto json = valid_job();
   json["waits_on"] = {"j-000398", "j-000405", "j-000398"};
   const auto spec = std::get<JobSpec>(decode_job(encode(json)));
-  EXPECT_EQ(spec.waits_for, (std::vector<std::string>{"j-000398", "j-000405"}));
+  EXPECT_EQ(spec.dependencies, (std::vector<std::string>{"j-000398", "j-000405"}));
 }
 
 TEST(WireJob, InvalidDependenciesAreRefused) {
   auto json = valid_job();
   Json too_many = Json::array();
-  for (std::size_t i = 0; i <= kMaxWaitsFor; ++i)
+  for (std::size_t i = 0; i <= kMaxDependencies; ++i)
     too_many.push_back("j-1" + std::to_string(1000 + i));
   for (Json bad : {Json("j-000398"), Json({{"j-000398", 1}}), Json({"j-000412"}), Json({"x-1"}), Json({7}), too_many}) {
     json["waits_on"] = bad;
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -27,12 +27,12 @@
 // A gang of short tasks was taken for work that one machine gets to one after the other, so that with a machine up no
 // more were rented and it waited for ever.
 TEST(World, GangOfShortTasksGetsMachinesForAllOfThem) {
-  for (auto urgency : {Urgency::Low, Urgency::Normal}) {
+  for (auto priority : {Priority::Low, Priority::Normal}) {
     World w(3, {});
-    w.at(2, [&w, urgency] {
+    w.at(2, [&w, priority] {
       auto gang = w.job(Shape::Gang, 3, 3, 3);
       gang.one_zone = true;
-      gang.urgency = urgency;
+      gang.priority = priority;
       w.submit(gang);
     });
     w.run(300);
@@ -125,13 +125,13 @@
     for (int i = 0; i < 4; ++i)
       w.at(2 + i, [&w] {
         auto s = w.job(Shape::Array, 40, 1, 25);
-        s.urgency = Urgency::Low;
+        s.priority = Priority::Low;
         w.submit(s);
       });
     for (int i = 0; i < 25; ++i)
       w.at(20 + 4 * i, [&w] {
         auto s = w.job(Shape::Gang, 2, 3, 4);
-        s.urgency = Urgency::High;
+        s.priority = Priority::High;
         w.submit(s);
       });
     for (int i = 0; i < 5; ++i)
--- a/tests/world_users.cpp
+++ b/tests/world_users.cpp
@@ -105,7 +105,7 @@
   while (!look.empty()) {
     const Told &x = told_[look.back()];
     look.pop_back();
-    for (const auto &name : x.spec.waits_for) {
+    for (const auto &name : x.spec.dependencies) {
       if (!seen.insert(name).second) continue;
       const Told &named = told_[name];
       if (named.cancel_asked && (t < 0 || (named.cancelled && named.cancelled_at <= t))) return true;
@@ -139,7 +139,7 @@
 void World::judge_answer(const JobSpec &spec, int status) {
   const bool refused = status >= 400 && status < 500 && status != 429;
   if (refused && told_[spec.id].accepted) break_rule("forgotten: refused " + spec.id);
-  if (refused && !never_runs(spec) && spec.waits_for.empty()) break_rule("refused though it can run " + spec.id);
+  if (refused && !never_runs(spec) && spec.dependencies.empty()) break_rule("refused though it can run " + spec.id);
   if (status == 201 && never_runs(spec)) break_rule("accepted though it cannot run " + spec.id);
 }
 
--- a/tests/world_workers.cpp
+++ b/tests/world_workers.cpp
@@ -385,7 +385,7 @@
   if (spec.types && std::find(spec.types->begin(), spec.types->end(), b.type) == spec.types->end())
     break_rule("wrong_place (type) " + r.job);
   if (told.cancelled_at >= 0 && t_ > told.cancelled_at + o_.cancel_s) break_rule("ran_cancelled " + r.job);
-  for (const auto &name : spec.waits_for)
+  for (const auto &name : spec.dependencies)
     if (const auto *named = own(name);
         !named || std::count(named->finished.begin(), named->finished.end(), 1) != static_cast<long>(named->spec.tasks))
       break_rule("too_early " + r.job + " before " + name);
@@ -405,7 +405,7 @@
 bool World::could_start(const std::string &id, const Told &told) const {
   const JobSpec &spec = told.spec;
   if (!told.accepted || told.done || told.cancel_asked || broken_jobs_.contains(id) || never_runs(spec)) return false;
-  for (const auto &name : spec.waits_for) {
+  for (const auto &name : spec.dependencies) {
     const auto named = told_.find(name);
     if (named == told_.end() ||
         std::count(named->second.finished.begin(), named->second.finished.end(), 1) != named->second.spec.tasks)
