--- a/include/loftrouter/core/core.hpp
+++ b/include/loftrouter/core/core.hpp
@@ -1,9 +1,8 @@
-// The switchboard: takes commands in batches, hands each to the part that it is for, and what has happened to those
-// that listen. Pure: `apply` takes a batch of commands and the time, and returns what is to be done; it does no I/O
-// and reads no clock.
+// The core: dispatches commands to its modules and delivers the events that they publish. `apply` does no I/O and reads
+// no clock; it is a function of the state, a batch of commands and the time.
 //
-// Every part owns its state privately, and is named by its header. A part uses those declared before it here; what it
-// has to tell the others goes out as events. docs/architecture.md has a drawing.
+// Each module owns its state. A module calls only modules declared before it in `Core` and informs others through
+// events (docs/architecture.md).
 #pragma once
 
 #include "loftrouter/core/api/administration_api_handler.hpp"
@@ -20,17 +19,18 @@
 
 namespace loftrouter::core {
 
+// Single-threaded. Owns all modules.
 class Core {
 public:
   explicit Core(Settings settings, std::uint64_t seed);
-  Core(const Core &) = delete; // parts refer to each other
+  Core(const Core &) = delete; // modules hold references to each other
   Core &operator=(const Core &) = delete;
 
   Effects apply(std::vector<Command> batch, Now now);
 
   bool leading() const { return leadership_.leading(); }
   std::uint64_t term() const { return leading() ? leadership_.term() : 0; }
-  void set_log_level(LogLevel most) { runtime_.set_log_level(most); } // lines beyond it are not made
+  void set_log_level(LogLevel level) { runtime_.set_log_level(level); }
 
 private:
   void on(TickCommand &&);
@@ -38,14 +38,14 @@
   void on(HeartbeatCommand &&);
   void on(PeerMessageCommand &&);
   void on(CellMessageCommand &&cmd) { federation_.take(std::move(cmd)); }
-  void on(SubmitCommand &&cmd) { users_.take(std::move(cmd)); }
-  void on(LookupCommand &&cmd) { users_.take(std::move(cmd)); }
-  void on(CancelCommand &&cmd) { users_.take(std::move(cmd)); }
-  void on(AdminCommand &&cmd) { administration_.take(std::move(cmd)); }
+  void on(SubmitCommand &&cmd) { job_api_.take(std::move(cmd)); }
+  void on(LookupCommand &&cmd) { job_api_.take(std::move(cmd)); }
+  void on(CancelCommand &&cmd) { job_api_.take(std::move(cmd)); }
+  void on(AdminCommand &&cmd) { administration_api_.take(std::move(cmd)); }
   void on(StoreReplyCommand &&);
   void on(CloudReplyCommand &&cmd) { runtime_.complete(cmd); }
-  void answer(std::optional<AcceptedHeartbeat> report);
-  void deliver();
+  void respond(std::optional<AcceptedHeartbeat> heartbeat);
+  void deliver_events();
   bool consistent() const;
 
   const Settings settings_;
@@ -54,18 +54,18 @@
   JobObjectives objectives_;
   InstanceTypeCatalog catalog_;
   Configuration configuration_;
-  OperatorSettings operators_;
+  OperatorSettings operator_settings_;
   StateServiceLimits state_limits_;
   Leadership leadership_;
   JobTable jobs_;
-  EndedJobs ended_;
+  EndedJobs ended_jobs_;
   Dependencies dependencies_;
   FailureAttribution failure_attribution_;
   PendingReasons pending_reasons_;
   UsageLedger ledger_;
   StateWriter state_writer_;
   Cancellations cancellations_;
-  StateWatch watch_;
+  StateWatch state_watch_;
   WorkerRegistry workers_;
   Quotas quotas_;
   FailureDetector failure_detector_;
@@ -77,12 +77,12 @@
   CellFederation federation_;
   QuotaChanges quota_changes_;
   QuotaExchange quota_exchange_;
-  AppliedConfiguration applied_;
+  AppliedConfiguration applied_configuration_;
   ConfigurationApiHandler configuration_api_;
   ServiceLevelCounters service_levels_;
   StatusReporter status_reporter_;
-  JobApiHandler users_;
-  AdministrationApiHandler administration_;
+  JobApiHandler job_api_;
+  AdministrationApiHandler administration_api_;
   EventLog event_log_;
 };
 
--- a/include/loftrouter/core/runtime/dense_index.hpp
+++ b/include/loftrouter/core/runtime/dense_index.hpp
@@ -1,5 +1,5 @@
-// Typed indices. Names that arrive from outside are mapped to dense indices once, on entry; from there on an index
-// refers to a slot of a table. The type says which table, so that the index of a job cannot stand for a machine's.
+// Typed indices into tables. External names are mapped to dense indices once, on entry. Each table has its own index
+// type, so that a job index cannot be passed for a machine index.
 #pragma once
 
 #include <cassert>
@@ -10,15 +10,14 @@
 
 namespace loftrouter::core {
 
-// Index of a slot of the table that `Tag` names. A default-constructed one refers to nothing, and sorts before all
-// others.
+// Index of a slot in the table that `Tag` names. A default-constructed index is invalid and sorts first.
 template <class Tag> class DenseIndex {
 public:
   DenseIndex() = default;
   explicit DenseIndex(std::size_t position) : value_(static_cast<std::int32_t>(position)) {}
 
   bool valid() const { return value_ >= 0; }
-  // The slot. Only of a valid index.
+  // Requires a valid index.
   std::size_t position() const {
     assert(valid());
     return static_cast<std::size_t>(value_);
@@ -32,9 +31,9 @@
   std::int32_t value_ = kNone;
 };
 
-using JobIndex = DenseIndex<struct JobIndexTag>;         // of the job table
-using MachineIndex = DenseIndex<struct MachineIndexTag>; // of the worker registry
-using ReplicaIndex = DenseIndex<struct ReplicaIndexTag>; // of Settings::replicas, the other replicas of the cell
+using JobIndex = DenseIndex<struct JobIndexTag>;         // into JobTable
+using MachineIndex = DenseIndex<struct MachineIndexTag>; // into WorkerRegistry
+using ReplicaIndex = DenseIndex<struct ReplicaIndexTag>; // into Settings::replicas
 
 } // namespace loftrouter::core
 
--- a/include/loftrouter/core/runtime/effects.hpp
+++ b/include/loftrouter/core/runtime/effects.hpp
@@ -1,5 +1,5 @@
-// The outputs of the core: plain structs. Whoever carries them out never blocks the core, and gives one reply to every
-// I/O request, at the latest when its timeout is over (status 0: outcome unknown).
+// The outputs of the core. The caller performs them without blocking the core and returns exactly one reply to each
+// StoreOp and CloudOp, by its timeout at the latest (status 0: outcome unknown).
 #pragma once
 
 #include <optional>
@@ -12,13 +12,13 @@
 
 namespace loftrouter::core {
 
-// The response to a request over HTTP.
+// An HTTP response.
 struct Reply {
   RequestId req;
   int status;
   std::string body;
   std::optional<int> retry_after; // s
-  bool json = false;              // otherwise CBOR
+  bool json = false;              // body is JSON; otherwise CBOR
 };
 
 // ---- requests to the state service ----
@@ -26,15 +26,15 @@
 struct StoreGet {
   std::string key;
 };
-// The keys with this prefix, from `from` on.
+// Lists the keys with this prefix, starting at `from`.
 struct StoreList {
   static constexpr int kDefaultPage = 200;
-  static constexpr int kMaxPage = 1000; // by the state service's protocol
+  static constexpr int kMaxPage = 1000; // limit of the state service
   std::string prefix;
   std::string from;
-  int page = kDefaultPage; // most entries of a reply
+  int page = kDefaultPage; // maximum entries per reply
 };
-// All writes are made if all preconditions hold, and none otherwise.
+// Compare-and-swap: applies all writes if all preconditions hold, otherwise none.
 struct StoreCommit {
   std::vector<wire::Precondition> preconditions;
   std::vector<wire::Mutation> writes;
@@ -48,7 +48,7 @@
 struct StoreLeaseRevoke {
   std::uint64_t lease;
 };
-// Changes below the prefix after the revision `from`; the state service holds the request for up to `hold_s`.
+// Long poll for changes under the prefix after revision `from`; the state service answers within `hold_s`.
 struct StoreWatch {
   std::string prefix;
   std::uint64_t from;
@@ -69,7 +69,7 @@
   std::string from;
 };
 struct CloudScaleOut {
-  std::string request; // its own id: a repeated request rents once
+  std::string request; // idempotency key
   std::string type;
   std::string zone;
   bool spot;
@@ -85,9 +85,9 @@
   CloudRequest request;
 };
 
-// ---- messages ----
+// ---- messages to workers and controllers ----
 
-// Straight to a worker. Only ever commands to stop, as they may be carried out minutes late.
+// Commands sent directly to a worker. They may be executed minutes late, so only stop commands are sent this way.
 struct WorkerCall {
   std::string address;
   std::uint64_t fencing_token = 0;
@@ -96,18 +96,18 @@
   std::vector<TaskCommand> orders;
 };
 struct PeerSend {
-  ReplicaIndex replica; // none: on `link`
+  ReplicaIndex replica; // invalid: send on `link`
   std::uint64_t link;
   wire::PeerMessage message;
 };
-// To a node of another cell.
+// Message to a node of another cell.
 struct CellSend {
-  int node; // -1: on `link`
+  int node; // -1: send on `link`
   std::uint64_t link;
   wire::CellMessage message;
 };
 
-// All that a batch of commands led to, each list in order.
+// The effects of one batch of commands, each list in order.
 struct Effects {
   std::vector<CellSend> cells;
   std::vector<PeerSend> peers;
--- a/include/loftrouter/core/runtime/events.hpp
+++ b/include/loftrouter/core/runtime/events.hpp
@@ -1,8 +1,7 @@
-// What has happened, as plain structs: published once, by the module that knows, and delivered in order to the modules
-// that handle it. The publisher does not know who does.
+// Events that core modules publish and other modules handle. Publishers do not know their subscribers.
 //
-// Owns the events that wait to be delivered. A decision that a rule of the protocol rests on never waits for an event:
-// the module that owns the state makes it at once.
+// `Events` owns the queue of undelivered events. Decisions that safety depends on do not wait for an event: the module
+// that owns the state makes them immediately.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +14,16 @@
 
 namespace loftrouter::core {
 
-// Times are monotonic, in seconds.
+// Times are seconds on the monotonic clock.
 
-// ---- terms of this replica ----
+// ---- leadership of this replica ----
 
-// It holds the leader key and loads the records.
+// This replica has acquired the leader key and is loading records.
 struct LeaderElected {
   std::uint64_t term;
-  double unaccounted_until; // by then whatever earlier leaders kept alive is over or has been heard of
+  double unaccounted_until; // by then, attempts of earlier leaders have been reported or their leases have expired
 };
-// It leads.
+// This replica has loaded all records and is the active leader.
 struct TermStarted {
   std::uint64_t term;
 };
@@ -33,66 +32,66 @@
   std::string why;
 };
 
-// ---- jobs, by their index in the job table; the index is free once JobFinalized has been delivered ----
+// ---- jobs; a job index may be reused after JobFinalized has been delivered ----
 
-// Seen by this leader for the first time.
+// This leader has added the job to its table.
 struct JobAccepted {
   JobIndex job;
 };
 struct JobCancelled {
   JobIndex job;
 };
-// Its state differs from its record.
+// The job's state differs from its stored record.
 struct JobChanged {
   JobIndex job;
-  bool ends;   // it can be finalized
-  bool urgent; // something waits for the record
+  bool ends;   // the job can be finalized
+  bool urgent; // a client or module waits for the write
 };
-// It has failed on every machine where it was tried.
+// The job has failed on every machine where it was tried.
 struct JobSuspected {
   JobIndex job;
   std::uint32_t machines;
 };
-// Its final record is written.
+// The job's end record has been written.
 struct JobFinalized {
   JobIndex job;
   std::string id;
 };
-// The state service has told that a job has ended.
+// A record read from the state service shows that a job has ended.
 struct JobEndLearned {
   std::string id;
 };
 
 // ---- tasks ----
 
-// A start is sent to the machine, or an attempt of an earlier leader's has been found there.
+// A start command is sent to the machine, or a heartbeat has reported an attempt of an earlier leader.
 struct TaskAllocated {
   JobIndex job;
   std::uint32_t index;
   MachineIndex machine;
-  bool found;
-  bool unaccounted; // it was waited for since this leader's election
+  bool found;       // reported by a heartbeat
+  bool unaccounted; // unaccounted since this leader's election
 };
-// The task no longer has an allocation.
+// A task's allocation has been released.
 struct TaskReleased {
   JobIndex job;
   std::uint32_t index;
   MachineIndex machine;
-  bool done; // completed
+  bool done; // the task completed
   double held_since;
-  double waiting_since; // negative if it was never seen waiting
-  double running_since; // negative if it was never seen running
-  int type;             // of the machine
-  int zone;             // of the machine
-  bool spot;            // of the machine
+  double waiting_since; // negative: never seen waiting for its gang
+  double running_since; // negative: never seen running
+  int type;             // machine's type
+  int zone;             // machine's zone
+  bool spot;            // machine is a spot instance
 };
 struct TaskRunning {
   JobIndex job;
   std::uint32_t index;
   MachineIndex machine;
-  double after_s; // since it was allocated
+  double after_s; // since the allocation
 };
-// It has ended, by itself or by a command, and its machine has reported so.
+// A worker has reported that an attempt exited, by itself or after a stop command.
 struct TaskExited {
   JobIndex job;
   std::uint32_t index;
@@ -100,14 +99,14 @@
   std::string machine_name;
   ExitCause cause;
   double placed_at;
-  double running_since; // negative if it was never seen running
+  double running_since; // negative: never seen running
 };
-// It has failed, most likely by its machine's fault, and is tried again.
+// A task is retried after a failure that is attributed to its machine.
 struct TaskRetried {
   JobIndex job;
   std::string machine;
 };
-// It was lost with its machine.
+// A task was lost with its machine.
 struct TaskLost {
   JobIndex job;
   std::string machine;
@@ -115,13 +114,13 @@
 };
 struct TaskPreempted {
   JobIndex job;
-  std::string by; // id of the job that takes its place
+  std::string by; // id of the preempting job
 };
-// A budget is used up; the tasks have had time to save their progress.
+// Tasks were stopped because their team's budget is exhausted. They have had time to save a checkpoint.
 struct TasksStoppedByBudget {
   JobIndex job;
 };
-// Started by earlier leaders and not found again.
+// Tasks started by earlier leaders were not reported in time and are no longer waited for.
 struct TasksAbandoned {
   JobIndex job;
   std::uint32_t tasks;
@@ -129,20 +128,20 @@
 
 // ---- delegations to other cells ----
 
-// Recorded by a confirmed write: it may be offered.
+// The delegation's record has been committed, so that it may be offered to the remote cell.
 struct DelegationRecorded {
   JobIndex job;
   std::uint64_t generation;
 };
-// Its removal was recorded by a confirmed write: the other cell may forget its end.
+// The removal of the delegation has been committed, so that the remote cell may forget its result.
 struct DelegationRemoved {
   JobIndex job;
   std::uint64_t generation;
 };
 
-// ---- machines, by their index in the worker registry; the index is free once MachineRemoved has been delivered ----
+// ---- machines; a machine index may be reused after MachineRemoved has been delivered ----
 
-// Its first heartbeat has come.
+// The first heartbeat of a machine has been accepted.
 struct MachineJoined {
   MachineIndex machine;
 };
@@ -152,7 +151,7 @@
   std::string why;
   std::size_t tasks;
 };
-// It fails the tasks of jobs that succeed elsewhere.
+// A machine was quarantined: tasks fail on it whose jobs succeed elsewhere.
 struct MachineQuarantined {
   MachineIndex machine;
   std::size_t jobs;
@@ -165,16 +164,16 @@
   bool spot;
   double lived_s;
   double up_s;
-  double used_share; // of its CPU time
+  double used_share; // allocated fraction of its CPU time
 };
-// Operators have cordoned, drained or released machines.
+// Operators have quarantined, drained or released machines.
 struct MachineAdminStatesChanged {
-  std::string machine; // empty: any of them
+  std::string machine; // empty: any number of machines may have changed
 };
 
 // ---- configuration ----
 
-// A record or document of it has changed in this replica's copy.
+// A record or document has changed in this replica's copy of the configuration.
 struct ConfigurationChanged {
   std::string key;
 };
@@ -187,21 +186,21 @@
 
 class Events {
 public:
-  void publish(Event event) { waiting_.push_back(std::move(event)); }
+  void publish(Event event) { queue_.push_back(std::move(event)); }
 
-  // Calls `handle` with each event that waits, in order, and then with those published meanwhile.
+  // Calls `handle` with each queued event in order, including events that handlers publish meanwhile.
   template <class Handle> void deliver(Handle &&handle) {
-    for (std::size_t i = 0; i < waiting_.size(); ++i) {
-      const Event event = std::move(waiting_[i]); // publishing may move the others
+    for (std::size_t i = 0; i < queue_.size(); ++i) {
+      const Event event = std::move(queue_[i]); // publishing may reallocate the queue
       std::visit(handle, event);
     }
-    waiting_.clear();
+    queue_.clear();
   }
 
-  [[nodiscard]] bool empty() const { return waiting_.empty(); }
+  [[nodiscard]] bool empty() const { return queue_.empty(); }
 
 private:
-  std::vector<Event> waiting_;
+  std::vector<Event> queue_;
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/runtime/forwarded_requests.hpp
+++ b/include/loftrouter/core/runtime/forwarded_requests.hpp
@@ -1,8 +1,8 @@
-// Requests that this replica has forwarded to another controller and whose answers it awaits.
+// Requests forwarded to another controller that await a response.
 //
-// Owns the pending requests. Guarantees that each answer is matched to the request it belongs to, at most once, and
-// never after the request was given up. If that were wrong, a worker could receive the answer to another worker's
-// heartbeat, and a task could run twice (`ran_twice`).
+// Owns the pending requests. Matches each response to its request at most once, and never after the request expired.
+// Otherwise a worker could receive the response to another worker's heartbeat, and a task could run twice
+// (`ran_twice`).
 #pragma once
 
 #include <cstddef>
@@ -17,8 +17,8 @@
 
 namespace loftrouter::core {
 
-// A bounded set of forwarded requests, each under a number that this process never reuses. `Context` is what the owner
-// keeps beside a request until it is answered. Times are seconds on the monotonic clock.
+// A bounded set of pending requests, keyed by a number that this process never reuses. `Context` is data that the owner
+// attaches to a request. Times are seconds on the monotonic clock.
 template <class Context> class ForwardedRequests {
 public:
   struct Pending {
@@ -27,13 +27,13 @@
     Context context;
   };
 
-  // `first_number` is random, so that an answer to a previous process of this replica matches nothing here.
+  // `first_number` should be random, so that a response to a previous process of this replica matches no request.
   ForwardedRequests(std::size_t max_pending, std::uint64_t first_number)
       : max_pending_(max_pending), last_number_(first_number) {}
 
   [[nodiscard]] bool full() const { return pending_.size() >= max_pending_; }
 
-  // Adds a request and returns the number to forward it under. The caller checks `full()` first.
+  // Adds a request and returns its number. The caller checks `full()` first.
   std::uint64_t add(RequestId request, double deadline, Context context) {
     const std::uint64_t number = ++last_number_;
     pending_.emplace(number, Pending{request, deadline, std::move(context)});
@@ -41,8 +41,8 @@
     return number;
   }
 
-  // Removes and returns the request that an answer with this number belongs to; nothing if it was answered before,
-  // was given up, or is not of this process.
+  // Removes and returns the request with this number; nothing if it was answered, has expired, or is not of this
+  // process.
   std::optional<Pending> complete(std::uint64_t number) {
     const auto found = pending_.find(number);
     if (found == pending_.end()) return std::nullopt;
@@ -52,7 +52,7 @@
     return request;
   }
 
-  // Removes and returns all requests whose deadline is at or before `now`, earliest first.
+  // Removes and returns the requests whose deadline is not after `now`, earliest first.
   std::vector<Pending> expire(double now) {
     std::vector<Pending> expired;
     while (!by_deadline_.empty() && by_deadline_.begin()->first <= now)
--- a/include/loftrouter/core/runtime/grown.hpp
+++ b/include/loftrouter/core/runtime/grown.hpp
@@ -1,4 +1,4 @@
-// Access to tables that are kept by a dense index and grow with it.
+// Access to tables that grow with a dense index.
 #pragma once
 
 #include <cstddef>
@@ -8,14 +8,13 @@
 
 namespace loftrouter::core {
 
-// The element at this index, after the table has been made long enough for it.
+// Returns the element at this index, after growing the table if necessary.
 template <class T> [[nodiscard]] T &grown(std::vector<T> &table, int index, const T &fill = {}) {
   const auto position = static_cast<std::size_t>(index);
   if (position >= table.size()) table.resize(position + 1, fill);
   return table[position];
 }
 
-// The same for a table that is kept by a typed index.
 template <class T, class Tag> [[nodiscard]] T &grown(std::vector<T> &table, DenseIndex<Tag> index, const T &fill = {}) {
   const std::size_t position = index.position();
   if (position >= table.size()) table.resize(position + 1, fill);
--- a/include/loftrouter/core/runtime/log.hpp
+++ b/include/loftrouter/core/runtime/log.hpp
@@ -1,5 +1,5 @@
-// Log lines: one event, one line. The event's name and its fields stay apart until they are written, so that a line
-// can be read by people (key=value) or by programs (JSON). Whatever a field holds, it cannot break or forge a line.
+// Structured log lines, written as key=value text or as JSON. Values are escaped, so that a field cannot break or forge
+// a line.
 #pragma once
 
 #include <concepts>
@@ -20,22 +20,22 @@
   LogField(std::string_view name, std::string_view text) : key(name), value(text) {}
   LogField(std::string_view name, const char *text) : key(name), value(text) {}
   LogField(std::string_view name, const std::string &text) : key(name), value(text) {}
-  LogField(std::string_view name, double amount); // one digit after the point
-  LogField(std::string_view name, bool truth) : key(name), value(truth ? "true" : "false"), number(true) {}
+  LogField(std::string_view name, double amount); // with one decimal
+  LogField(std::string_view name, bool flag) : key(name), value(flag ? "true" : "false"), number(true) {}
   template <std::integral Integer>
   LogField(std::string_view name, Integer amount) : key(name), value(std::to_string(amount)), number(true) {}
 };
 
 struct LogLine {
   LogLevel level;
-  std::string event; // a noun, then a verb in the past: lower case, words joined by _
+  std::string event; // snake case: a noun, then a verb in the past tense
   std::vector<LogField> fields;
 };
 
-// The line as `event key=value key="with spaces"`, without line breaks or control characters.
+// Formats the line as `event key=value key="with spaces"`, without line breaks or control characters.
 [[nodiscard]] std::string log_text(const LogLine &line);
 
-// The line as the members of a JSON object without its braces: `"event":"...","key":value`. Valid UTF-8.
+// Formats the line as the members of a JSON object, without braces: `"event":"...","key":value`. Valid UTF-8.
 [[nodiscard]] std::string log_json(const LogLine &line);
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/runtime/name_index.hpp
+++ b/include/loftrouter/core/runtime/name_index.hpp
@@ -1,4 +1,4 @@
-// Maps names that arrive from outside to small consecutive numbers, once, on entry.
+// Maps external names to small consecutive numbers.
 #pragma once
 
 #include <string>
@@ -7,17 +7,17 @@
 
 namespace loftrouter::core {
 
-// Numbers are never reused: whoever adds names bounds how many there can be.
+// Numbers are never reused, so callers have to bound how many names they add.
 class NameIndex {
 public:
-  // The number of a name, which is added if it is new.
+  // Returns the number of a name and adds the name if it is new.
   int get(const std::string &name) {
     const auto [it, added] = numbers_.try_emplace(name, size());
     if (added) names_.push_back(name);
     return it->second;
   }
 
-  // The number of a name; -1 if it was never added.
+  // Returns the number of a name, or -1 if it was never added.
   [[nodiscard]] int find(const std::string &name) const {
     const auto it = numbers_.find(name);
     return it == numbers_.end() ? -1 : it->second;
--- a/include/loftrouter/core/runtime/ranges.hpp
+++ b/include/loftrouter/core/runtime/ranges.hpp
@@ -1,5 +1,5 @@
-// Sets of task numbers as ranges, and how to make them fit a bounded record. Ranges are half-open, in ascending order,
-// and neither overlap nor touch.
+// Sets of task numbers as half-open ranges, sorted, neither overlapping nor adjacent, and their approximation by fewer
+// ranges for records of bounded size.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace loftrouter::core {
 
-// The numbers below `count` for which `contains(number)` is true.
+// Returns the numbers below `count` for which `contains(number)` is true.
 template <class Contains> [[nodiscard]] Ranges make_ranges(std::uint32_t count, Contains contains) {
   Ranges ranges;
   for (std::uint32_t number = 0; number < count; ++number) {
@@ -22,10 +22,10 @@
   return ranges;
 }
 
-// At most `max_ranges` ranges (if that is not 0) that cover at least as much: the smallest gaps are closed.
+// Returns a superset of at most `max_ranges` ranges by closing the smallest gaps. 0: no bound.
 [[nodiscard]] Ranges widen(Ranges ranges, std::size_t max_ranges);
 
-// At most `max_ranges` ranges that cover at most as much: the longest are kept.
+// Returns a subset of at most `max_ranges` ranges by keeping the longest.
 [[nodiscard]] Ranges narrow(Ranges ranges, std::size_t max_ranges);
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/runtime/runtime.hpp
+++ b/include/loftrouter/core/runtime/runtime.hpp
@@ -1,10 +1,9 @@
-// The core's access to everything outside of it: the time, I/O requests to the state service and the cloud provider,
-// responses to users, workers and replicas, and the log.
+// The core's interface to the outside: time, requests to the state service and the cloud provider, responses, messages
+// and the log.
 //
-// Owns the effects of a batch, the I/O requests under way and the calls scheduled for later. Guarantees that the
-// handler of every request runs at most once, with the reply to that request. It never reads a clock and does no I/O:
-// time comes with each batch, and the effects are carried out by the caller. If it did, runs could not be repeated.
-// Single-threaded, as all of the core.
+// Owns the effects of a batch, the pending I/O requests and the scheduled calls. The handler of a request runs at most
+// once, with the reply to that request. The runtime reads no clock and does no I/O, so that runs are deterministic:
+// each batch carries its time, and the caller performs the effects. Single-threaded, like the rest of the core.
 #pragma once
 
 #include <functional>
@@ -26,60 +25,60 @@
   using StoreHandler = std::function<void(const wire::StoreReply &)>;
   using CloudHandler = std::function<void(const wire::CloudReply &)>;
 
-  // The seed determines all that `random` returns. Each process uses its own.
+  // The seed determines the random numbers. Each process needs a different one.
   explicit Runtime(std::uint64_t seed) : random_state_(seed | 1) {}
 
   // ---- batches ----
 
-  // Starts a batch at this time, without effects.
+  // Starts a batch and discards effects of the previous one.
   void begin_batch(Now now);
-  // The effects of the batch so far.
+  // Returns and clears the effects of the batch so far.
   [[nodiscard]] Effects take_effects() { return std::exchange(effects_, {}); }
 
-  // ---- time and chance ----
+  // ---- time and random numbers ----
 
   [[nodiscard]] double now() const { return now_.mono; }
   [[nodiscard]] double wall() const { return now_.wall; }
   [[nodiscard]] double uptime_s() const { return now_.mono - started_at_; }
-  // From 0 up to 1, for spreading retries and for numbers that no earlier process has used. Not for secrets.
+  // Returns a number in [0, 1). Not for secrets.
   [[nodiscard]] double random();
   [[nodiscard]] std::uint64_t nonce() { return static_cast<std::uint64_t>(random() * kNonceRange); }
-  // The duration, changed at random by up to a fifth, so that replicas do not act in step.
+  // Returns the duration with a random jitter of 20 % either way, so that replicas do not act in lockstep.
   [[nodiscard]] double with_jitter(double duration_s);
 
   // ---- I/O requests ----
 
-  // Sends a request to the state service or the cloud provider. The handler runs with its reply, at the latest when the
-  // timeout is over: status 0, outcome unknown.
+  // Sends a request to the state service or the cloud provider. The handler receives the reply, or status 0 (outcome
+  // unknown) at the timeout.
   OpId store(StoreRequest request, double timeout_s, StoreHandler handler);
   OpId cloud(CloudRequest request, double timeout_s, CloudHandler handler);
-  // Hands a reply to the handler of its request. A reply to no pending request is ignored.
+  // Passes a reply to the handler of its request. Ignores a reply that matches no pending request.
   void complete(const StoreReplyCommand &cmd);
   void complete(const CloudReplyCommand &cmd);
 
-  // When the state service or the provider last gave an answer of its own; far in the past if never.
+  // Times of the last response that came from the service itself; far in the past if there was none.
   [[nodiscard]] double state_service_answered_at() const { return state_service_answered_at_; }
   [[nodiscard]] double state_service_answered_at_wall() const { return state_service_answered_at_wall_; }
   [[nodiscard]] double provider_answered_at() const { return provider_answered_at_; }
-  // How many calls in a row the provider has not answered; 0 if the last of them was long ago.
+  // Returns the number of consecutive failed calls to the provider; 0 if the last failure was long ago.
   [[nodiscard]] int consecutive_provider_failures() const;
 
-  // ---- calls for later ----
+  // ---- scheduled calls ----
 
-  // Runs the call in the first batch that runs scheduled calls at least `delay_s` seconds from now.
+  // Schedules a call for the first `run_scheduled` at least `delay_s` from now.
   void schedule(double delay_s, std::function<void()> call);
   void run_scheduled();
 
   // ---- responses and messages ----
 
-  // Responds to a request in CBOR or JSON. `retry_after_s`: what the client is told.
+  // Responds to a request with a CBOR or JSON body and an optional Retry-After.
   void reply(RequestId request, int status, std::string body, std::optional<int> retry_after_s = {});
   void reply_json(RequestId request, int status, std::string body, std::optional<int> retry_after_s = {});
-  // Responds with 503: this replica cannot serve the request now.
+  // Responds with 503.
   void refuse(RequestId request, std::string_view reason, int retry_after_s = 1);
 
-  // An id for the request of a user that another replica has forwarded: the response goes back on `link`, under the
-  // forwarding replica's number. Nothing if too many are pending.
+  // Returns a request id for a user's request that another replica has forwarded. The response is sent on `link` with
+  // that replica's `number`. Returns nothing if too many are pending.
   static constexpr std::size_t kMaxProxiedRequests = 512;
   [[nodiscard]] std::optional<RequestId> proxy_request(std::uint64_t link, std::uint64_t number);
   [[nodiscard]] static bool is_proxied(RequestId request) { return request >= kFirstProxiedRequest; }
@@ -90,14 +89,14 @@
 
   // ---- log ----
 
-  // The least important lines that are still made.
+  // Sets the most verbose level that is logged.
   void set_log_level(LogLevel level) { log_level_ = level; }
   [[nodiscard]] bool log_enabled(LogLevel level) const { return level <= log_level_; }
   void log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields = {});
 
 private:
-  static constexpr RequestId kFirstProxiedRequest = RequestId(1) << 63; // far above those of connections
-  static constexpr double kNonceRange = 9e15;                           // a double holds integers up to here
+  static constexpr RequestId kFirstProxiedRequest = RequestId(1) << 63; // above the ids of local connections
+  static constexpr double kNonceRange = 9e15; // a double represents integers up to 2^53 exactly
 
   struct ProxiedRequest {
     std::uint64_t link;
@@ -111,7 +110,7 @@
   void respond(Reply reply);
 
   Now now_;
-  double started_at_ = -1; // negative: not yet
+  double started_at_ = -1; // negative: no batch yet
   std::uint64_t random_state_;
   Effects effects_;
   LogLevel log_level_ = LogLevel::Debug;
--- a/include/loftrouter/core/runtime/state_service_limits.hpp
+++ b/include/loftrouter/core/runtime/state_service_limits.hpp
@@ -1,11 +1,10 @@
-// This replica's part of what the state service allows all replicas together: reads and writes for users, and the
-// leader's own writes. (The leader's lease is outside of it.)
+// Divides the state service's rate limits among the replicas: reads and writes for user requests, and the leader's own
+// writes. Renewals of the leader's lease are not counted.
 //
-// Owns the three token buckets and the limits in force, as far as known. Replicas tell each other how much they use: a
-// replica may use what the others leave of the users' share, and its equal part at any time; one that is not heard of
-// may be using its part. The leader's own records get what users leave, and a part in any case. Bursts may add up to
-// a little more than one second's worth: what the state service rejects by rate is retried. If the parts added up to
-// more for long, the leader's writes would be rejected along with everything else.
+// Owns three token buckets and the limits that are believed to be in force. Replicas exchange their usage. Each may use
+// an equal share at any time, and what the others leave of the rate for users; a replica without a recent report counts
+// as using its whole share. The leader's writes get a reserved rate and what users leave. If the sum exceeded the limit
+// for long, the state service would reject the leader's writes too. Short bursts beyond the limit are retried.
 #pragma once
 
 #include <cstddef>
@@ -25,49 +24,47 @@
     double writes_per_s = 0;
   };
 
-  // Room that a new open record leaves, in characters: it may have to be marked as cancelled.
+  // Characters kept free in a new open record, for marking it as cancelled later.
   static constexpr std::size_t kCancellationMarkRoom = 64;
 
   explicit StateServiceLimits(const Settings &settings);
 
-  // Takes a user's read or write, and returns whether there was room for it. `reads`: what it costs, on average.
+  // Takes tokens for a user's read or write and returns whether there were enough. `reads`: mean cost of the request.
   [[nodiscard]] bool take_read(double now, double reads = 1) { return reads_.take(now, reads); }
   [[nodiscard]] bool take_write(double now) { return writes_.take(now); }
 
-  // How many writes of its own the leader may make now, and what it has made.
+  // The writes that the leader may make now, and the accounting of those it has made.
   [[nodiscard]] double leader_writes_available(double now) { return leader_writes_.level(now); }
   void take_leader_writes(double now, double writes) { leader_writes_.take(now, writes); }
 
-  // Whether a record may be written, now and after the announced limits come into force, with so many characters to
-  // spare.
+  // Returns whether a record and `spare` more characters fit the present and the announced size limit.
   [[nodiscard]] bool fits(const wire::Json &value, std::size_t spare = 0) const;
 
-  // This replica's own usage for users, smoothed.
+  // Smoothed rate of user requests at this replica.
   [[nodiscard]] const Usage &usage() const { return usage_; }
 
-  // The state service has rejected a request by rate. If that happens repeatedly while replicas keep to the limits in
-  // force, the limits have fallen to those announced, which are kept to from then on. Returns whether they just were.
+  // Records that the state service has rejected a request by rate. After repeated rejections the announced lower limits
+  // are taken to be in force. Returns whether this call has lowered the limits.
   [[nodiscard]] bool request_rejected(double now);
 
-  // Shares the limits out anew, `dt_s` seconds after the last time. `others`: the other replicas' usage; nothing for
-  // one that is not heard of.
+  // Redistributes the limits, `dt_s` seconds after the last call. `others`: usage of the other replicas; nothing for
+  // one without a recent report.
   void rebalance(double now, double dt_s, const std::vector<std::optional<Usage>> &others);
 
 private:
-  // Gives each replica its equal part.
   void share_evenly(double now);
   void measure_usage(double dt_s);
 
   const Settings &settings_;
-  double requests_per_s_; // in force, as far as known
-  double writes_per_s_;   // in force, as far as known
+  double requests_per_s_; // believed to be in force
+  double writes_per_s_;   // believed to be in force
   std::vector<double> rejected_at_;
   TokenBucket reads_;
   TokenBucket writes_;
   TokenBucket leader_writes_;
   Usage usage_;
-  double reads_measured_ = 0;  // taken in all when the usage was last measured
-  double writes_measured_ = 0; // the same
+  double reads_measured_ = 0;  // total at the last measurement
+  double writes_measured_ = 0; // total at the last measurement
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/runtime/token_bucket.hpp
+++ b/include/loftrouter/core/runtime/token_bucket.hpp
@@ -1,23 +1,23 @@
-// A token bucket: limits a rate, with bursts up to a bound. Reads no clock; the caller gives the time.
+// A token bucket. It reads no clock: the caller passes the time.
 #pragma once
 
 #include <algorithm>
 
 namespace loftrouter::core {
 
-// Times are monotonic, in seconds; rates are in tokens a second. A new bucket is full.
+// Limits a rate and allows bursts up to a bound. Times are seconds on the monotonic clock. A new bucket is full.
 class TokenBucket {
 public:
   TokenBucket() = default;
   TokenBucket(double rate_per_s, double burst) : rate_per_s_(rate_per_s), burst_(burst), level_(burst) {}
 
-  // Tokens at hand now.
+  // Returns the tokens available now.
   [[nodiscard]] double level(double now) {
     refill(now);
     return level_;
   }
 
-  // Takes tokens if there are enough, and returns whether there were.
+  // Takes the tokens if there are enough and returns whether it did.
   bool take(double now, double tokens = 1) {
     refill(now);
     if (level_ < tokens) return false;
@@ -26,13 +26,13 @@
     return true;
   }
 
-  // Changes the rate from now on; the level stays.
+  // Changes the rate from now on and keeps the level.
   void set_rate(double now, double rate_per_s) {
     refill(now);
     rate_per_s_ = rate_per_s;
   }
 
-  // Changes rate and burst. The level stays as far as the new burst allows; a bucket that was never used is full.
+  // Changes rate and burst. Caps the level at the new burst; a bucket that was never used is filled.
   void reset(double now, double rate_per_s, double burst) {
     if (used()) refill(now);
     level_ = used() ? std::min(level_, burst) : burst;
@@ -40,7 +40,6 @@
     burst_ = burst;
   }
 
-  // All tokens ever taken.
   [[nodiscard]] double total_taken() const { return taken_; }
 
 private:
--- a/src/core/runtime/log.cpp
+++ b/src/core/runtime/log.cpp
@@ -15,8 +15,8 @@
   return character < ' ' || character == 0x7f;
 }
 
-// Whether a value can stand in a line without quotes.
-bool plain(const std::string &value) {
+// Returns whether the value needs no quotes in a text line.
+bool needs_no_quotes(const std::string &value) {
   const auto plain_character = [](unsigned char character) {
     return character > ' ' && character < 0x7f && character != '"' && character != '=' && character != '\\';
   };
@@ -39,14 +39,14 @@
 nlohmann::ordered_json json_value(const LogField &field) {
   if (!field.number) return field.value;
   auto number = nlohmann::ordered_json::parse(field.value, nullptr, false);
-  return number.is_discarded() ? nlohmann::ordered_json(field.value) : number; // discarded: inf, nan
+  return number.is_discarded() ? nlohmann::ordered_json(field.value) : number; // inf and nan are not JSON numbers
 }
 } // namespace
 
 std::string log_text(const LogLine &line) {
   std::string out = line.event;
   for (const LogField &field : line.fields) {
-    const bool unquoted = field.number || plain(field.value);
+    const bool unquoted = field.number || needs_no_quotes(field.value);
     out += ' ' + field.key + '=' + (unquoted ? field.value : quoted(field.value));
   }
   return out;
--- a/src/core/runtime/ranges.cpp
+++ b/src/core/runtime/ranges.cpp
@@ -26,7 +26,7 @@
 
 Ranges narrow(Ranges ranges, std::size_t max_ranges) {
   if (ranges.size() <= max_ranges) return ranges;
-  // Stable, so that of equally long ranges the first are kept.
+  // Stable: among ranges of equal length the first are kept.
   std::stable_sort(ranges.begin(), ranges.end(), [](const auto &left, const auto &right) {
     return left.second - left.first > right.second - right.first;
   });
--- a/src/core/runtime/runtime.cpp
+++ b/src/core/runtime/runtime.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 constexpr double kProviderFailureValidityS = 15.0;
-constexpr double kJitter = 0.2; // of a duration, either way
+constexpr double kJitter = 0.2; // fraction of the duration, either way
 
-// Whether the status is the state service's own, and not that of a refusal by rate or of something in between.
-bool own_answer(int status) {
+// Returns whether the status was produced by the state service itself, as opposed to rate limiting or a proxy.
+bool is_service_status(int status) {
   return status == 200 || status == 404 || status == 409 || status == 410;
 }
 } // namespace
@@ -24,7 +24,7 @@
   random_state_ ^= random_state_ >> 12;
   random_state_ ^= random_state_ << 25;
   random_state_ ^= random_state_ >> 27;
-  const std::uint64_t bits = (random_state_ * 0x2545F4914F6CDD1DULL) >> 11; // as many as a double holds
+  const std::uint64_t bits = (random_state_ * 0x2545F4914F6CDD1DULL) >> 11; // 53 bits
   return static_cast<double>(bits) / 9007199254740992.0;
 }
 
@@ -53,7 +53,7 @@
   if (pending == pending_store_.end()) return;
   const StoreHandler handler = std::move(pending->second);
   pending_store_.erase(pending);
-  if (own_answer(cmd.reply.status)) {
+  if (is_service_status(cmd.reply.status)) {
     state_service_answered_at_ = now();
     state_service_answered_at_wall_ = wall();
   }
@@ -80,16 +80,16 @@
   return now() - provider_failed_at_ < kProviderFailureValidityS ? provider_failures_ : 0;
 }
 
-// ---- calls for later ----
+// ---- scheduled calls ----
 
 void Runtime::schedule(double delay_s, std::function<void()> call) {
   scheduled_.push_back({now() + delay_s, std::move(call)});
 }
 
-// Calls may schedule others, which then come before those that are still to wait.
+// A call may schedule others; those come before the calls that are not due yet.
 void Runtime::run_scheduled() {
-  auto waiting = std::exchange(scheduled_, {});
-  for (ScheduledCall &scheduled : waiting) {
+  auto pending = std::exchange(scheduled_, {});
+  for (ScheduledCall &scheduled : pending) {
     if (now() >= scheduled.at)
       scheduled.call();
     else
--- a/src/core/runtime/state_service_limits.cpp
+++ b/src/core/runtime/state_service_limits.cpp
@@ -5,20 +5,20 @@
 namespace loftrouter::core {
 
 namespace {
-// Of what the state service allows.
+// Fractions of the state service's limits.
 constexpr double kUserReadShare = 0.75;
 constexpr double kUserWriteShare = 0.6;
 constexpr double kTotalWriteShare = 0.95;
 
-// So many rejections by rate within the window, each at least the distance after the one before, show that the
-// announced limits are in force.
+// The announced limits are taken to be in force after this many rejections within the window. Rejections closer
+// together than the distance count as one.
 constexpr std::size_t kRejectionsToLower = 3;
 constexpr double kRejectionWindowS = 15;
 constexpr double kRejectionDistanceS = 0.5;
 
-constexpr double kUsageSmoothing = 0.5; // weight of the newest rate
+constexpr double kUsageSmoothing = 0.5; // weight of the newest measurement
 
-// Bursts, in seconds' worth of the whole limit.
+// Bursts, in seconds of the full rate, and their lower bounds in requests.
 constexpr double kUserWriteBurstS = 0.25;
 constexpr double kLeaderWriteBurstS = 0.5;
 constexpr double kUserReadBurstS = 0.7;
--- a/tests/state_service_limits_test.cpp
+++ b/tests/state_service_limits_test.cpp
@@ -1,4 +1,4 @@
-// This replica's part of the state service's limits, and how it follows a fall that was announced.
+// Division of the state service's limits among replicas, and the switch to announced lower limits.
 #include <gtest/gtest.h>
 
 #include "loftrouter/core/runtime/state_service_limits.hpp"
@@ -15,11 +15,10 @@
 }
 } // namespace
 
-// Rates are those in force until rejections show that they have fallen; once, for good.
-TEST(StateServiceLimits, AnnouncedRatesAreKeptToOnceRejectionsShowThem) {
+TEST(StateServiceLimits, RepeatedRejectionsApplyAnnouncedRatesOnce) {
   const Settings settings = with_announced_writes(5);
   StateServiceLimits limits(settings);
-  for (const double now : {10.0, 10.1, 11.0}) // the first two are one burst
+  for (const double now : {10.0, 10.1, 11.0}) // the first two count as one rejection
     EXPECT_FALSE(limits.request_rejected(now));
   EXPECT_TRUE(limits.request_rejected(12));
   EXPECT_FALSE(limits.request_rejected(13));
@@ -28,20 +27,20 @@
   EXPECT_LT(limits.leader_writes_available(13), 5);
 }
 
-TEST(StateServiceLimits, RejectionsLowerNothingWhereNoFallIsAnnounced) {
+TEST(StateServiceLimits, RejectionsHaveNoEffectWithoutAnnouncedLimits) {
   const Settings settings = with_announced_writes(15);
   StateServiceLimits limits(settings);
   for (int i = 0; i < 9; ++i)
     EXPECT_FALSE(limits.request_rejected(10 + i));
 }
 
-TEST(StateServiceLimits, ReplicaThatIsNotHeardOfKeepsItsPart) {
+TEST(StateServiceLimits, SilentReplicaKeepsItsShare) {
   Settings settings;
   settings.state_write_rps = 10;
   settings.replicas = {{"b", "a", ""}};
-  StateServiceLimits alone(settings);
-  StateServiceLimits shared(settings);
-  auto writes_after_a_second = [](StateServiceLimits &limits, std::optional<StateServiceLimits::Usage> other) {
+  StateServiceLimits with_idle_peer(settings);
+  StateServiceLimits with_silent_peer(settings);
+  auto writes_after_rebalancing = [](StateServiceLimits &limits, std::optional<StateServiceLimits::Usage> other) {
     while (limits.take_write(10)) {
     }
     limits.rebalance(10, 0.5, {other});
@@ -50,5 +49,6 @@
       ++writes;
     return writes;
   };
-  EXPECT_GT(writes_after_a_second(alone, StateServiceLimits::Usage{}), writes_after_a_second(shared, std::nullopt));
+  EXPECT_GT(writes_after_rebalancing(with_idle_peer, StateServiceLimits::Usage{}),
+            writes_after_rebalancing(with_silent_peer, std::nullopt));
 }
