--- a/include/loftrouter/core/configuration/applied_configuration.hpp
+++ b/include/loftrouter/core/configuration/applied_configuration.hpp
@@ -1,6 +1,6 @@
-// Tells other nodes up to which revision this one has applied all records of configuration: `config-applied/<node>`.
+// Publishes the configuration revision up to which this node has applied all records, as `config-applied/<node>`.
 //
-// Owns that record. It is written after what it says is so, seldom, and only when something was configured.
+// Owns that record. It is written only after the revision has been applied, at a limited rate.
 #pragma once
 
 #include "loftrouter/core/configuration/configuration.hpp"
@@ -21,9 +21,10 @@
   const Settings &settings_;
   Configuration &configuration_;
   StateServiceLimits &state_limits_;
-  std::uint64_t seen_ = 0, told_ = 0; // revisions
-  double seen_wall_ = 0, next_ = 0;
-  bool writing_ = false;
+  std::uint64_t applied_revision_ = 0, published_revision_ = 0;
+  double applied_at_wall_ = 0; // s
+  double next_write_at_ = 0;   // s, monotonic
+  bool write_pending_ = false;
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/configuration/configuration.hpp
+++ b/include/loftrouter/core/configuration/configuration.hpp
@@ -1,10 +1,10 @@
-// What operators have configured, as the state service has it: all records under one prefix, on every node.
+// This node's copy of the operators' configuration: all records under one prefix of the state service.
 //
-// Owns this node's copy and how it is kept up: one watch, and a list when the watch has failed, now and then in any
-// case, and after each election. Promises that a record is never replaced by an older one, and that `listed_since(t)`
-// is true only if everything that was committed before `t` is in the copy. If that were wrong, a new leader could go by
-// a limit that an earlier one had already acknowledged as lowered (docs/safety.md, "Quotas that change"). With the
-// feature switched off it polls the older documents alone, as the production version does.
+// Owns the copy and keeps it current with a watch, and with a full list periodically, after a failed watch and after an
+// election. A record is never replaced by an older one, and `listed_since(t)` is true only if the copy contains
+// everything committed before `t`. Otherwise a new leader could apply a quota that an earlier leader has already
+// acknowledged as lowered (docs/safety.md, "Quotas that change"). With the feature disabled, only the documents of
+// earlier versions are polled.
 #pragma once
 
 #include <map>
@@ -19,6 +19,7 @@
 
 namespace loftrouter::core {
 
+// Times are seconds on the monotonic clock.
 class Configuration {
 public:
   struct Record {
@@ -30,44 +31,48 @@
       : runtime_(runtime), events_(events), settings_(settings) {}
 
   void tick();
-  // What this node has committed itself; nothing: it was removed.
+  // Applies a change that this node has committed. No value: the record was removed.
   void apply_committed(const std::string &key, std::optional<wire::Json> value, std::uint64_t revision);
   const Record *find(const std::string &key) const;
-  template <class Fn> void each(std::string_view prefix, Fn &&fn) const { // fn(rest of the key, record)
+  template <class Fn> void each(std::string_view prefix, Fn &&fn) const { // fn(key without prefix, record)
     for (auto it = records_.lower_bound(std::string(prefix)); it != records_.end() && it->first.starts_with(prefix);
          ++it)
       fn(std::string_view(it->first).substr(prefix.size()), it->second);
   }
   std::size_t count(std::string_view prefix) const;
-  // The newest revision under config/ that is in the copy, with all before it; 0: there is none.
+  // The revision under config/ up to which the copy has all changes; 0 if there are no records.
   std::uint64_t revision() const { return revision_; }
-  double current_at() const { return current_at_; } // mono, when the copy was last known to be complete
-  bool watch_open() const { return following_; }
-  bool listed_since(double at) const { return list_begun_at_ >= at; }
-  void on(const LeaderElected &) { // a list, at once
-    if (settings_.configuration) next_ = 0;
+  double current_at() const { return current_at_; } // when the copy was last known to be complete
+  bool watch_open() const { return watch_pending_; }
+  bool listed_since(double at) const { return complete_list_at_ >= at; }
+  void on(const LeaderElected &) { // lists again before the new leader acts
+    if (settings_.configuration) next_list_at_ = 0;
   }
 
 private:
   struct Listed {
-    std::optional<wire::Json> value; // nothing: the copy had this revision when the page came
+    std::optional<wire::Json> value; // empty: the copy already had this revision
     std::uint64_t revision = 0;
   };
-  void list(const std::string &from);
-  void listed();
-  void follow();
-  void set(const std::string &key, std::optional<wire::Json> value, std::uint64_t revision);
+  void request_page(const std::string &from);
+  void apply_list();
+  void start_watch();
+  void apply(const std::string &key, std::optional<wire::Json> value, std::uint64_t revision);
 
   Runtime &runtime_;
   Events &events_;
   const Settings &settings_;
   std::map<std::string, Record> records_;        // by key
-  std::map<std::string, Listed> listing_;        // pages so far
-  std::map<std::string, std::uint64_t> removed_; // by this node, since the list under way has begun
-  std::uint64_t follow_from_ = 0, revision_ = 0;
-  double next_ = 0; // a list is due
-  double begun_at_ = -1e9, list_begun_at_ = -1e9, current_at_ = -1e9, next_follow_ = 0;
-  bool listing_now_ = false, following_ = false;
+  std::map<std::string, Listed> listed_;         // pages of the pending list
+  std::map<std::string, std::uint64_t> removed_; // keys that this node has removed during the pending list
+  std::uint64_t watch_from_ = 0;                 // revision
+  std::uint64_t revision_ = 0;
+  double next_list_at_ = 0;
+  double list_started_at_ = -1e9;  // the pending or last list
+  double complete_list_at_ = -1e9; // start of the last list that was completed
+  double current_at_ = -1e9;
+  double next_watch_at_ = 0;
+  bool list_pending_ = false, watch_pending_ = false;
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/configuration/operator_settings.hpp
+++ b/include/loftrouter/core/configuration/operator_settings.hpp
@@ -1,8 +1,8 @@
-// Operators' own settings, budgets and orders about machines, as this node's copy of the configuration has them.
+// Operators' tunables, budgets, cell rules and machine admin states, read from this node's copy of the configuration.
 //
-// Owns what is in force of them. A record that cannot be read changes nothing. Budgets and orders stand in records of
-// their own and, as far as they fit, in the documents that the production version knows; which of the two counts is
-// decided in one place, `entries` (docs/configuration.md, "Side by side").
+// Owns the values in force. A record that cannot be read is logged and changes nothing. Budgets and machine admin
+// states are stored as single records and, as far as they fit, in the documents of earlier versions; `entries` decides
+// which of the two applies (docs/configuration.md, "Side by side").
 #pragma once
 
 #include <optional>
@@ -28,24 +28,24 @@
   const wire::Tunables &tunables() const { return tunables_; }
   const wire::Budgets &budgets() const { return budgets_; }
   const wire::CellRules &cell_rules() const { return cell_rules_; }
-  const wire::MachineAdminStates &machine_admin_states() const { return orders_; }
+  const wire::MachineAdminStates &machine_admin_states() const { return machine_admin_states_; }
   std::optional<wire::MachineAdminState> machine_admin_state(const std::string &machine) const;
 
 private:
-  // Of the records under `prefix` and the document's entries: those that count, by name.
+  // Merges the records under `prefix` and the document's entries; returns those that apply, by name.
   std::map<std::string, wire::Json> entries(std::string_view prefix, const wire::Json &document,
                                             std::uint64_t document_revision) const;
   void read_tunables();
   void read_budgets();
   void read_cell_rules();
-  void read_orders();
-  void read_order(const std::string &machine);
+  void read_machine_admin_states();
+  void read_machine_admin_state(const std::string &machine);
 
   Runtime &runtime_;
   Events &events_;
   const Configuration &configuration_;
   wire::Tunables tunables_;
-  wire::MachineAdminStates orders_;
+  wire::MachineAdminStates machine_admin_states_;
   wire::Budgets budgets_;
   wire::CellRules cell_rules_;
 };
--- a/include/loftrouter/core/quotas/quota_changes.hpp
+++ b/include/loftrouter/core/quotas/quota_changes.hpp
@@ -1,8 +1,10 @@
-// Changes of team quotas that operators ask for, at any node of any cell.
+// Applies changes of team quotas that operators request at any node of any cell.
 //
-// Owns the operators' requests that wait for another cell's answer. Promises that a change is answered with 200 only
-// after the owner's state service has it, and carried out once, whoever repeats it. A node of the owner's cell commits
-// it itself; any other leaves it in its own state service, from where its leader passes it on (`QuotaExchange`).
+// Each team's quota is owned by one cell. A node of that cell commits a change itself. Any other node stores it in its
+// own state service, from where its leader forwards it to the owner (`QuotaExchange`).
+//
+// Owns the operators' requests that wait for the owner's response. A change is answered with 200 only after it is
+// committed in the owner's state service, and a repeated change is applied once.
 #pragma once
 
 #include <cstdint>
@@ -19,42 +21,42 @@
 public:
   struct Outcome {
     int status = 503; // HTTP
-    std::string text; // why not
+    std::string text; // error message
   };
-  using Done = std::function<void(const Outcome &)>;
+  using Callback = std::function<void(const Outcome &)>;
 
   QuotaChanges(Runtime &runtime, const Settings &settings, Configuration &configuration, const Quotas &quotas,
                StateServiceLimits &state_limits)
       : runtime_(runtime), settings_(settings), configuration_(configuration), quotas_(quotas),
         state_limits_(state_limits) {}
 
-  void request(const wire::QuotaChange &change, Done done);
-  // In the owner's cell: commits the change, unless this number was carried out before.
-  void commit_once(const wire::QuotaChange &change, std::uint64_t number, Done done);
-  // In the owner's cell: a record that has taken a step by itself. `done`: whether it is committed.
+  void request(const wire::QuotaChange &change, Callback done);
+  // Commits the change unless one with this number was committed before. Called in the owner's cell only.
+  void commit_once(const wire::QuotaChange &change, std::uint64_t number, Callback done);
+  // Commits a record whose caps have changed and passes the result to `done`. Called in the owner's cell only.
   void commit(const std::string &team, const wire::QuotaRecord &record, std::uint64_t revision,
               std::function<void(bool)> done);
   bool owns(const std::string &team) const;
   std::string owner(const std::string &team) const;
-  void tick(); // gives up requests that have waited too long
+  void tick(); // fails requests that have timed out
   void on(const ConfigurationChanged &event);
 
 private:
-  struct Waiting { // for another cell's answer
-    Done done;
-    double until;
+  struct PendingRequest {
+    Callback done;
+    double deadline; // s, monotonic
   };
-  // What the record becomes, or why it cannot be changed so.
+  // Applies the change to the record, or returns why it is rejected.
   std::optional<Outcome> apply(const wire::QuotaChange &change, std::uint64_t number, wire::QuotaRecord &record) const;
-  void forward(const wire::QuotaChange &change, Done done);
-  void forget(const std::string &key);
+  void forward(const wire::QuotaChange &change, Callback done);
+  void remove_forwarded(const std::string &key);
 
   Runtime &runtime_;
   const Settings &settings_;
   Configuration &configuration_;
   const Quotas &quotas_;
   StateServiceLimits &state_limits_;
-  std::map<std::uint64_t, Waiting> waiting_; // by number
+  std::map<std::uint64_t, PendingRequest> pending_; // by number
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/quotas/quota_shares.hpp
+++ b/include/loftrouter/core/quotas/quota_shares.hpp
@@ -1,5 +1,6 @@
-// How a team's limit is divided among cells while it changes: lower before raise. Pure functions on a quota's record;
-// the argument is in docs/safety.md, "Quotas that change", and tests compare them with a plain model.
+// Divides a team's limit among cells. While the division changes, caps are lowered before others are raised, so that
+// the cells together never exceed the limit (docs/safety.md, "Quotas that change"). Pure functions on a quota record:
+// `caps` are what cells may use, `held` what they may still be using until they acknowledge a lower cap.
 #pragma once
 
 #include <optional>
@@ -10,30 +11,30 @@
 
 namespace loftrouter::cells {
 
-// The cell that decides a team's quota: all cells find the same one. `names`: of all cells.
+// Returns the cell that owns a team's quota. All cells compute the same owner. `names`: all cells.
 const std::string &owner_cell(const std::string &team, const std::vector<std::string> &names);
 
-// Each cell's part when nothing was ever changed.
+// Returns a cell's share of the limit when no quota record exists.
 wire::Amounts even_share(const wire::Amounts &limit, std::size_t cells);
 
-// What each cell is to have in the end: shares that were set, and even parts of what they leave.
+// Returns the share that each cell should get: the configured shares, and even shares of the rest.
 wire::AmountsByCell target_shares(const wire::Amounts &limit, const wire::AmountsByCell &shares,
                                   const std::vector<std::string> &names);
 
-// Why shares cannot be; nothing if they can: a cell that does not exist, or more than the limit together.
+// Returns an error if shares name an unknown cell or exceed the limit together; nothing if they are valid.
 std::optional<std::string> validate_shares(const wire::Amounts &limit, const wire::AmountsByCell &shares,
                                            const std::vector<std::string> &names);
 
-// After a change of limits or shares: each cap falls to what is wanted, none rises beyond what is held.
-// `before`: what each cell goes by if the record had no caps yet.
-void lower_caps(wire::QuotaRecord &record, const std::vector<std::string> &names, const wire::Amounts &before);
+// Lowers caps after a change of limits or shares: each becomes the smaller of the target and the held amount.
+// `previous`: the share of a cell that has no held amount yet.
+void lower_caps(wire::QuotaRecord &record, const std::vector<std::string> &names, const wire::Amounts &previous);
 
-// A cell has acknowledged the record's present version and that its team can use no more than its cap there. True: the
-// record has changed, and is to be committed.
+// Records that a cell applies the record's present version and that the team uses no more than its cap there. Returns
+// whether the record has changed and has to be committed.
 bool acknowledge(wire::QuotaRecord &record, const std::string &cell);
 
-// Caps and held amounts rise towards what is wanted, together never beyond the limit. True: the record has changed; it
-// is to be committed before any cell is told.
+// Raises caps and held amounts towards the targets, in total never beyond the limit. Returns whether the record has
+// changed; it has to be committed before it is sent to any cell.
 bool raise_caps(wire::QuotaRecord &record, const std::vector<std::string> &names);
 
 } // namespace loftrouter::cells
--- a/src/accounts/period.cpp
+++ b/src/accounts/period.cpp
@@ -9,15 +9,15 @@
 namespace loftrouter::accounts {
 
 namespace {
-constexpr double kDay = 86400.0; // s
-constexpr double kMinute = 60.0; // s
+constexpr double kDayS = 86400.0;
+constexpr double kMinuteS = 60.0;
 constexpr int kDaysPerWeek = 7;
-constexpr int kDaysSinceMonday = 3; // of 1970-01-01, a Thursday
+constexpr int kDaysSinceMonday = 3; // on 1970-01-01, a Thursday
 constexpr int kMinutesPerHour = 60;
-constexpr int kMaxOffset = 14 * kMinutesPerHour;
+constexpr int kMaxOffsetMin = 14 * kMinutesPerHour;
 
-// The number that two digits stand for; nothing if they are none.
-std::optional<int> two_digits(std::string_view text) {
+// Parses decimal digits only; std::from_chars would accept a sign.
+std::optional<int> parse_digits(std::string_view text) {
   int number = 0;
   for (char digit : text) {
     if (digit < '0' || digit > '9') return std::nullopt;
@@ -28,21 +28,21 @@
 } // namespace
 
 double PeriodSchedule::begin(double wall) const {
-  const double local = wall + offset_min * kMinute - starts_min * kMinute;
-  double day = std::floor(local / kDay);
+  const double local = wall + offset_min * kMinuteS - starts_min * kMinuteS;
+  double day = std::floor(local / kDayS);
   if (weekly) {
     const double days_after_monday = std::fmod(day + kDaysSinceMonday, kDaysPerWeek);
-    day -= std::fmod(days_after_monday + kDaysPerWeek, kDaysPerWeek); // also before 1970
+    day -= std::fmod(days_after_monday + kDaysPerWeek, kDaysPerWeek); // `days_after_monday` is negative before 1970
   }
-  return day * kDay + starts_min * kMinute - offset_min * kMinute;
+  return day * kDayS + starts_min * kMinuteS - offset_min * kMinuteS;
 }
 
 double PeriodSchedule::end(double wall) const {
-  return begin(wall) + (weekly ? kDaysPerWeek : 1) * kDay;
+  return begin(wall) + (weekly ? kDaysPerWeek : 1) * kDayS;
 }
 
 std::string PeriodSchedule::name(double wall) const {
-  const auto days_since_1970 = static_cast<int>(std::floor((begin(wall) + offset_min * kMinute) / kDay));
+  const auto days_since_1970 = static_cast<int>(std::floor((begin(wall) + offset_min * kMinuteS) / kDayS));
   const std::chrono::year_month_day date{std::chrono::sys_days{std::chrono::days{days_since_1970}}};
   return fmt::format("{:04}-{:02}-{:02}", static_cast<int>(date.year()), static_cast<unsigned>(date.month()),
                      static_cast<unsigned>(date.day()));
@@ -50,8 +50,8 @@
 
 std::optional<int> parse_minute(std::string_view text) {
   if (text.size() != 5 || text[2] != ':') return std::nullopt;
-  const auto hours = two_digits(text.substr(0, 2));
-  const auto minutes = two_digits(text.substr(3, 2));
+  const auto hours = parse_digits(text.substr(0, 2));
+  const auto minutes = parse_digits(text.substr(3, 2));
   if (!hours || !minutes || *hours >= 24 || *minutes >= kMinutesPerHour) return std::nullopt;
   return *hours * kMinutesPerHour + *minutes;
 }
@@ -59,7 +59,7 @@
 std::optional<int> parse_offset(std::string_view text) {
   if (text.size() != 6 || (text[0] != '+' && text[0] != '-')) return std::nullopt;
   const auto minutes = parse_minute(text.substr(1));
-  if (!minutes || *minutes > kMaxOffset) return std::nullopt;
+  if (!minutes || *minutes > kMaxOffsetMin) return std::nullopt;
   return text[0] == '-' ? -*minutes : *minutes;
 }
 
--- a/src/core/configuration/applied_configuration.cpp
+++ b/src/core/configuration/applied_configuration.cpp
@@ -5,26 +5,29 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kTellEvery = 2.0, kCommitWithin = 1.0; // s
+constexpr double kPublishIntervalS = 2.0;
+constexpr double kCommitTimeoutS = 1.0;
 } // namespace
 
 void AppliedConfiguration::tick() {
   if (!settings_.configuration) return;
-  if (configuration_.revision() > seen_) {
-    seen_ = configuration_.revision();
-    seen_wall_ = runtime_.wall();
+  if (configuration_.revision() > applied_revision_) {
+    applied_revision_ = configuration_.revision();
+    applied_at_wall_ = runtime_.wall();
   }
-  if (seen_ <= told_ || writing_ || runtime_.now() < next_ || !state_limits_.take_write(runtime_.now())) return;
-  next_ = runtime_.now() + kTellEvery;
-  writing_ = true;
+  if (applied_revision_ <= published_revision_ || write_pending_ || runtime_.now() < next_write_at_ ||
+      !state_limits_.take_write(runtime_.now()))
+    return;
+  next_write_at_ = runtime_.now() + kPublishIntervalS;
+  write_pending_ = true;
   const auto key = std::string(wire::kConfigApplied) + settings_.node;
-  const auto *own = configuration_.find(key);
-  const auto value = wire::to_json(wire::AppliedRecord{seen_, seen_wall_});
-  runtime_.store(StoreCommit{{{key, own ? own->revision : 0}}, {{key, value, 0}}}, kCommitWithin,
-                 [this, key, value, telling = seen_](const wire::StoreReply &reply) {
-                   writing_ = false;
+  const auto *stored = configuration_.find(key);
+  const auto value = wire::to_json(wire::AppliedRecord{applied_revision_, applied_at_wall_});
+  runtime_.store(StoreCommit{{{key, stored ? stored->revision : 0}}, {{key, value, 0}}}, kCommitTimeoutS,
+                 [this, key, value, revision = applied_revision_](const wire::StoreReply &reply) {
+                   write_pending_ = false;
                    if (reply.status != 200) return;
-                   told_ = telling;
+                   published_revision_ = revision;
                    configuration_.apply_committed(key, value, reply.revision);
                  });
 }
--- a/src/core/quotas/quota_shares.cpp
+++ b/src/core/quotas/quota_shares.cpp
@@ -13,24 +13,24 @@
 using wire::Amounts;
 using wire::AmountsByCell;
 
-constexpr double kSlack = 1e-6;
+constexpr double kTolerance = 1e-6; // CPUs, GPUs
 constexpr std::array kFields{&Amounts::cpus, &Amounts::gpus};
 
-// FNV-1a with a finalizer, as names differ in their last characters alone: the same on every machine.
+// FNV-1a with a finalizer, because names often differ in their last characters only. All cells must compute the same.
 std::uint64_t hash(const std::string &text) {
-  std::uint64_t h = 0xcbf29ce484222325ULL;
-  for (unsigned char c : text)
-    h = (h ^ c) * 0x100000001b3ULL;
-  h = (h ^ (h >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  h = (h ^ (h >> 27)) * 0x94d049bb133111ebULL;
-  return h ^ (h >> 31);
+  std::uint64_t value = 0xcbf29ce484222325ULL;
+  for (unsigned char character : text)
+    value = (value ^ character) * 0x100000001b3ULL;
+  value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
+  value = (value ^ (value >> 27)) * 0x94d049bb133111ebULL;
+  return value ^ (value >> 31);
 }
 
 } // namespace
 
 const std::string &owner_cell(const std::string &team, const std::vector<std::string> &names) {
-  return *std::max_element(names.begin(), names.end(), [&team](const auto &a, const auto &b) {
-    return std::pair(hash(a + "/" + team), a) < std::pair(hash(b + "/" + team), b);
+  return *std::max_element(names.begin(), names.end(), [&team](const auto &left, const auto &right) {
+    return std::pair(hash(left + "/" + team), left) < std::pair(hash(right + "/" + team), right);
   });
 }
 
@@ -40,25 +40,25 @@
 }
 
 AmountsByCell target_shares(const Amounts &limit, const AmountsByCell &shares, const std::vector<std::string> &names) {
-  AmountsByCell out;
+  AmountsByCell targets;
   for (const auto &name : names)
-    out[name] = {};
+    targets[name] = {};
   for (const auto field : kFields) {
-    double left = limit.*field;
-    std::size_t without = 0;
+    double rest = limit.*field;
+    std::size_t unset = 0;
     for (const auto &name : names) {
       const auto it = shares.find(name);
       const bool set = it != shares.end() && std::isfinite(it->second.*field);
-      if (set) left -= it->second.*field;
-      without += !set;
+      if (set) rest -= it->second.*field;
+      unset += !set;
     }
     for (const auto &name : names) {
       const auto it = shares.find(name);
       const bool set = it != shares.end() && std::isfinite(it->second.*field);
-      out[name].*field = set ? it->second.*field : std::max(0.0, left) / static_cast<double>(without);
+      targets[name].*field = set ? it->second.*field : std::max(0.0, rest) / static_cast<double>(unset);
     }
   }
-  return out;
+  return targets;
 }
 
 std::optional<std::string> validate_shares(const Amounts &limit, const AmountsByCell &shares,
@@ -71,17 +71,17 @@
       if (std::isfinite(share.*field)) sum.*field += share.*field;
   }
   for (const auto field : kFields)
-    if (sum.*field > limit.*field + kSlack) return "shares: they add up to more than the limit";
+    if (sum.*field > limit.*field + kTolerance) return "shares: they add up to more than the limit";
   return std::nullopt;
 }
 
-void lower_caps(wire::QuotaRecord &record, const std::vector<std::string> &names, const Amounts &before) {
-  const auto wanted = target_shares(record.limits.most, record.shares, names);
+void lower_caps(wire::QuotaRecord &record, const std::vector<std::string> &names, const Amounts &previous) {
+  const auto targets = target_shares(record.limits.most, record.shares, names);
   for (const auto &name : names) {
-    if (!record.held.contains(name)) record.held[name] = before;
+    if (!record.held.contains(name)) record.held[name] = previous;
     Amounts &cap = record.caps[name];
     for (const auto field : kFields)
-      cap.*field = std::min(wanted.at(name).*field, record.held[name].*field);
+      cap.*field = std::min(targets.at(name).*field, record.held[name].*field);
   }
 }
 
@@ -94,21 +94,21 @@
 }
 
 bool raise_caps(wire::QuotaRecord &record, const std::vector<std::string> &names) {
-  const auto wanted = target_shares(record.limits.most, record.shares, names);
+  const auto targets = target_shares(record.limits.most, record.shares, names);
   bool changed = false;
   for (const auto field : kFields) {
     double free = record.limits.most.*field;
     for (const auto &[name, held] : record.held)
       free -= held.*field;
-    if (std::isnan(free)) free = Amounts::kUnlimited; // neither the limit nor what is held has a bound
+    if (std::isnan(free)) free = Amounts::kUnlimited; // limit and held amounts are unlimited
     for (const auto &name : names) {
-      // What is held beyond the cap is still to be acknowledged: the cap rises from the held amount only.
+      // While the held amount exceeds the cap, the cell has not acknowledged the cap yet, which must not rise.
       double &cap = record.caps[name].*field, &held = record.held[name].*field;
-      const double room = std::isinf(held) ? 0 : std::min(wanted.at(name).*field - held, free);
+      const double increase = std::isinf(held) ? 0 : std::min(targets.at(name).*field - held, free);
       const bool settled = cap == held;
-      if (!settled || !(room > kSlack)) continue;
-      cap = held = held + room;
-      free -= room;
+      if (!settled || !(increase > kTolerance)) continue;
+      cap = held = held + increase;
+      free -= increase;
       changed = true;
     }
   }
