--- a/src/core/federation/delegations_out.cpp
+++ b/src/core/federation/delegations_out.cpp
@@ -304,7 +304,7 @@
   const bool lapsed = record->lapsed;
   const auto used = m.usage - record->charged;
   // Of an attempt that is counted twice, or a word that comes late, nothing is taken.
-  if (std::all_of(used.values.begin(), used.values.end(), [](auto x) { return x >= 0; }) && !used.none()) {
+  if (std::all_of(used.values.begin(), used.values.end(), [](auto x) { return x >= 0; }) && !used.all_zero()) {
     ledger_.charge_remote_usage(job_index, used);
     jobs_.charge_delegation(job_index, m.generation, m.usage);
     jobs_.changed(job_index, false);
