--- a/include/loftrouter/core/api/service_level_counters.hpp
+++ b/include/loftrouter/core/api/service_level_counters.hpp
@@ -45,7 +45,7 @@
     bool largest = false, begun = false;
   };
   static int place(NameIndex &names, const std::string &name) {
-    return names.find(name) >= 0 || names.size() < kMaxNames ? names.get(name) : names.get("others");
+    return names.find(name) >= 0 || names.size() < kMaxNames ? names.find_or_add(name) : names.find_or_add("others");
   }
   template <class Fn> void each_count(const Entry &entry, Fn &&fn);
 
--- a/include/loftrouter/core/api/status_reporter.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -14,7 +14,7 @@
 #include "loftrouter/core/connectivity/replicas.hpp"
 #include "loftrouter/core/jobs/ended_jobs.hpp"
 #include "loftrouter/core/runtime/dense_index.hpp"
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -42,7 +42,7 @@
 
   void publish_to_replicas();
   void take_digest(const wire::PeerMessage &message);
-  void on(const JobAccepted &event) { grown(told_, event.job) = {}; }
+  void on(const JobAccepted &event) { get_or_create(told_, event.job) = {}; }
   void on(const JobEndLearned &event) { news_.erase(event.id); }
   void on(const TermStarted &);
 
--- a/include/loftrouter/core/catalog/instance_type_catalog.hpp
+++ b/include/loftrouter/core/catalog/instance_type_catalog.hpp
@@ -28,7 +28,7 @@
 
   int find_type(const std::string &name) const { return type_names_.find(name); } // -1: not known
   const std::string &type_name(int type_index) const { return type_names_.name(type_index); }
-  int find_or_add_zone(const std::string &name) { return zone_names_.get(name); }
+  int find_or_add_zone(const std::string &name) { return zone_names_.find_or_add(name); }
   int find_zone(const std::string &name) const { return zone_names_.find(name); } // -1: not known
   const std::string &zone_name(int zone_index) const { return zone_names_.name(zone_index); }
 
--- a/include/loftrouter/core/jobs/failure_attribution.hpp
+++ b/include/loftrouter/core/jobs/failure_attribution.hpp
@@ -14,7 +14,7 @@
 #include "loftrouter/core/jobs/job_table.hpp"
 #include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/runtime/events.hpp"
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -37,7 +37,7 @@
   void restore(JobIndex job_index, std::uint32_t failed_machine_count);
   void on(const TaskExited &event);
   void on(const JobCancelled &event);
-  void on(const JobFinalized &event) { grown(job_histories_, event.job) = {}; }
+  void on(const JobFinalized &event) { get_or_create(job_histories_, event.job) = {}; }
   void on(const MachineRemoved &event);
   void on(const TermEnded &);
 
--- a/include/loftrouter/core/jobs/pending_reasons.hpp
+++ b/include/loftrouter/core/jobs/pending_reasons.hpp
@@ -12,7 +12,7 @@
 #include "loftrouter/core/jobs/job_objectives.hpp"
 #include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/runtime/events.hpp"
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -31,7 +31,7 @@
   // Of a job that ends now.
   EndRecord end_record(JobIndex job_index) const;
 
-  void on(const JobAccepted &event) { grown(last_events_, event.job).clear(); }
+  void on(const JobAccepted &event) { get_or_create(last_events_, event.job).clear(); }
   void on(const TaskRetried &event);
   void on(const TaskLost &event);
   void on(const TaskPreempted &event);
--- a/include/loftrouter/core/runtime/effects.hpp
+++ b/include/loftrouter/core/runtime/effects.hpp
@@ -12,7 +12,7 @@
 
 namespace loftrouter::core {
 
-// An HTTP response.
+// Response to an HTTP request.
 struct Reply {
   RequestId req;
   int status;
@@ -64,7 +64,8 @@
 
 // ---- requests to the cloud provider ----
 
-struct CloudTypes {};
+struct CloudTypes {}; // reads the catalog of instance types
+// Lists machines, starting at `from`.
 struct CloudList {
   std::string from;
 };
@@ -87,14 +88,16 @@
 
 // ---- messages to workers and controllers ----
 
-// Commands sent directly to a worker. They may be executed minutes late, so only stop commands are sent this way.
+// Commands sent directly to a worker instead of in a heartbeat response. They may arrive minutes late, so only stop
+// commands are sent this way.
 struct WorkerCall {
   std::string address;
   std::uint64_t fencing_token = 0;
   std::uint64_t incarnation = 0;
   std::string machine;
-  std::vector<TaskCommand> orders;
+  std::vector<TaskCommand> commands;
 };
+// Message to another replica of this cell.
 struct PeerSend {
   ReplicaIndex replica; // invalid: send on `link`
   std::uint64_t link;
--- a/include/loftrouter/core/runtime/events.hpp
+++ b/include/loftrouter/core/runtime/events.hpp
@@ -44,8 +44,8 @@
 // The job's state differs from its stored record.
 struct JobChanged {
   JobIndex job;
-  bool ends;   // the job can be finalized
-  bool urgent; // a client or module waits for the write
+  bool can_finalize; // no task is left to run or to wait for
+  bool urgent;       // a client or module waits for the write
 };
 // The job has failed on every machine where it was tried.
 struct JobSuspected {
@@ -69,8 +69,8 @@
   JobIndex job;
   std::uint32_t index;
   MachineIndex machine;
-  bool found;       // reported by a heartbeat
-  bool unaccounted; // unaccounted since this leader's election
+  bool adopted;     // started by an earlier leader and reported by a heartbeat
+  bool unaccounted; // had been unaccounted since this leader's election
 };
 // A task's allocation has been released.
 struct TaskReleased {
@@ -89,7 +89,7 @@
   JobIndex job;
   std::uint32_t index;
   MachineIndex machine;
-  double after_s; // since the allocation
+  double startup_s; // since the allocation
 };
 // A worker has reported that an attempt exited, by itself or after a stop command.
 struct TaskExited {
@@ -114,7 +114,7 @@
 };
 struct TaskPreempted {
   JobIndex job;
-  std::string by; // id of the preempting job
+  std::string preempting_job; // job id
 };
 // Tasks were stopped because their team's budget is exhausted. They have had time to save a checkpoint.
 struct TasksStoppedByBudget {
@@ -163,7 +163,7 @@
   std::string zone;
   bool spot;
   double lived_s;
-  double up_s;
+  double up_s;       // part of `lived_s` since its first heartbeat
   double used_share; // allocated fraction of its CPU time
 };
 // Operators have quarantined, drained or released machines.
--- a/include/loftrouter/core/runtime/name_index.hpp
+++ b/include/loftrouter/core/runtime/name_index.hpp
@@ -1,4 +1,4 @@
-// Maps external names to small consecutive numbers.
+// Maps external names, such as teams and zones, to small consecutive numbers.
 #pragma once
 
 #include <string>
@@ -7,11 +7,11 @@
 
 namespace loftrouter::core {
 
-// Numbers are never reused, so callers have to bound how many names they add.
+// Names are never removed, so callers have to bound how many they add.
 class NameIndex {
 public:
   // Returns the number of a name and adds the name if it is new.
-  int get(const std::string &name) {
+  int find_or_add(const std::string &name) {
     const auto [it, added] = numbers_.try_emplace(name, size());
     if (added) names_.push_back(name);
     return it->second;
--- a/include/loftrouter/core/scheduling/nominations.hpp
+++ b/include/loftrouter/core/scheduling/nominations.hpp
@@ -10,7 +10,7 @@
 
 #include "loftrouter/core/runtime/dense_index.hpp"
 #include "loftrouter/core/runtime/events.hpp"
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -26,11 +26,11 @@
     return machine.position() < nominations_.size() ? &nominations_[machine.position()] : nullptr;
   }
   void nominate(MachineIndex machine, std::string job_id, double until) {
-    Nomination &nomination = grown(nominations_, machine);
+    Nomination &nomination = get_or_create(nominations_, machine);
     nomination.job_id = std::move(job_id);
     nomination.until = until;
   }
-  void set_open_to_small(MachineIndex machine, bool open) { grown(nominations_, machine).open_to_small = open; }
+  void set_open_to_small(MachineIndex machine, bool open) { get_or_create(nominations_, machine).open_to_small = open; }
   void clear() { nominations_.clear(); }
   void on(const MachineRemoved &event) {
     if (find(event.machine)) nominations_[event.machine.position()] = {};
--- a/include/loftrouter/core/state/end_record_writer.hpp
+++ b/include/loftrouter/core/state/end_record_writer.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 #include "loftrouter/core/state/end_record_compaction.hpp"
 #include "loftrouter/core/state/open_record_loader.hpp"
 #include "loftrouter/core/state/progress_shards.hpp"
@@ -57,7 +57,7 @@
     EndRecord end;         // while it is being written
   };
 
-  EndState &state(JobIndex job_index) { return grown(states_, job_index); }
+  EndState &state(JobIndex job_index) { return get_or_create(states_, job_index); }
   bool ready(JobIndex job_index);
   void add_end(JobIndex job_index, WriteTransaction &transaction, bool in_place);
   void log_end(JobIndex job_index, const EndRecord &end);
--- a/include/loftrouter/core/state/state_writer.hpp
+++ b/include/loftrouter/core/state/state_writer.hpp
@@ -73,7 +73,7 @@
   void on(const LeaderElected &) { progress_loader_.clear(); }
   void on(const TermStarted &) { progress_loader_.finish(); }
   void on(const TermEnded &);
-  void on(const JobChanged &event) { mark_changed(event.job, event.ends, event.urgent); }
+  void on(const JobChanged &event) { mark_changed(event.job, event.can_finalize, event.urgent); }
 
 private:
   void mark_changed(JobIndex job_index, bool ends, bool urgent);
--- a/include/loftrouter/core/state/usage_ledger.hpp
+++ b/include/loftrouter/core/state/usage_ledger.hpp
@@ -15,7 +15,7 @@
 #include "loftrouter/core/configuration/operator_settings.hpp"
 #include "loftrouter/core/jobs/job_table.hpp"
 #include "loftrouter/core/runtime/events.hpp"
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 #include "loftrouter/core/state/shard_index.hpp"
 
 namespace loftrouter::core {
@@ -95,7 +95,7 @@
   };
 
   Account &account(JobIndex job_index) { return accounts_[job_index.position()]; }
-  SumsByTeam &sums_at(ShardIndex shard) { return grown(sums_, shard); }
+  SumsByTeam &sums_at(ShardIndex shard) { return get_or_create(sums_, shard); }
   const std::string &current_period();
   [[nodiscard]] std::int64_t held_in_flight_ms(const Account &account) const;
   [[nodiscard]] std::int64_t since_written_ms(const Account &account) const;
--- a/include/loftrouter/model/types.hpp
+++ b/include/loftrouter/model/types.hpp
@@ -103,8 +103,8 @@
   std::string cell;             // the remote cell
   Ranges tasks;
   double lease_s = 0;      // worker lease in the remote cell
-  bool lapsed = false;     // expired: its tasks may run here again, its usage may still be reported
-  accounts::Usage charged; // usage in the remote cell that the job has been charged
+  bool expired = false;    // its tasks may run in this cell again; its usage may still be reported
+  accounts::Usage charged; // usage in the remote cell that is included in the job's usage
 };
 // Stored record of an ended job.
 struct EndRecord {
@@ -127,8 +127,8 @@
   std::int64_t running_ms = 0; // held by attempts in progress at `at_ms`
   std::int64_t at_ms = 0;      // time of writing, since 1970
   std::vector<DelegationRecord> delegations;
-  std::uint64_t delegated_here =
-      0; // generation of the delegation, for another cell's job; its end is recorded in the origin cell
+  // For a job delegated by another cell: generation of the delegation. The origin cell records the job's end.
+  std::uint64_t delegated_here = 0;
 };
 using SumsByTeam = std::map<std::pair<std::string, std::string>, accounts::Sums>; // by period and team name
 // A stored record with the progress of many jobs.
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -165,7 +165,8 @@
       cloud_.send(op);
     for (const auto &w : effects.workers)
       if (auto to = net::parse_address(w.address))
-        outbound_requests_.post(*to, "/orders", wire::encode_direct_commands(w.fencing_token, w.incarnation, w.orders));
+        outbound_requests_.post(*to, "/orders",
+                                wire::encode_direct_commands(w.fencing_token, w.incarnation, w.commands));
     bool prompt = false;
     for (const auto &p : effects.peers) {
       auto frame = wire::encode_peer(p.message);
--- a/src/core/api/service_level_counters.cpp
+++ b/src/core/api/service_level_counters.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -12,19 +12,19 @@
 
 template <class Fn> void ServiceLevelCounters::each_count(const Entry &entry, Fn &&fn) {
   if (entry.job_class < 0) return;
-  Group &group = grown(classes_, entry.job_class);
+  Group &group = get_or_create(classes_, entry.job_class);
   fn(group.all);
   if (entry.largest) fn(group.largest);
-  fn(grown(teams_, entry.team).all);
+  fn(get_or_create(teams_, entry.team).all);
 }
 
 void ServiceLevelCounters::on(const JobAccepted &event) {
   const Job *job = jobs_.find(event.job);
   if (!job || job->delegated_here) return;
-  Entry &entry = grown(entries_, event.job);
+  Entry &entry = get_or_create(entries_, event.job);
   entry = {place(class_names_, job->spec.job_class), place(team_names_, job->spec.team), false,
            job->placed + job->done + job->unaccounted > 0};
-  Group &group = grown(classes_, entry.job_class);
+  Group &group = get_or_create(classes_, entry.job_class);
   const double cpus = job->spec.tasks * job->spec.need.cpus;
   entry.largest = cpus >= kLargest * group.max_cpus;
   group.max_cpus = std::max(group.max_cpus, cpus);
@@ -35,13 +35,13 @@
 }
 
 void ServiceLevelCounters::on(const TaskRunning &event) {
-  Entry &entry = grown(entries_, event.job);
+  Entry &entry = get_or_create(entries_, event.job);
   if (entry.job_class < 0 || std::exchange(entry.begun, true)) return;
   each_count(entry, [](Count &count) { ++count.begun; });
 }
 
 void ServiceLevelCounters::on(const JobFinalized &event) {
-  const Entry entry = std::exchange(grown(entries_, event.job), {});
+  const Entry entry = std::exchange(get_or_create(entries_, event.job), {});
   const auto *end = ended_.find(event.id);
   each_count(entry, [&](Count &count) {
     const bool cancelled = end && end->cancelled;
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/format.h>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -77,7 +77,7 @@
   if (job.delegated) {
     std::string cells;
     for (const auto &l : job.delegations)
-      if (!l.lapsed) cells += (cells.empty() ? "" : " and ") + l.cell;
+      if (!l.expired) cells += (cells.empty() ? "" : " and ") + l.cell;
     const auto where =
         fmt::format("{} of it {} in cell {}", plural(job.delegated, "task"), job.delegated == 1 ? "is" : "are", cells);
     wait = wait.empty() ? where : wait + "; " + where;
@@ -268,8 +268,8 @@
     const JobIndex job_index((cursor_ + k) % n);
     const Job *job = jobs_.find(job_index);
     if (!job || job->cancelled) continue;
-    const bool changed =
-        grown(told_, job_index).done != job->done || grown(told_, job_index).running != running[job_index.position()];
+    const bool changed = get_or_create(told_, job_index).done != job->done ||
+                         get_or_create(told_, job_index).running != running[job_index.position()];
     (changed ? first : rest).push_back(job_index);
   }
   const auto supply = supplies();
@@ -282,7 +282,7 @@
       if (message.jobs.size() >= wire::kPeerMaxDigestJobs || headroom < 256) break;
       wire::PeerMessage::JobDigest news{jobs_[job_index].spec.id, jobs_[job_index].done, running[job_index.position()],
                                         foreseen_late(job_index), why(job_index, supply)};
-      grown(told_, job_index) = {news.done, news.running};
+      get_or_create(told_, job_index) = {news.done, news.running};
       headroom -= std::min(headroom, wire::job_digest_size(news));
       if (list == &rest) cursor_ = job_index.position() + 1;
       message.jobs.push_back(std::move(news));
--- a/src/core/catalog/instance_type_catalog.cpp
+++ b/src/core/catalog/instance_type_catalog.cpp
@@ -7,13 +7,13 @@
 
 InstanceTypeCatalog::InstanceTypeCatalog(const std::vector<std::string> &zones) {
   for (const auto &zone : zones)
-    zone_names_.get(zone);
+    zone_names_.find_or_add(zone);
 }
 
 void InstanceTypeCatalog::update(std::vector<MachineType> types) {
   if (types.empty()) return;
   for (auto &type : types) {
-    const auto position = static_cast<std::size_t>(type_names_.get(type.name));
+    const auto position = static_cast<std::size_t>(type_names_.find_or_add(type.name));
     if (position >= types_.size()) types_.resize(position + 1);
     types_[position] = std::move(type);
   }
--- a/src/core/connectivity/recent_heartbeats.cpp
+++ b/src/core/connectivity/recent_heartbeats.cpp
@@ -2,7 +2,7 @@
 
 #include <numeric>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -10,7 +10,7 @@
   if (buckets_.empty() || now - buckets_.back().started_at >= kBucketS) buckets_.push_back({now, {}});
   while (now - buckets_.front().started_at > window_s_)
     buckets_.pop_front();
-  ++grown(buckets_.back().by_zone, zone);
+  ++get_or_create(buckets_.back().by_zone, zone);
 }
 
 std::vector<std::uint32_t> RecentHeartbeats::by_zone(double now) const {
@@ -18,7 +18,7 @@
   for (const Bucket &bucket : buckets_) {
     if (now - bucket.started_at > window_s_) continue;
     for (std::size_t zone = 0; zone < bucket.by_zone.size(); ++zone)
-      grown(sums, static_cast<int>(zone)) += bucket.by_zone[zone];
+      get_or_create(sums, static_cast<int>(zone)) += bucket.by_zone[zone];
   }
   return sums;
 }
--- a/src/core/federation/cell_federation.cpp
+++ b/src/core/federation/cell_federation.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/format.h>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -284,14 +284,14 @@
 }
 
 void CellFederation::on(const JobAccepted &event) {
-  grown(eager_, event.job) = 0;
-  grown(outbound_, event.job).clear();
+  get_or_create(eager_, event.job) = 0;
+  get_or_create(outbound_, event.job).clear();
   const Job &job = jobs_[event.job];
-  grown(inbound_, event.job).reset();
+  get_or_create(inbound_, event.job).reset();
   if (!job.delegated_here) return;
   const int origin = by_name(job.delegated_here->origin);
   const auto asked = origin >= 0 ? cells_[static_cast<std::size_t>(origin)].question : 0;
-  grown(inbound_, event.job) =
+  get_or_create(inbound_, event.job) =
       InboundDelegation{.state = cells::DelegationAtRemote(job.delegated_here->generation, asked),
                         .origin = origin,
                         .known_at = runtime_.now(),
@@ -314,15 +314,15 @@
     d->state.close();
     return;
   }
-  for (auto &l : grown(outbound_, event.job))
+  for (auto &l : get_or_create(outbound_, event.job))
     l.state.close();
 }
 
 void CellFederation::on(const JobFinalized &event) {
-  for (const auto &l : grown(outbound_, event.job))
+  for (const auto &l : get_or_create(outbound_, event.job))
     outbound_jobs_.erase(l.state.generation());
-  grown(outbound_, event.job).clear();
-  if (auto &d = grown(inbound_, event.job)) {
+  get_or_create(outbound_, event.job).clear();
+  if (auto &d = get_or_create(inbound_, event.job)) {
     std::erase(inbound_list_, event.job);
     inbound_jobs_.erase({d->origin, d->state.generation()});
     d.reset();
@@ -347,8 +347,8 @@
           .progressed = true,
           .terms = terms(r.lease_s)};
       // Guards against work that runs in two cells: what has lapsed may have been started here, and is never confirmed.
-      if (job.cancelled || cell < 0 || r.lapsed) delegation.state.close();
-      grown(outbound_, job_index).push_back(std::move(delegation));
+      if (job.cancelled || cell < 0 || r.expired) delegation.state.close();
+      get_or_create(outbound_, job_index).push_back(std::move(delegation));
       outbound_jobs_[r.generation] = job_index;
     }
   });
@@ -375,7 +375,7 @@
     State state{c.name, c.heard_at < -1e8 ? -1 : runtime_.now() - c.heard_at, c.lease_s <= 0 || grant_s(c.lease_s) > 0};
     jobs_.each([&](JobIndex job_index, const Job &job) {
       for (const auto &l : job.delegations)
-        if (l.cell == c.name && !l.lapsed) {
+        if (l.cell == c.name && !l.expired) {
           ++state.delegations;
           for (auto [a, b] : l.tasks)
             for (auto i = a; i < b; ++i)
--- a/src/core/federation/delegations_out.cpp
+++ b/src/core/federation/delegations_out.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -82,7 +82,7 @@
   if (!any) return;
   std::vector<std::pair<double, JobIndex>> order; // by the time left
   jobs_.each([&](JobIndex job_index, const Job &job) {
-    int &eager = grown(eager_, job_index);
+    int &eager = get_or_create(eager_, job_index);
     const bool whole = job.spec.shape == Shape::Gang || job.spec.one_zone || job.spec.spread;
     if (job.delegated_here || job.cancelled || job.ending || job.pending() == 0 ||
         job.delegations.size() >= kMaxDelegationsPerJob || failure_attribution_.suspected(job_index) || job.team < 0 ||
@@ -111,7 +111,7 @@
       const auto any = static_cast<std::size_t>(runtime_.random() * static_cast<double>(mine.size()));
       if (mine[any].open) choice = cells::Choice{static_cast<int>(any), 0, 0};
     }
-    int &eager = grown(eager_, job_index);
+    int &eager = get_or_create(eager_, job_index);
     eager = choice ? eager + 1 : 0;
     if (eager < kEager) continue; // not on one look alone
     // What would start here meanwhile stays.
@@ -178,7 +178,7 @@
   if (got == 0 || (whole && got < job->pending())) return;
   const auto &c = cells_[static_cast<std::size_t>(wanted.cell)];
   const cells::Generation g = (leadership_.term() << 20) + ++delegations_made_;
-  grown(outbound_, wanted.job)
+  get_or_create(outbound_, wanted.job)
       .push_back({.state = cells::DelegationAtOrigin(g, leadership_.term()),
                   .cell = wanted.cell,
                   .made_at = runtime_.now(),
@@ -223,7 +223,7 @@
 
 // Each loan takes its next step: offered, called back, lapsed, gone.
 void CellFederation::tend_outbound() {
-  std::vector<std::pair<JobIndex, std::uint64_t>> gone, lapsed;
+  std::vector<std::pair<JobIndex, std::uint64_t>> gone, expired;
   const double now = runtime_.now();
   for (const auto &[generation, job_index] : outbound_jobs_) {
     JobIndex found;
@@ -231,7 +231,7 @@
     const Job &job = jobs_[job_index];
     const auto record = std::find_if(job.delegations.begin(), job.delegations.end(),
                                      [g = generation](const auto &x) { return x.generation == g; });
-    if (l.dropped || record == job.delegations.end() || record->lapsed) continue;
+    if (l.dropped || record == job.delegations.end() || record->expired) continue;
     if (l.state.offers() && !l.taken && now >= l.next_offer) {
       l.next_offer = now + kOfferAgain;
       if (now - l.made_at > kOfferFor)
@@ -256,9 +256,9 @@
       m.generation = generation;
       send(l.cell, std::move(m));
     }
-    if (l.state.over(now)) (l.state.confirmed() ? lapsed : gone).emplace_back(job_index, generation);
+    if (l.state.over(now)) (l.state.confirmed() ? expired : gone).emplace_back(job_index, generation);
   }
-  for (auto [job_index, g] : lapsed) {
+  for (auto [job_index, g] : expired) {
     runtime_.log(LogLevel::Info, "delegation_expired",
                  {{"job", jobs_[job_index].spec.id}, {"why", "its cell has not asked on"}});
     jobs_.expire_delegation(job_index, g);
@@ -279,7 +279,7 @@
 }
 
 void CellFederation::on(const DelegationRemoved &event) {
-  std::erase_if(grown(outbound_, event.job), [&event](const OutboundDelegation &delegation) {
+  std::erase_if(get_or_create(outbound_, event.job), [&event](const OutboundDelegation &delegation) {
     return delegation.state.generation() == event.generation;
   });
   outbound_jobs_.erase(event.generation);
@@ -301,7 +301,7 @@
   if (l->dropped || record == job.delegations.end() || !leadership_.active())
     return; // being recorded; it is told again
   const Ranges mine = record->tasks;
-  const bool lapsed = record->lapsed;
+  const bool expired = record->expired;
   const auto used = m.usage - record->charged;
   // Of an attempt that is counted twice, or a word that comes late, nothing is taken.
   if (std::all_of(used.values.begin(), used.values.end(), [](auto x) { return x >= 0; }) && !used.all_zero()) {
@@ -315,21 +315,21 @@
   for (auto [a, b] : m.ranges)
     for (auto i = a; i < b && i < job.spec.tasks; ++i) {
       const auto state = job.tasks[i].state;
-      if (inside(i) && (state == TaskState::Delegated || (lapsed && state == TaskState::Pending && !job.cancelled))) {
+      if (inside(i) && (state == TaskState::Delegated || (expired && state == TaskState::Pending && !job.cancelled))) {
         l->progressed = true;
         jobs_.finish(job_index, i);
       }
     }
-  l->running = lapsed || m.ended ? 0 : m.running;
+  l->running = expired || m.ended ? 0 : m.running;
   l->progressed |= m.running > 0;
   std::uint32_t running = 0;
   for (const auto &x : outbound_[job_index.position()])
     running += x.running;
   jobs_.set_delegated_running(job_index, running);
   if (!m.ended) return;
-  if (!lapsed && !l->state.ended(m.term, m.origin_term)) return;
+  if (!expired && !l->state.ended(m.term, m.origin_term)) return;
   runtime_.log(LogLevel::Info, "delegation_ended",
-               {{"job", job.spec.id}, {"cell", cells_[static_cast<std::size_t>(cell)].name}, {"late", lapsed}});
+               {{"job", job.spec.id}, {"cell", cells_[static_cast<std::size_t>(cell)].name}, {"late", expired}});
   drop(job_index, *l);
 }
 
--- a/src/core/heartbeats/heartbeat_handler.cpp
+++ b/src/core/heartbeats/heartbeat_handler.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -257,7 +257,7 @@
   const auto exited = [](const TaskStatus &task) { return task.phase == TaskPhase::Exited; };
   if (std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), exited)) return false;
   if (!machine.valid()) return heartbeat.tasks.empty();
-  const double redirected_s = runtime_.now() - grown(redirected_at_, machine, -1e9);
+  const double redirected_s = runtime_.now() - get_or_create(redirected_at_, machine, -1e9);
   const double last_response_s = runtime_.now() - workers_[machine].heartbeat.last_accepted_at;
   return redirected_s >= kMinRedirectIntervalS && last_response_s <= 2 * settings_.heartbeat_interval_s;
 }
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 #include "loftrouter/wire/storage_keys.hpp"
 
 namespace loftrouter::core {
@@ -37,7 +37,7 @@
   const JobIndex job_index = event.job;
   if (!jobs_.find(job_index)) return;
   const Job &job = jobs_[job_index];
-  Node &added = grown(nodes_, job_index);
+  Node &added = get_or_create(nodes_, job_index);
   added = {};
   added.known = true;
   added.id = job.spec.id;
--- a/src/core/jobs/failure_attribution.cpp
+++ b/src/core/jobs/failure_attribution.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -51,7 +51,7 @@
 // ---- exits ----
 
 void FailureAttribution::restore(JobIndex job_index, std::uint32_t failed_machine_count) {
-  JobHistory &job = grown(job_histories_, job_index);
+  JobHistory &job = get_or_create(job_histories_, job_index);
   job.failed_machine_count = failed_machine_count;
   if (suspected(job_index)) job.retry_at = runtime_.now() + kPauseAfterFailover;
 }
@@ -62,14 +62,14 @@
 }
 
 void FailureAttribution::task_succeeded(const TaskExited &event) {
-  MachineHistory &machine = grown(machine_histories_, event.machine);
+  MachineHistory &machine = get_or_create(machine_histories_, event.machine);
   // What had begun before the failures says nothing about what begins now.
   machine.last_good_start = std::max(machine.last_good_start, event.placed_at);
   if (event.placed_at >= machine.failing_since) {
     machine.failed_jobs.clear();
     machine.errors = 0;
   }
-  JobHistory &job = grown(job_histories_, event.job);
+  JobHistory &job = get_or_create(job_histories_, event.job);
   job.failed_machine_count = 0;
   std::erase_if(job.failures, [this](const Failure &failure) { return runtime_.now() - failure.at >= kAvoidedFor; });
   for (const auto &failure : job.failures)
@@ -77,12 +77,12 @@
 }
 
 void FailureAttribution::task_failed(const TaskExited &event) {
-  JobHistory &job = grown(job_histories_, event.job);
+  JobHistory &job = get_or_create(job_histories_, event.job);
   const bool was_suspected = suspected(event.job);
   record_failure(job, event.machine);
   if (!suspected(event.job)) {
     events_.publish(TaskRetried{event.job, event.machine_name});
-    ++grown(machine_histories_, event.machine).errors;
+    ++get_or_create(machine_histories_, event.machine).errors;
     count_against_machine(event.machine, event.job, runtime_.now());
     return;
   }
@@ -121,7 +121,7 @@
 // ---- machines ----
 
 void FailureAttribution::count_against_machine(MachineIndex machine_index, JobIndex job_index, double failed_at) {
-  MachineHistory &machine = grown(machine_histories_, machine_index);
+  MachineHistory &machine = get_or_create(machine_histories_, machine_index);
   if (machine.last_good_start > failed_at) return;
   if (machine.failed_jobs.empty()) machine.failing_since = failed_at;
   const std::string &id = jobs_[job_index].spec.id;
@@ -140,8 +140,8 @@
 // The job's failures were more likely its own.
 void FailureAttribution::clear_machines_of(JobIndex job_index) {
   const std::string &id = jobs_[job_index].spec.id;
-  for (const auto &failure : grown(job_histories_, job_index).failures) {
-    MachineHistory &machine = grown(machine_histories_, failure.machine);
+  for (const auto &failure : get_or_create(job_histories_, job_index).failures) {
+    MachineHistory &machine = get_or_create(machine_histories_, failure.machine);
     std::erase_if(machine.failed_jobs, [&id](const FailedJob &failed) { return failed.id == id; });
     if (machine.failed_jobs.empty()) machine.errors = 0;
   }
@@ -152,7 +152,7 @@
 }
 
 void FailureAttribution::on(const MachineRemoved &event) {
-  grown(machine_histories_, event.machine) = {};
+  get_or_create(machine_histories_, event.machine) = {};
   for (auto &job : job_histories_)
     std::erase_if(job.failures, [&event](const Failure &failure) { return failure.machine == event.machine; });
 }
--- a/src/core/jobs/job_table.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -4,7 +4,7 @@
 #include <cassert>
 #include <utility>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -45,7 +45,7 @@
 
 JobTable::JobTable(Runtime &runtime, Events &events, const Settings &settings) : runtime_(runtime), events_(events) {
   for (const auto &team : settings.teams)
-    team_names_.get(team.name);
+    team_names_.find_or_add(team.name);
 }
 
 JobIndex JobTable::index(const std::string &id) const {
@@ -90,7 +90,7 @@
   job.tasks.resize(job.spec.tasks);
   if (record.delegated) accept_delegation(job_index, std::move(*record.delegated));
   job.team = team_names_.find(job.spec.team);
-  job.image = image_names_.get(job.spec.image);
+  job.image = image_names_.find_or_add(job.spec.image);
   index_[job.spec.id] = job_index;
   ++arrivals_;
   return job_index;
@@ -119,7 +119,7 @@
             [&](std::uint32_t task_index) { set_state(job_index, task_index, TaskState::Done); });
   for (const auto &delegation : progress.delegations) {
     job.delegations.push_back(delegation);
-    if (delegation.lapsed) continue;
+    if (delegation.expired) continue;
     each_task(delegation.tasks, job.spec.tasks, [&](std::uint32_t task_index) {
       if (job.tasks[task_index].state != TaskState::Done) set_state(job_index, task_index, TaskState::Delegated);
     });
@@ -183,11 +183,11 @@
                          int zone) {
   Job &job = at(job_index);
   Task &task = job.tasks[task_index];
-  if (task.state == TaskState::Placed) --grown(job.zone_used, task.zone);
+  if (task.state == TaskState::Placed) --get_or_create(job.zone_used, task.zone);
   if (std::uint32_t *count = count_of(job, task.state)) --*count;
   task = {state, machine, zone};
   if (std::uint32_t *count = count_of(job, state)) ++*count;
-  if (state == TaskState::Placed) ++grown(job.zone_used, zone);
+  if (state == TaskState::Placed) ++get_or_create(job.zone_used, zone);
   if (state == TaskState::Pending) ++arrivals_;
   assert(job.done + job.placed + job.unaccounted + job.delegated <= job.spec.tasks);
 }
@@ -273,7 +273,7 @@
 void JobTable::expire_delegation(JobIndex job_index, std::uint64_t generation) {
   for (auto &delegation : at(job_index).delegations) {
     if (delegation.generation != generation) continue;
-    const bool had_lapsed = std::exchange(delegation.lapsed, true);
+    const bool had_lapsed = std::exchange(delegation.expired, true);
     if (!had_lapsed) free_delegated(job_index, delegation.tasks);
   }
   changed(job_index, true);
@@ -284,7 +284,7 @@
   const auto it = std::find_if(delegations.begin(), delegations.end(),
                                [generation](const auto &delegation) { return delegation.generation == generation; });
   if (it == delegations.end()) return;
-  if (!it->lapsed) free_delegated(job_index, it->tasks);
+  if (!it->expired) free_delegated(job_index, it->tasks);
   delegations.erase(it);
   changed(job_index, true);
 }
--- a/src/core/jobs/pending_reasons.cpp
+++ b/src/core/jobs/pending_reasons.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -17,7 +17,7 @@
 
 // It stays until the next such event.
 void PendingReasons::set(JobIndex job_index, std::string_view what) {
-  grown(last_events_, job_index) = fmt::format("{} ({})", what, wire::clock_time(runtime_.wall()));
+  get_or_create(last_events_, job_index) = fmt::format("{} ({})", what, wire::clock_time(runtime_.wall()));
 }
 
 void PendingReasons::on(const TaskRetried &event) {
@@ -29,7 +29,7 @@
 }
 
 void PendingReasons::on(const TaskPreempted &event) {
-  set(event.job, fmt::format("a task was stopped to make room for job {} of higher priority", event.by));
+  set(event.job, fmt::format("a task was stopped to make room for job {} of higher priority", event.preempting_job));
 }
 
 void PendingReasons::on(const TasksStoppedByBudget &event) {
--- a/src/core/liveness/failure_detector.cpp
+++ b/src/core/liveness/failure_detector.cpp
@@ -4,7 +4,7 @@
 
 #include <fmt/format.h>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -59,7 +59,7 @@
     if (!machine.heartbeat.received() && !overdue) return;
     const GroupCount one{.known = 1, .overdue = overdue ? std::size_t(1) : 0};
     paths_[path(machine)].count.add(one);
-    grown(zones_, machine.zone).count.add(one);
+    get_or_create(zones_, machine.zone).count.add(one);
     totals_.add(one);
   });
 }
--- a/src/core/scheduling/placement.cpp
+++ b/src/core/scheduling/placement.cpp
@@ -6,7 +6,7 @@
 #include <numeric>
 #include <utility>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -259,9 +259,9 @@
     const auto [score, negative_position] = heap.back();
     heap.pop_back();
     PlacementMachine &best = machine(-negative_position);
-    if (spread && grown(zone_used, best.zone) >= job.max_per_zone) continue; // and stays so
+    if (spread && get_or_create(zone_used, best.zone) >= job.max_per_zone) continue; // and stays so
     occupy(job, best, 1);
-    if (spread) ++grown(zone_used, best.zone);
+    if (spread) ++get_or_create(zone_used, best.zone);
     if (plan.machines.empty()) plan.first_score = score;
     plan.machines.push_back(-negative_position);
     plan.score += score;
--- a/src/core/scheduling/placement_queue.cpp
+++ b/src/core/scheduling/placement_queue.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -45,13 +45,13 @@
 void PlacementQueue::note_waiting(JobIndex job_index, double round_interval_s) {
   const double now = context_.runtime.now();
   const std::uint64_t serial = context_.jobs[job_index].serial;
-  Wait &wait = grown(waits_, job_index);
+  Wait &wait = get_or_create(waits_, job_index);
   if (wait.serial != serial || now - wait.last_seen_at > kMissedRounds * round_interval_s) wait = {serial, now, now};
   wait.last_seen_at = now;
 }
 
 void PlacementQueue::note_placed(JobIndex job_index) {
-  grown(waits_, job_index).since = context_.runtime.now();
+  get_or_create(waits_, job_index).since = context_.runtime.now();
 }
 
 // ---- what a job may place ----
--- a/src/core/state/progress_shards.cpp
+++ b/src/core/state/progress_shards.cpp
@@ -7,7 +7,7 @@
 
 #include <fmt/format.h>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 #include "loftrouter/wire/storage_keys.hpp"
 
 namespace loftrouter::core {
@@ -113,7 +113,7 @@
 }
 
 void ProgressShards::add_job(JobIndex job_index, ShardIndex loaded_from) {
-  JobProgress &progress = grown(job_progress_, job_index);
+  JobProgress &progress = get_or_create(job_progress_, job_index);
   progress = {};
   progress.tasks.assign(jobs_[job_index].spec.tasks, TaskRecordState{});
   assign(job_index, loaded_from);
--- a/src/core/state/usage_ledger.cpp
+++ b/src/core/state/usage_ledger.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <utility>
 
-#include "loftrouter/core/runtime/grown.hpp"
+#include "loftrouter/core/runtime/growing_table.hpp"
 
 namespace loftrouter::core {
 
@@ -72,7 +72,7 @@
 // ---- accounts of jobs ----
 
 void UsageLedger::open_account(JobIndex job_index, ShardIndex shard) {
-  grown(accounts_, job_index) = {};
+  get_or_create(accounts_, job_index) = {};
   account(job_index).shard = shard;
 }
 
@@ -165,10 +165,10 @@
   ++charged.attempts_in_flight;
   charged.held_since_ms += to_ms(runtime_.now());
   accounts::Usage usage;
-  if (!event.found) usage[accounts::Attempts] = 1;
+  if (!event.adopted) usage[accounts::Attempts] = 1;
   if (event.unaccounted) usage[accounts::Uncertain] = since_written_ms(charged);
   charge(event.job, usage);
-  if (event.found) jobs_.changed(event.job, false);
+  if (event.adopted) jobs_.changed(event.job, false);
 }
 
 void UsageLedger::on(const TaskReleased &event) {
--- a/src/core/workers/allocations.cpp
+++ b/src/core/workers/allocations.cpp
@@ -125,12 +125,12 @@
     if (!leadership_.active() || machine->lost() || worker.worker_address.empty()) continue;
     WorkerCall call{worker.worker_address, leadership_.term(), worker.incarnation, machine->name, {}};
     for (const auto &allocation : machine->allocations) {
-      if (call.orders.size() >= kMaxStops) break;
+      if (call.commands.size() >= kMaxStops) break;
       if (!allocation.stop_requested() || !allocation.sent() || allocation.phase == TaskPhase::Exited) continue;
-      call.orders.push_back(
+      call.commands.push_back(
           {TaskCommand::Verb::Stop, allocation.job_id, allocation.index, allocation.attempt, *allocation.stop_grace_s});
     }
-    if (!call.orders.empty()) runtime_.call(std::move(call));
+    if (!call.commands.empty()) runtime_.call(std::move(call));
   }
 }
 
--- a/src/wire/progress_record.cpp
+++ b/src/wire/progress_record.cpp
@@ -31,7 +31,7 @@
                {stored::kLeaseS, delegation.lease_s},
                {stored::kChargedUsage, accounts::pack(delegation.charged)},
                {stored::kDelegatedRanges, task_set_to_json(delegation.tasks)}};
-  if (delegation.lapsed) json[stored::kExpired] = true;
+  if (delegation.expired) json[stored::kExpired] = true;
   return json;
 }
 
--- a/tests/fingerprint/effects_hash.cpp
+++ b/tests/fingerprint/effects_hash.cpp
@@ -97,7 +97,7 @@
   return FieldWriter()
       .text(call.address)
       .text(call.machine)
-      .text(wire::encode_direct_commands(call.fencing_token, call.incarnation, call.orders))
+      .text(wire::encode_direct_commands(call.fencing_token, call.incarnation, call.commands))
       .take();
 }
 
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -279,7 +279,7 @@
         return;
       b.fencing_token = call.fencing_token;
       ++direct_commands;
-      for (const auto &o : call.orders) {
+      for (const auto &o : call.commands) {
         if (o.verb != TaskCommand::Verb::Stop) break_rule("only orders to stop may be late");
         for (auto &r : b.runs)
           if (r.job == o.job && r.index == o.index && r.attempt == o.attempt) stop_run(index, r.serial, o.grace_s);
