--- a/include/loftrouter/core/state/end_record_compaction.hpp
+++ b/include/loftrouter/core/state/end_record_compaction.hpp
@@ -1,9 +1,8 @@
-// Moves end records stored in the open record of a job (open/) to their own key (end/).
+// Moves end records that were written in place of the open record (open/) to their own key (end/).
 //
-// When many jobs end at once, each end is first written in place of the open record, which takes one write instead of
-// two; users wait for that write. The move to end/ happens later, when the state service has spare write capacity. The
-// queue is bounded because EndRecordWriter stops writing ends in place while it is full. Not thread-safe: used by the
-// core thread only.
+// Users wait until the end of their job is stored. When many jobs end at once, the end replaces the open record, which
+// takes one write instead of two; the move follows when the state service has spare write capacity. Not thread-safe:
+// used by the core thread only.
 #pragma once
 
 #include <cstddef>
@@ -23,16 +22,16 @@
 
   void enqueue(PendingCompaction compaction) { queue_.push_back(std::move(compaction)); }
   [[nodiscard]] bool empty() const { return queue_.empty(); }
-  // Returns whether no more ends may be written in place. Ends found in place after an election are queued regardless.
+  // Returns whether to write no more ends in place. Those found after an election are queued nevertheless.
   [[nodiscard]] bool full() const { return queue_.size() >= kMaxQueued; }
-  // Returns the queued end record of a job, or null. The pointer is valid until the queue changes.
+  // Returns the queued end record of a job, or null; valid until the queue changes.
   [[nodiscard]] const wire::Json *find_end(std::string_view id) const;
 
-  // Adds moves to the transaction up to `max_operations` writes, but only if most of the write budget is available, so
-  // that they delay no other write.
+  // Adds moves to the transaction, up to `max_operations` writes in all. Adds none while little of the write budget is
+  // left, so that other writes are not delayed.
   void add_to(WriteTransaction &transaction, double write_budget, std::size_t max_operations);
-  // Requeues the moves of a transaction that was not applied. `conflicts`: keys with an unexpected revision; their
-  // records were already moved by an earlier write whose reply was lost.
+  // Requeues the moves of a transaction that was not applied, except records with a key in `conflicts` (unexpected
+  // revision): an earlier write without a reply has moved them.
   void requeue(const std::vector<PendingCompaction> &compactions, const std::vector<std::string> &conflicts);
 
   void clear() { queue_.clear(); }
--- a/include/loftrouter/core/state/end_record_writer.hpp
+++ b/include/loftrouter/core/state/end_record_writer.hpp
@@ -1,9 +1,9 @@
 // Writes the end records of jobs and removes the jobs from the job table once the write is confirmed.
 //
-// Invariants: a job ends only when none of its tasks runs or may run (Job::finishable). An end record replaces only the
-// last seen revision of the open record, so that a concurrent cancellation is not lost. After a write without a reply
-// the record is read back before the next write. Without them a job could be reported done and later as open again
-// (rule `went_back`). Not thread-safe: used by the core thread only.
+// Invariants: a job ends only if none of its tasks may run (Job::finishable); an end replaces only the last seen
+// revision of the open record, so that no cancellation is lost; after a write without a reply the record is read back
+// before the next write. Otherwise a job could be reported done and later as open again (rule `went_back`,
+// docs/safety.md). Not thread-safe: used by the core thread only.
 #pragma once
 
 #include <deque>
@@ -27,23 +27,23 @@
 
   void enqueue(JobIndex job_index);
   [[nodiscard]] bool empty() const { return queue_.empty(); }
-  // Returns whether so many ends are queued that saving writes matters more than latency.
+  // Returns whether so many ends are queued that writes have to be saved.
   [[nodiscard]] bool busy() const;
 
-  // Adds queued ends, oldest first, up to the capacity. `in_place`: store each end in the open record, with a single
-  // write.
+  // Adds queued ends, oldest first, up to the capacity. `in_place`: whether to store them in the open records, with one
+  // write each (EndRecordCompaction).
   void add_to(WriteTransaction &transaction, TransactionCapacity &capacity, bool in_place);
 
-  // Handle the outcome of a transaction; `ids` are the jobs that it ends. `revision`: revision of the written records.
+  // Handle the outcome of a transaction that ends the jobs `ids`. `revision`: of the written records.
   void on_committed(const std::vector<std::string> &ids, std::uint64_t revision);
   void on_outcome_unknown(const std::vector<std::string> &ids);
-  void on_not_applied(const std::vector<std::string> &ids); // any outcome but committed; doesn't requeue the jobs
-  // The state service rejected the end record as too large; the next one is written without its reason text.
+  void on_not_applied(const std::vector<std::string> &ids); // any outcome but committed
+  // The state service rejected the end record as too large: it will be written without its reason.
   void on_too_large(const std::string &id);
-  // A record of this job has a different revision than the transaction expected.
+  // The revision of a record of the job was not the expected one.
   void on_conflict(const std::string &id);
 
-  // Reads the open record of a job whose stored state is uncertain, and updates the job from it.
+  // Updates a job from its stored records.
   void resync(JobIndex job_index);
 
   void clear();
@@ -51,10 +51,10 @@
 private:
   struct EndState {
     bool queued = false;
-    bool needs_resync = false; // the revision of the open record is unknown
+    bool needs_resync = false; // the revision of the open record is uncertain
     bool resyncing = false;
-    bool in_place = false; // whether `end` is written into the open record
-    EndRecord end;         // valid while it is being written
+    bool in_place = false; // `end` is written into the open record
+    EndRecord end;         // valid while the job is ending
   };
 
   EndState &end_state(JobIndex job_index) { return grown(states_, job_index); }
--- a/include/loftrouter/core/state/job_progress.hpp
+++ b/include/loftrouter/core/state/job_progress.hpp
@@ -1,4 +1,4 @@
-// Per-job state of the progress records: what has been written to the state service and what is still to be written.
+// What the state service has recorded of a job's progress, and what is still to be written.
 #pragma once
 
 #include <cstdint>
@@ -9,10 +9,9 @@
 
 namespace loftrouter::core {
 
-// Tracks how much of one task's progress is stored in the state service. A write covers the state at the time it was
-// built; later changes need another write.
+// Tracks how much of one task's progress is stored in the state service.
 struct TaskRecordState {
-  bool started : 1 = false;             // the task may be or may have been on a machine; never reset
+  bool started : 1 = false;             // may be or have been on a machine; never reset
   bool start_in_write : 1 = false;      // included in the latest write
   bool start_recorded : 1 = false;      // confirmed by the state service: the worker may be told to start it
   bool completion_in_write : 1 = false; // included in the latest write
@@ -25,18 +24,17 @@
 
   std::vector<TaskRecordState> tasks; // by task index
 
-  // The shard that holds the entry. A job moves to another shard when its record exceeds the maximum size. Both records
-  // hold the entry until the old one has been written without it.
   ShardIndex shard;
-  ShardIndex moving_from;     // valid during a move
+  // The shard that held the job before, until it has been written without it; otherwise invalid.
+  ShardIndex moving_from;
   bool copy_recorded = false; // during a move: a confirmed write of `shard` holds the entry
 
-  wire::Json entry;        // the job's part of the record, as last written
-  bool dirty = false;      // differs from `entry`
-  int size_reductions = 0; // times the record was rejected as too large; each halves the space for task ranges
+  wire::Json entry;        // the job's part of the progress record, as last written
+  bool dirty = false;      // `entry` is out of date
+  int size_reductions = 0; // rejections as too large; each halves the space for task ranges
   std::uint32_t prerecorded_tasks = kDefaultPrerecordedTasks; // see ProgressWriter::set_prerecorded_tasks
 
-  // Generations of the job's delegations in the latest write, and in the latest confirmed write.
+  // Generations of the job's delegations in the latest write and in the latest confirmed write.
   std::vector<std::uint64_t> delegations_in_write;
   std::vector<std::uint64_t> delegations_recorded;
 };
--- a/include/loftrouter/core/state/period_rollup.hpp
+++ b/include/loftrouter/core/state/period_rollup.hpp
@@ -1,10 +1,10 @@
 // Moves the usage sums of past accounting periods from the progress shards to one record per period
 // (accounts/<period>), so that progress records stay small and a failover reads no history.
 //
-// Invariant: a single transaction, conditional on the revisions of both records, removes the sums from a shard and adds
-// them to the period's record. If its reply is lost, ProgressWriter reads the shard to find out whether it was applied.
-// Otherwise usage would be counted twice or not at all (docs/accounts.md). An unreadable period record is never
-// overwritten. Not thread-safe: used by the core thread only.
+// Invariant: one transaction, conditional on the revisions of both records, removes the sums from a shard and adds them
+// to the period's record; if there is no reply, ProgressWriter reads the shard to find out whether it was applied.
+// Otherwise usage could be counted twice or not at all (docs/accounts.md). Not thread-safe: used by the core thread
+// only.
 #pragma once
 
 #include <functional>
@@ -27,9 +27,9 @@
   PeriodRollup(const StateContext &context, ProgressShards &shards, ProgressWriter &progress_writer,
                WriteSchedule &schedule, Commit commit);
 
-  // Starts moving the oldest past period of the first shard that has one. Call only if nothing else is to be written.
+  // Starts moving the oldest past period of the first shard that has one.
   void start_next();
-  // Leaves the sums of this period in the shards, because the state service rejected the transaction as too large.
+  // Leaves the sums of this period in the shards from now on. Called if the period's record is too large.
   void exclude(const std::string &period) { excluded_periods_.insert(period); }
 
 private:
@@ -46,7 +46,7 @@
   ProgressWriter &progress_writer_;
   WriteSchedule &schedule_;
   Commit commit_;
-  std::set<std::string> excluded_periods_; // kept until the process restarts
+  std::set<std::string> excluded_periods_; // until the process restarts
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/state/progress_loader.hpp
+++ b/include/loftrouter/core/state/progress_loader.hpp
@@ -1,8 +1,8 @@
-// Loads the progress records of earlier leaders, between this replica's election and the start of its term.
+// Loads the progress records of earlier leaders, between this replica's election and the start of its term, and keeps
+// them until the open records have been loaded.
 //
-// Keeps the loaded progress of each job until its open record is read. Invariant: if several records hold a job, the
-// starts in all of them count; a dropped start could let the task run twice (rule `ran_twice`). Not thread-safe: used
-// by the core thread only.
+// Invariant: if several records hold a job, the starts in all of them count; otherwise a task could run twice (rule
+// `ran_twice`, docs/safety.md). Not thread-safe: used by the core thread only.
 #pragma once
 
 #include <map>
@@ -18,24 +18,23 @@
 public:
   struct LoadedJob {
     ProgressRecord progress;
-    ShardIndex shard; // of the newest record with an entry for the job
+    ShardIndex shard; // of the newest entry
   };
 
   ProgressLoader(const StateContext &context, ProgressShards &shards);
 
-  // Loads a record. Returns false if it is unreadable: some tasks may have been started unknown to this leader, so it
-  // must not start any in this term.
+  // Loads a record. Returns false if it is unreadable: the leader must not start tasks then, as any of them may have
+  // been started before.
   [[nodiscard]] bool load(const wire::KeyValue &record);
-  // Returns the loaded progress of a job, or null.
+  // Returns null if nothing was loaded for the job.
   [[nodiscard]] const LoadedJob *find(const Job &job) const;
-  // Called after all open records have been loaded. If accounting is enabled, jobs without an open record become
-  // unsettled (UsageSettlement). Empty shards are marked dirty so that they are deleted.
+  // Called after all open records have been loaded. With accounting, jobs without one become unsettled
+  // (UsageSettlement). Empty shards are marked dirty so that their records are deleted.
   void finish();
   void clear() { loaded_jobs_.clear(); }
 
 private:
-  // Job id and, if another cell delegated the job to this one, the generation of the delegation (0: a local job). The
-  // generation keeps apart the progress of earlier delegations of the same job.
+  // Job id, and the generation of the delegation if another cell delegated the job to this one; 0: a local job.
   using Key = std::pair<std::string, std::uint64_t>;
 
   void merge(const std::string &id, const ProgressRecord &progress, ShardIndex shard);
--- a/include/loftrouter/core/state/progress_shards.hpp
+++ b/include/loftrouter/core/state/progress_shards.hpp
@@ -1,10 +1,9 @@
-// Assigns open jobs to progress shards. A shard is one record that holds the progress of many jobs, which saves writes.
+// Assigns open jobs to progress shards. A shard is one record with the progress of many jobs, which saves writes.
 //
-// Owns the shards as last read or written by this replica, and the JobProgress of each open job. Invariants: an open
-// job stays in its shard for the whole term unless it has to move; space for the largest possible entry is reserved, so
-// that no record exceeds the size limit of the state service; during a move at least one of the two records holds the
-// job. Without them a later leader would not know which tasks were started and would start them again (rule
-// `ran_twice`). Not thread-safe: used by the core thread only.
+// Owns the shards as last read or written by this replica, and the JobProgress of each open job. Invariants: space for
+// the largest possible entry of each job is reserved, so that no record exceeds the size limit of the state service; a
+// job that moves to another shard is in at least one of the two records at any time. Otherwise a later leader could
+// start its tasks again (rule `ran_twice`, docs/safety.md). Not thread-safe: used by the core thread only.
 #pragma once
 
 #include <cstdint>
@@ -16,36 +15,35 @@
 
 namespace loftrouter::core {
 
-// A job that ended under an earlier leader after its last progress write. It stays in its shard until the difference to
-// its end record has been added to the shard's sums (UsageSettlement).
+// A job that ended under an earlier leader after its last progress write. It stays in its shard until the usage since
+// then has been added to the shard's sums (UsageSettlement).
 struct UnsettledJob {
   std::string id;
   ProgressRecord progress;
 };
 
-struct ProgressShard {
+struct ShardState {
   std::string key;
   std::uint64_t mod_revision = 0; // 0: the record doesn't exist
 
   std::vector<JobIndex> jobs;
   std::vector<UnsettledJob> unsettled_jobs;
-  // Jobs that are moving to another shard. This shard is written, without them, once the other is confirmed to hold
-  // them. The other may delete them only after that.
+  // Jobs that are moving to another shard. This shard is not written until the other is confirmed to hold them.
   std::vector<JobIndex> departing_jobs;
-  std::size_t reserved_chars = 0; // characters reserved for the entries of `jobs`
-  bool oversize = false;          // exceeded the present size limit when it was read
+  std::size_t reserved_chars = 0; // for the entries of `jobs`
+  bool oversize = false;          // exceeded the size limit when it was read
 
   bool dirty = false;
-  bool urgent = false;    // something, such as a task start, waits for the write
+  bool urgent = false;    // something, such as a task start, depends on the write
   double dirty_since = 0; // monotonic, s
 
   bool needs_resync = false; // the revision is unknown after a rejected or unanswered write
   bool resyncing = false;    // a read is in flight
-  // Period whose sums an unanswered write may have moved out of this shard; empty: none.
-  std::string rollup_in_doubt;
+  // Period whose sums a write without a reply may have moved out of this shard; empty: none.
+  std::string unconfirmed_rollup;
 };
 
-// Maximum number of concurrent delegations of a job; its entry reserves space for them.
+// Concurrent delegations of a job; its entry reserves space for them.
 inline constexpr std::size_t kMaxDelegationsPerJob = 2;
 
 class ProgressShards {
@@ -53,36 +51,35 @@
   explicit ProgressShards(const StateContext &context);
 
   [[nodiscard]] std::size_t size() const { return shards_.size(); }
-  ProgressShard &operator[](ShardIndex shard) { return shards_[shard.position()]; }
-  const ProgressShard &operator[](ShardIndex shard) const { return shards_[shard.position()]; }
+  ShardState &operator[](ShardIndex shard) { return shards_[shard.position()]; }
+  const ShardState &operator[](ShardIndex shard) const { return shards_[shard.position()]; }
   JobProgress &job(JobIndex job_index) { return job_progress_[job_index.position()]; }
   [[nodiscard]] const JobProgress &job(JobIndex job_index) const { return job_progress_[job_index.position()]; }
 
-  // Adds a shard for a record of an earlier leader. `chars`: length of its value.
+  // Adds the shard of an earlier leader's record with a value of `chars` characters.
   ShardIndex add_loaded(const std::string &key, std::uint64_t mod_revision, std::size_t chars);
 
-  // Assigns a new job to a shard. `loaded_from`: the shard that already holds it; invalid: none.
+  // Assigns a job to a shard. `loaded_from`: the shard that already holds it; invalid: a new job.
   void add_job(JobIndex job_index, ShardIndex loaded_from);
-  // Removes a job; the next write of its shard omits the entry.
   void remove_job(JobIndex job_index);
 
   void mark_dirty(ShardIndex shard, bool urgent);
   // Marks a job's entry, and the shard that holds it, for writing.
   void mark_job_dirty(JobIndex job_index, bool urgent);
-  // Returns whether the shard has neither jobs nor sums, so that its record may be deleted.
+  // Returns whether the record may be deleted.
   [[nodiscard]] bool empty(ShardIndex shard) const;
-  // Returns the shards to write now, most urgent first: urgent ones, and those dirty for at least `max_delay_s`.
+  // Returns the shards to write now: the urgent ones first, then those dirty for at least `max_delay_s`.
   [[nodiscard]] std::vector<ShardIndex> due(double max_delay_s) const;
 
-  // Called after a confirmed write of a job's new shard.
+  // Called after a confirmed write of a job's shard, which completes the first half of a move.
   void on_move_copied(JobIndex job_index);
-  // Called after a confirmed write of a shard, which omits its departing jobs.
+  // Called after a confirmed write of a shard: its departing jobs have moved.
   void on_departures_written(ShardIndex shard);
-  // Shrinks a shard that the state service rejected as too large: reduces the detail of its entries and moves every
-  // second job to another shard.
+  // Shrinks a shard that the state service rejected as too large: moves every second job to another shard, and makes
+  // the task ranges of all its jobs coarser.
   void shrink(ShardIndex shard);
 
-  // Size of a set of tasks in a record, and the maximum size, in characters.
+  // Return the size of a task set in a record, and the maximum size.
   [[nodiscard]] static std::size_t task_set_chars(std::uint32_t tasks);
   [[nodiscard]] std::size_t max_task_set_chars() const;
 
@@ -93,8 +90,8 @@
   [[nodiscard]] std::size_t entry_chars(const Job &job) const;
   [[nodiscard]] std::size_t team_count(ShardIndex shard, const std::string &extra_team) const;
   [[nodiscard]] bool has_space(ShardIndex shard, JobIndex job_index) const;
-  [[nodiscard]] bool write_blocked(const ProgressShard &shard) const;
-  [[nodiscard]] bool is_due(const ProgressShard &shard, double max_delay_s) const;
+  [[nodiscard]] bool write_blocked(const ShardState &shard) const;
+  [[nodiscard]] bool is_due(const ShardState &shard, double max_delay_s) const;
   [[nodiscard]] bool key_in_use(const std::string &key) const;
   [[nodiscard]] ShardIndex find_move_target(JobIndex job_index, ShardIndex from) const;
   ShardIndex add_shard(char name_prefix);
@@ -106,7 +103,7 @@
   const Settings &settings_;
   JobTable &jobs_;
   UsageLedger &ledger_;
-  std::vector<ProgressShard> shards_;
+  std::vector<ShardState> shards_;
   std::vector<JobProgress> job_progress_; // by job index
 };
 
--- a/include/loftrouter/core/state/progress_writer.hpp
+++ b/include/loftrouter/core/state/progress_writer.hpp
@@ -1,9 +1,9 @@
 // Writes progress shards and tracks which writes the state service has confirmed.
 //
 // Invariants: a job's entry never omits a started task; TaskRecordState::start_recorded and completion_recorded reflect
-// confirmed writes only; after a rejected or unanswered write a shard is read back before it is written again. If the
-// first two were broken, a task could run twice after a failover (rule `ran_twice`). Not thread-safe: used by the core
-// thread only.
+// confirmed writes only; after a write that failed a precondition or got no reply, a shard is read back before it is
+// written again. Otherwise a task could run twice after a failover (rule `ran_twice`, docs/safety.md). Not thread-safe:
+// used by the core thread only.
 #pragma once
 
 #include <string>
@@ -21,19 +21,19 @@
 public:
   ProgressWriter(const StateContext &context, ProgressShards &shards, WriteSchedule &schedule);
 
-  // Sets how many pending tasks of a job are recorded as started before they are placed, so that their starts don't
-  // wait for a write.
+  // Sets how many pending tasks of a job are recorded as started before they are placed, so that they need not wait for
+  // a write then.
   void set_prerecorded_tasks(JobIndex job_index, std::uint32_t tasks);
 
-  // Adds shards in the given order, up to the capacity. Those that need a resync are read instead.
+  // Adds shards in this order, up to the capacity. Reads those that need a resync instead.
   void add_shards(const std::vector<ShardIndex> &shards, WriteTransaction &transaction, TransactionCapacity &capacity);
-  // Adds one shard. `without_period`: an accounting period whose sums are omitted; empty: none.
+  // `without_period`: accounting period whose sums are omitted; empty: none.
   void add_shard(ShardIndex shard, WriteTransaction &transaction, const std::string &without_period = {});
 
-  // Handle the outcome of a transaction. `revision`: revision of the written records.
+  // Handle the outcome of a transaction. `revision`: of the written records.
   void on_committed(const WriteTransaction &transaction, std::uint64_t revision);
   void on_outcome_unknown(const WriteTransaction &transaction);
-  // The record at this key has a different revision than the transaction expected.
+  // The revision of the record at this key was not the expected one.
   void on_conflict(const std::string &key);
 
 private:
--- a/include/loftrouter/core/state/shard_index.hpp
+++ b/include/loftrouter/core/state/shard_index.hpp
@@ -1,4 +1,4 @@
-// Index of a progress shard in ProgressShards; valid for one term.
+// Index of a shard in ProgressShards, valid for one term.
 #pragma once
 
 #include "loftrouter/core/runtime/dense_index.hpp"
--- a/include/loftrouter/core/state/state_context.hpp
+++ b/include/loftrouter/core/state/state_context.hpp
@@ -1,5 +1,4 @@
-// Dependencies of the state module, passed to the constructors of its classes. Everything referred to outlives those
-// classes; each keeps references to what it needs.
+// Dependencies of the classes of the state module; all of them outlive these classes.
 #pragma once
 
 #include "loftrouter/core/election/leadership.hpp"
--- a/include/loftrouter/core/state/state_watch.hpp
+++ b/include/loftrouter/core/state/state_watch.hpp
@@ -1,9 +1,8 @@
-// Loads the stored records after this replica is elected, and watches the open records while it leads.
+// Loads the stored records after this replica is elected, and watches and audits the open records while it leads.
 //
-// Progress records are read before open records, and the term begins only after all of both are loaded. Invariant:
-// everything recorded before a time that it confirms to `Cancellations` has been merged into the job table; otherwise a
-// job could be forgotten or a task could run after its cancellation (rules `forgotten`, `ran_cancelled`). Not
-// thread-safe: used by the core thread only.
+// The term begins only after all records have been loaded. Invariant: the job table includes everything recorded before
+// a time that is confirmed to `Cancellations`; otherwise a job could be forgotten or a task could run after its
+// cancellation (rules `forgotten`, `ran_cancelled`, docs/safety.md). Not thread-safe: used by the core thread only.
 #pragma once
 
 #include <functional>
@@ -28,7 +27,7 @@
   void on(const TermEnded &);
 
 private:
-  // Read the progress and open records page by page. `from`: last key of the previous page; empty: the first page.
+  // Read one page. `from`: last key of the previous page; empty: read the first page.
   void load_progress_records(const std::string &from);
   void on_progress_page(const std::string &from, const wire::StoreReply &reply);
   void load_open_records(const std::string &from);
@@ -42,7 +41,7 @@
   void on_audit_page(const wire::StoreReply &reply);
   void audit_records(const std::string &from, const wire::StoreReply &reply);
 
-  // Calls `action` after a delay, unless this replica's role has changed by then.
+  // Calls `action` after a delay, unless the leadership epoch has changed by then.
   void retry_later(std::function<void()> action);
 
   Runtime &runtime_;
@@ -53,11 +52,11 @@
 
   std::uint64_t watched_revision_ = 0; // all changes up to this revision have been loaded
   bool watching_ = false;
-  bool relisting_ = false; // reading all open records again after the watch failed
-  double listed_at_ = 0;   // monotonic, s: when the first page of the current list was requested
+  bool relisting_ = false;       // loading all open records again after the watch failed
+  double list_requested_at_ = 0; // monotonic, s: when the first page was requested
 
   bool auditing_ = false;
-  std::string audited_until_; // last key of the latest audited page; empty: start over
+  std::string audited_until_; // last key of the latest audited page; empty: at the start
   double next_audit_at_ = 0;  // monotonic, s
 };
 
--- a/include/loftrouter/core/state/state_writer.hpp
+++ b/include/loftrouter/core/state/state_writer.hpp
@@ -1,13 +1,10 @@
-// Writes the leader's records to the state service: started and finished tasks (progress), job ends, and team usage.
+// Loads the leader's records from the state service and writes them, in one transaction at a time: started and finished
+// tasks (progress), job ends, and team usage.
 //
-// Combines the classes of this module and sends one transaction at a time. Invariants: every write is conditional on
-// the revisions of the leader key and of each record it contains; start_recorded and completion_recorded reflect
-// confirmed writes only; no record omits a started task. Without them a task could run twice after a failover (rule
-// `ran_twice`), or a job be reported done and later as open again (rule `went_back`). Not thread-safe: used by the core
-// thread only.
-//
-// Parts: ProgressLoader and OpenRecordLoader load records, ProgressShards and ProgressWriter write progress,
-// EndRecordWriter and EndRecordCompaction write job ends, UsageSettlement and PeriodRollup maintain usage sums.
+// Invariants: every write is conditional on the revisions of the leader key and of each record it contains;
+// start_recorded and completion_recorded reflect confirmed writes only; no record omits a started task. Otherwise a
+// task could run twice after a failover (rule `ran_twice`, docs/safety.md), or a job could be reported done and later
+// as open again (rule `went_back`). Not thread-safe: used by the core thread only.
 #pragma once
 
 #include <set>
@@ -32,16 +29,16 @@
 class StateWriter {
 public:
   explicit StateWriter(const StateContext &context);
-  StateWriter(const StateWriter &) = delete; // its parts refer to each other
+  StateWriter(const StateWriter &) = delete; // its members refer to each other
   StateWriter &operator=(const StateWriter &) = delete;
 
-  // Marks a task as possibly running on a machine, now or earlier. Never reset.
+  // Marks a task as started: it may be running on a machine, or may have been.
   void mark_started(JobIndex job_index, std::uint32_t task) { shards_.job(job_index).tasks[task].started = true; }
-  // Returns whether the state service has recorded the start; only then may the worker be told to start the task.
+  // Returns whether a worker may be told to start the task: only after its start has been recorded.
   [[nodiscard]] bool start_recorded(JobIndex job_index, std::uint32_t task) const {
     return shards_.job(job_index).tasks[task].start_recorded;
   }
-  // Returns whether the state service has recorded the completion; only then may the worker forget the task.
+  // Returns whether the worker may forget the task: only after its completion has been recorded.
   [[nodiscard]] bool completion_recorded(JobIndex job_index, std::uint32_t task) const {
     return shards_.job(job_index).tasks[task].completion_recorded;
   }
@@ -50,25 +47,24 @@
     progress_writer_.set_prerecorded_tasks(job_index, tasks);
   }
 
-  // Loads a progress record. Called between election and term start, before the open records. Returns false if the
-  // record is unreadable, see ProgressLoader::load.
+  // Loads a progress record. Called before the open records are loaded. Returns false if it is unreadable
+  // (ProgressLoader::load).
   [[nodiscard]] bool load_progress_record(const wire::KeyValue &record) { return progress_loader_.load(record); }
-  // Loads an open record that holds the end of its job and has not been compacted yet; ignores other open records.
+  // Loads an open record if it holds the end of its job (EndRecordCompaction).
   void load_end_record(const wire::KeyValue &record);
-  // Loads an open record, at startup of the term and whenever it has changed.
+  // See OpenRecordLoader::load.
   void load_open_record(const std::string &key, const wire::Json &value, std::uint64_t mod_revision) {
     open_records_.load(key, value, mod_revision);
   }
 
   // See OpenRecordLoader::audit.
   [[nodiscard]] std::string_view audit_open_record(const wire::KeyValue &record) { return open_records_.audit(record); }
-  // Reads the records of the jobs returned by OpenRecordLoader::absent_jobs, and returns the keys of their open
+  // Updates the jobs of OpenRecordLoader::absent_jobs from their stored records. Returns the keys of their open
   // records.
   std::vector<std::string> resync_absent_jobs(const std::string &from, const std::string &to,
                                               const std::set<std::string> &listed, std::uint64_t revision);
 
-  // Sends the next transaction if there is something to write, none is in flight and the write budget allows it. Called
-  // at the end of each batch of commands.
+  // Sends the next transaction if there is something to write, none is in flight and the write budget allows it.
   void flush();
 
   void on(const LeaderElected &) { progress_loader_.clear(); }
@@ -84,7 +80,7 @@
   void on_not_applied(const WriteTransaction &transaction, const wire::StoreReply &reply);
   void on_conflict(const std::vector<std::string> &keys);
   void on_outcome_unknown(const WriteTransaction &transaction);
-  void on_refused(const WriteTransaction &transaction);
+  void on_rejected(const WriteTransaction &transaction);
   void reduce_size(const WriteTransaction &transaction);
   [[nodiscard]] std::string describe(const WriteTransaction &transaction) const;
   void requeue(const WriteTransaction &transaction);
@@ -105,7 +101,7 @@
   EndRecordWriter end_records_;
   UsageSettlement settlement_;
   PeriodRollup rollup_;
-  bool ends_first_ = false; // whether the latest transaction put ends before progress; alternates
+  bool ends_first_ = false; // whether the latest transaction took job ends before progress
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/state/usage_ledger.hpp
+++ b/include/loftrouter/core/state/usage_ledger.hpp
@@ -1,10 +1,9 @@
 // Accounts for the resources that each team's jobs use while this replica leads, and compares them with team budgets.
 //
 // Owns the usage account of each open job and, for every progress shard, the sums by period and team of all jobs that
-// have been in it. A job's account and the sums are in the same record, so that a single write updates both.
-// Invariants: a job's account, including its uncertain part, is never less than what its tasks have held, across
-// failovers; sums and accounts add up exactly. Without them a team could exceed its budget, or a statement would not
-// add up (docs/accounts.md). Not thread-safe: used by the core thread only.
+// have been in it; one write stores both. Invariants: a job's account, including its uncertain part, is never less than
+// what its tasks have held, also after failovers; sums and accounts add up exactly. Otherwise a team could exceed its
+// budget, or a statement would not add up (docs/accounts.md). Not thread-safe: used by the core thread only.
 #pragma once
 
 #include <string>
@@ -24,47 +23,45 @@
   UsageLedger(Runtime &runtime, const Settings &settings, const InstanceTypeCatalog &catalog, JobTable &jobs,
               const Operators &operators);
 
-  // Returns whether accounting is enabled (Settings::accounts). If not, nothing is charged.
+  // If accounting is not enabled, nothing is charged.
   [[nodiscard]] bool enabled() const { return settings_.accounts; }
 
-  // Opens the account of a new job. `shard`: the shard whose sums are charged, even if the job moves later.
+  // Opens the account of a job. `shard`: its sums are charged, even if the job moves later.
   void open_account(JobIndex job_index, ShardIndex shard);
   // Restores an account written by an earlier leader.
   void restore_account(JobIndex job_index, const ProgressRecord &written);
-  // Returns the job's usage for its end record. While that is being written (Job::ending), further charges are
-  // deferred: they are applied if the write fails, and discarded otherwise.
+  // Returns the job's usage, for its end record. Charges while that is being written (Job::ending) are applied only if
+  // the write fails.
   accounts::Usage current_usage(JobIndex job_index);
-  // Charges the usage of the job in another cell.
+  // Charges usage of the job in another cell.
   void charge_remote_usage(JobIndex job_index, const accounts::Usage &usage);
-  // Returns whether the account has charges that were not written yet. A write of its shard's sums must include the
-  // account then.
+  // Returns whether a write of the shard's sums must include the account.
   [[nodiscard]] bool has_unwritten_charges(JobIndex job_index) const;
-  // Reduces the sums to the usage in the end record, after a write of the end turns out to have succeeded and more has
-  // been charged since.
+  // Removes from the sums what was charged after the end record was written. Called if that write had no reply.
   void reduce_to_recorded(JobIndex job_index, const accounts::Usage &recorded);
-  // Fills in the account fields of a progress record that is about to be written.
-  void write_account(JobIndex job_index, ProgressRecord &record);
+  // Brings the account up to date and copies it into a progress record that is about to be written.
+  void update_and_copy_account(JobIndex job_index, ProgressRecord &record);
 
   [[nodiscard]] const SumsByTeam &sums(ShardIndex shard) const;
   void load_sums(ShardIndex shard, SumsByTeam sums);
-  // Adds the usage of a job that is no longer open to the sums of the current period.
+  // Adds usage to the sums of the current period.
   void charge_to_sums(ShardIndex shard, const std::string &team, const accounts::Usage &usage, const Resources &need);
-  // Returns the name of the oldest period in the shard's sums that has ended; empty: none.
+  // Returns the oldest period in the shard's sums that has ended; empty: none.
   [[nodiscard]] std::string oldest_past_period(ShardIndex shard);
-  // Removes the period's sums, which are now kept in the period's own record.
+  // Called after a rollup has moved the period's sums out of the shard (PeriodRollup).
   void remove_period(ShardIndex shard, const std::string &period);
 
-  // Below, `team` is an index of Settings::teams; negative: none.
+  // `team`: index of Settings::teams; negative: none.
 
-  // Returns the team's usage in the current period, including running attempts, as of the last tick: thousandths of a
-  // CPU times ms.
+  // Returns the team's usage in the current period, including running attempts, as of the last tick, in thousandths of
+  // a CPU times ms.
   [[nodiscard]] std::int64_t used(int team) const;
-  // Returns the team's budget, or null.
+  // Returns null if the team has no budget.
   [[nodiscard]] const wire::TeamBudget *budget(int team) const;
   [[nodiscard]] bool budget_exhausted(int team) const;
   [[nodiscard]] bool budget_warning_due(int team) const;
 
-  // Updates `used`, and logs budgets that became exhausted or available again.
+  // Updates the teams' usage, and logs budgets that became exhausted or available again.
   void tick();
 
   void on(const TaskAllocated &event);
@@ -77,17 +74,16 @@
     accounts::Usage usage;
     accounts::Usage deferred; // charged while the job's end was being written
     ShardIndex shard;
-    // Attempts that hold an allocation, and the sum of their start times (monotonic, ms).
-    std::int64_t attempts_in_flight = 0;
-    std::int64_t held_since_ms = 0;
-    std::int64_t written_at_ms = 0; // wall clock; 0: never. Unaccounted tasks are charged up to this time
+    std::int64_t attempts_in_flight = 0;  // attempts that hold an allocation
+    std::int64_t allocated_at_sum_ms = 0; // sum of the times at which these were allocated (monotonic)
+    std::int64_t written_at_ms = 0;       // wall clock, 0: never; unaccounted tasks are charged up to this time
     bool has_unwritten_charges = false;
   };
   struct Period {
     std::string name;
     double begin = 0; // wall clock, s
     double end = -1;
-    accounts::Clock clock; // that defines the period
+    accounts::Clock clock; // defines the period
   };
 
   Account &account(JobIndex job_index) { return accounts_[job_index.position()]; }
@@ -109,7 +105,7 @@
   std::vector<Account> accounts_;      // by job index
   std::vector<SumsByTeam> sums_;       // by shard index
   std::vector<std::int64_t> used_;     // by team index
-  std::vector<bool> logged_exhausted_; // by team index: the last logged state
+  std::vector<bool> logged_exhausted_; // by team index
   double next_tick_at_ = 0;            // monotonic, s
   Period period_;
 };
--- a/include/loftrouter/core/state/usage_settlement.hpp
+++ b/include/loftrouter/core/state/usage_settlement.hpp
@@ -1,10 +1,9 @@
 // Completes the usage sums after a failover, for jobs that ended under an earlier leader after their last progress
 // write.
 //
-// Reads the end records of these jobs one at a time, and adds the usage that the last progress record lacks to the sums
-// of its shard. Invariant: the sums of a shard are exactly those of all jobs that have ever been in it
-// (docs/accounts.md). Only jobs that ended within the delay of a progress write are read. Not thread-safe: used by the
-// core thread only.
+// Reads their end records one at a time, and adds the usage that the progress record lacks to the sums of its shard.
+// Invariant: the sums of a shard are exactly those of all jobs that have ever been in it (docs/accounts.md). Not
+// thread-safe: used by the core thread only.
 #pragma once
 
 #include <optional>
@@ -20,9 +19,9 @@
 public:
   UsageSettlement(const StateContext &context, ProgressShards &shards, const EndRecordCompaction &compaction);
 
-  // Settles the next unsettled job, unless there is none or a read is in flight.
+  // Settles the next unsettled job, if there is one and no read is in flight.
   void settle_next();
-  // Called at the end of the term; replies to reads in flight are ignored.
+  // Called at the end of the term.
   void clear() { reading_ = false; }
 
 private:
--- a/include/loftrouter/core/state/write_transaction.hpp
+++ b/include/loftrouter/core/state/write_transaction.hpp
@@ -1,4 +1,4 @@
-// One compare-and-swap transaction of the leader: its writes, and the data needed to handle its outcome.
+// A compare-and-swap transaction of the leader, with the data needed to handle its outcome.
 #pragma once
 
 #include <cstddef>
@@ -14,12 +14,12 @@
 // An end record stored in the open record of its job, to be moved to its own key later.
 struct PendingCompaction {
   std::string id;                 // job id
-  std::uint64_t mod_revision = 0; // revision of the open record that holds the end
+  std::uint64_t mod_revision = 0; // of the open record
   wire::Json end;
 };
 
 // Conditional on the revision of the leader key, so that a former leader's writes fail, and on the revision of every
-// record written, so that of an unanswered transaction and its successor at most one is applied.
+// record written, so that at most one of a transaction without a reply and its successor is applied.
 struct WriteTransaction {
   // `term`: revision of the leader key, which serves as fencing token.
   explicit WriteTransaction(std::uint64_t term) : preconditions{{std::string(wire::kLeaderKey), term}} {}
@@ -27,26 +27,26 @@
   std::vector<wire::Precondition> preconditions;
   std::vector<wire::Mutation> writes;
 
-  std::vector<std::string> progress_jobs;     // ids of jobs whose entries were rebuilt for it
-  std::vector<std::string> ended_jobs;        // ids of jobs whose ends it writes
-  std::vector<PendingCompaction> compactions; // moves of end records that it contains
-  std::vector<ShardIndex> shards;             // shards that it writes
+  std::vector<std::string> progress_jobs; // ids of jobs with new entries
+  std::vector<std::string> ended_jobs;    // ids
+  std::vector<PendingCompaction> compactions;
+  std::vector<ShardIndex> shards;
   std::vector<ShardIndex> deleted_shards;
-  std::string rolled_up_period; // period whose sums it moves out of its only shard; empty: none
+  std::string rolled_up_period; // period whose sums move out of the only shard (PeriodRollup); empty: none
   std::size_t approximate_bytes = 0;
 };
 
-// Limits the size of one transaction. After the first item that doesn't fit nothing else fits, so that smaller items
-// can't starve a larger one.
+// Limits the size of a transaction. Once an item didn't fit nothing else does, so that smaller items can't starve a
+// larger one.
 class TransactionCapacity {
 public:
-  // `write_budget`: number of writes that the leader may make now.
+  // `write_budget`: writes that the leader may make now.
   TransactionCapacity(std::size_t max_operations, double write_budget)
       : max_operations_(max_operations), write_budget_(write_budget) {}
 
   [[nodiscard]] bool full() const { return full_; }
 
-  // Returns whether `transaction` has capacity for this many more operations.
+  // Returns whether `transaction` has capacity for so many more operations.
   [[nodiscard]] bool fits(const WriteTransaction &transaction, std::size_t operations) {
     const std::size_t total = transaction.writes.size() + operations;
     full_ |= total > max_operations_ || static_cast<double>(total) > write_budget_ ||
--- a/src/core/state/cancellations.cpp
+++ b/src/core/state/cancellations.cpp
@@ -7,8 +7,8 @@
 namespace {
 // Time from a stop command or lease expiry until the task has exited, plus a margin for clock steps.
 constexpr double kMaxStopDelay = 2.5; // s
-// Lower limit of the accepted age, for a `cancel_s` too short for lease expiry to stop tasks in time. While replicas
-// and the state service respond, cancellations arrive sooner than this and stop commands end the tasks.
+// Used if `cancel_s` is too short for lease expiry to stop tasks in time. Stop commands then end them, and arrive in
+// time as long as the replicas and the state service respond.
 constexpr double kMinAcceptedAge = 5.0; // s
 } // namespace
 
@@ -16,13 +16,12 @@
     : runtime_(runtime), settings_(settings), leadership_(leadership), jobs_(jobs),
       confirmed_by_replica_(settings.replicas.size(), kNever) {}
 
-// Returns whether this replica has a job table in which cancellations are marked.
-bool Cancellations::tracking() const {
+bool Cancellations::has_job_table() const {
   return leadership_.role() == Role::Loading || leadership_.role() == Role::Leading;
 }
 
-// Marks the job as cancelled, or remembers the id until the job is added to the table. Returns false if the id could
-// not be remembered.
+// Marks the job as cancelled, or keeps the id until the job is added to the table. Returns false if there is no space
+// for the id.
 bool Cancellations::mark_cancelled(const std::string &id) {
   if (const JobIndex job_index = jobs_.index(id); job_index.valid()) {
     jobs_.cancel(job_index);
@@ -34,19 +33,19 @@
 }
 
 void Cancellations::record(const std::string &id) {
-  recorded_here_.push_back({id, runtime_.now()});
-  // Dropping the oldest is safe: reports hold fewer ids than this, and it has expired before the rest could be
-  // reported.
-  if (recorded_here_.size() > kMaxRecorded) recorded_here_.pop_front();
-  if (tracking() && !mark_cancelled(id)) dropped_at_ = runtime_.now();
+  own_cancellations_.push_back({id, runtime_.now()});
+  // Dropping the oldest is safe: it expires before `recent` is complete again.
+  if (own_cancellations_.size() > kMaxRecorded) own_cancellations_.pop_front();
+  if (has_job_table() && !mark_cancelled(id)) dropped_at_ = runtime_.now();
 }
 
 std::vector<std::string> Cancellations::recent() {
-  std::erase_if(recorded_here_, [this](const RecordedCancellation &cancellation) {
+  std::erase_if(own_cancellations_, [this](const RecordedCancellation &cancellation) {
     return runtime_.now() - cancellation.recorded_at > settings_.cancel_s;
   });
   std::vector<std::string> ids;
-  for (auto it = recorded_here_.rbegin(); it != recorded_here_.rend() && ids.size() < wire::kPeerMaxCancelled; ++it)
+  for (auto it = own_cancellations_.rbegin(); it != own_cancellations_.rend() && ids.size() < wire::kPeerMaxCancelled;
+       ++it)
     ids.push_back(it->id);
   return ids;
 }
@@ -58,21 +57,21 @@
 
 void Cancellations::confirm_from_replica(std::size_t replica, double requested_at, double uptime_s,
                                          const std::vector<std::string> &ids) {
-  if (!tracking()) return;
+  if (!has_job_table()) return;
   bool complete = ids.size() < wire::kPeerMaxCancelled; // a full report may omit some
   for (const auto &id : ids)
     if (!mark_cancelled(id)) complete = false;
-  // The report covers what was recorded since the later of the replica's process start and `cancel_s` ago by its clock.
-  // It extends the known time only if it leaves no gap.
+  // The report lacks what was recorded before the replica's process started or more than `cancel_s` ago by its clock.
+  // If that leaves a gap after the time confirmed so far, it confirms nothing.
   const double covered_from = std::max(runtime_.now() - uptime_s * (1 - kMaxClockDrift),
                                        runtime_.now() - settings_.cancel_s * (1 - kMaxClockDrift));
   double &confirmed = confirmed_by_replica_[replica];
-  const bool continues = std::max(confirmed, confirmed_by_state_service_) >= covered_from;
-  if (complete && continues) confirmed = std::max(confirmed, requested_at);
+  const bool gapless = std::max(confirmed, confirmed_by_state_service_) >= covered_from;
+  if (complete && gapless) confirmed = std::max(confirmed, requested_at);
 }
 
 double Cancellations::known_until() const {
-  double by_replicas = runtime_.now(); // this replica's own records are always known
+  double by_replicas = runtime_.now();
   for (double confirmed : confirmed_by_replica_)
     by_replicas = std::min(by_replicas, std::max(confirmed, confirmed_by_state_service_));
   if (dropped_at_ > confirmed_by_state_service_) return confirmed_by_state_service_;
--- a/src/core/state/end_record_compaction.cpp
+++ b/src/core/state/end_record_compaction.cpp
@@ -8,7 +8,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kMinWriteBudgetShare = 0.4; // of the writes per second
+constexpr double kMinWriteBudgetShare = 0.4; // of Settings::state_write_rps
 constexpr std::size_t kOperationsPerMove = 2;
 
 bool contains(const std::vector<std::string> &keys, const std::string &key) {
--- a/src/core/state/end_record_writer.cpp
+++ b/src/core/state/end_record_writer.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kEndRecordBytes = 600; // typical
 constexpr double kReadDeadline = 1.0;        // s
 
-// Returns the record in the reply to a read, or null if the read failed or found nothing.
+// Returns the record that was read, or null.
 const wire::KeyValue *record_in(const wire::StoreReply &reply) {
   return reply.status == 200 && reply.entries.size() == 1 ? &reply.entries[0] : nullptr;
 }
@@ -43,7 +43,7 @@
   const std::size_t operations = in_place ? 1 : 2;
   for (std::size_t remaining = queue_.size(); remaining > 0 && !capacity.full(); --remaining) {
     const JobIndex job_index = queue_.front();
-    if (!jobs_[job_index].finishable()) { // a task of a cancelled job was found running
+    if (!jobs_[job_index].finishable()) { // a worker still runs a task of the cancelled job
       queue_.pop_front();
       end_state(job_index).queued = false;
       shards_.mark_job_dirty(job_index, false);
@@ -58,7 +58,7 @@
   }
 }
 
-// A job can't end while it moves between progress records, because its usage would be counted twice.
+// A job must not end while two progress records hold it: its usage would be counted twice.
 bool EndRecordWriter::ready_to_write(JobIndex job_index) {
   if (shards_.job(job_index).moving_from.valid()) return false;
   if (!end_state(job_index).needs_resync) return true;
@@ -197,7 +197,7 @@
   if (end) remove_ended(job_index, std::move(*end));
 }
 
-// Removes a job whose end this leader wrote in a transaction without a reply.
+// Removes a job whose end turned out to be stored.
 void EndRecordWriter::remove_ended(JobIndex job_index, EndRecord end) {
   if (end.usage) ledger_.reduce_to_recorded(job_index, *end.usage);
   ended_jobs_.remember(jobs_[job_index].spec.id, std::move(end));
--- a/src/core/state/open_record_loader.cpp
+++ b/src/core/state/open_record_loader.cpp
@@ -24,8 +24,7 @@
                  {{"key", key.substr(0, kMaxLoggedKey)}, {"then", "left unchanged"}});
     return;
   }
-  // Ignores a value that predates the end that this leader has written.
-  if (ended_jobs_.find(record->spec.id)) return;
+  if (ended_jobs_.find(record->spec.id)) return; // the record was read before this leader ended the job
   const JobIndex job_index = jobs_.index(record->spec.id);
   if (!job_index.valid()) return add_job(std::move(*record), mod_revision);
   if (jobs_.update_mod_revision(job_index, mod_revision) && record->cancelled) jobs_.cancel(job_index);
--- a/src/core/state/period_rollup.cpp
+++ b/src/core/state/period_rollup.cpp
@@ -19,7 +19,7 @@
 
 bool PeriodRollup::can_roll_up(ShardIndex shard, const std::string &period) {
   if (period.empty() || excluded_periods_.contains(period)) return false;
-  if (shards_[shard].needs_resync || !shards_[shard].rollup_in_doubt.empty()) return false;
+  if (shards_[shard].needs_resync || !shards_[shard].unconfirmed_rollup.empty()) return false;
   return state_limits_.leader_writes_available(runtime_.now()) >= kWritesPerRollup;
 }
 
@@ -31,7 +31,7 @@
   }
 }
 
-// Reads the period's record. Blocks other transactions until the reply arrives.
+// Other transactions wait for the reply, because the rollup depends on it.
 void PeriodRollup::read_period(ShardIndex shard, const std::string &period) {
   schedule_.in_flight = true;
   runtime_.store(StoreGet{wire::accounts_key(period)}, kReadDeadline,
@@ -48,7 +48,7 @@
   if (reply.status != 200 || reply.entries.size() != 1) return;
   if (auto sums = wire::sums_from_json(reply.entries[0].value))
     return move_sums(shard, period, std::move(*sums), reply.entries[0].mod_revision);
-  exclude(period);
+  exclude(period); // an unreadable record is never overwritten
   runtime_.log(LogLevel::Error, "record_rejected", {{"key", wire::accounts_key(period)}, {"then", "left unchanged"}});
 }
 
--- a/src/core/state/progress_shards.cpp
+++ b/src/core/state/progress_shards.cpp
@@ -15,20 +15,20 @@
 namespace {
 // Sizes are in characters.
 constexpr double kMaxShardShare = 0.95;       // of the maximum value size
-constexpr double kTaskSetsPerValue = 5;       // task sets of maximum size that fill a value
+constexpr double kTaskSetsPerValue = 5;       // number of task sets of maximum size that fill a value
 constexpr std::size_t kEntryChars = 85;       // a job's entry without its two task sets
-constexpr std::size_t kAccountChars = 130;    // a job's entry with account, without its id and one task set
-constexpr std::size_t kSumsChars = 130;       // a team's sums in two periods, at the turn of a period
-constexpr std::size_t kDelegationChars = 230; // a delegation: names, account, a few task ranges
-constexpr std::size_t kTasksPerHexDigit = 4;  // in a task set written as a bitmap
+constexpr std::size_t kAccountChars = 130;    // a job's entry with its account, without id and one task set
+constexpr std::size_t kSumsChars = 130;       // a team's sums of two periods
+constexpr std::size_t kDelegationChars = 230; // a delegation with names, account and a few task ranges
+constexpr std::size_t kTasksPerHexDigit = 4;  // in the bitmap of a task set
 constexpr std::size_t kBitmapExtraChars = 3;  // quotes and rounding
 
-// Prefixes of shard names. Records of moved jobs must sort last: for a job in two records, earlier versions use the
-// entry read last.
+// Prefixes of shard names. Records with moved jobs must sort last: earlier versions use the entry read last if a job is
+// in two records.
 constexpr char kShardNamePrefix = 's';
 constexpr char kMovedShardNamePrefix = 't';
 
-bool has_write_priority(const ProgressShard &left, const ProgressShard &right) {
+bool has_write_priority(const ShardState &left, const ShardState &right) {
   return std::pair(!left.urgent, left.dirty_since) < std::pair(!right.urgent, right.dirty_since);
 }
 } // namespace
@@ -53,8 +53,8 @@
   return static_cast<std::size_t>(settings_.state_value_kb * 1024 * kMaxShardShare);
 }
 
-// Returns the characters to reserve for a job's entry. With accounting, one of the two task sets is short: tasks start
-// in order, so the started ones form a single range.
+// Returns the maximum size of a job's entry. With accounting, only one of the two task sets can be long: tasks start in
+// order, so the started ones form a single range.
 std::size_t ProgressShards::entry_chars(const Job &job) const {
   const std::size_t task_set = std::min(task_set_chars(job.spec.tasks), max_task_set_chars());
   const std::size_t delegations = settings_.cells.name.empty() ? 0 : kMaxDelegationsPerJob * kDelegationChars;
@@ -71,8 +71,8 @@
   return teams.size();
 }
 
-// Returns whether the job fits into the shard, together with the sums of the shard's teams, which take up to half of
-// the record. Teams are counted only if that decides, because a failover tries every job on every shard.
+// Returns whether the job fits into the shard, beside the sums of the shard's teams, for which up to half of the record
+// is reserved. Counts teams only if needed, because a failover tries every job on every shard.
 bool ProgressShards::has_space(ShardIndex shard, JobIndex job_index) const {
   const std::size_t chars = (*this)[shard].reserved_chars + entry_chars(jobs_[job_index]);
   const std::size_t max_chars = max_shard_chars();
@@ -85,7 +85,7 @@
 }
 
 ShardIndex ProgressShards::add_loaded(const std::string &key, std::uint64_t mod_revision, std::size_t chars) {
-  ProgressShard loaded;
+  ShardState loaded;
   loaded.key = key;
   loaded.mod_revision = mod_revision;
   loaded.oversize = chars > max_shard_chars();
@@ -94,7 +94,7 @@
 }
 
 bool ProgressShards::key_in_use(const std::string &key) const {
-  return std::any_of(shards_.begin(), shards_.end(), [&](const ProgressShard &shard) { return shard.key == key; });
+  return std::any_of(shards_.begin(), shards_.end(), [&](const ShardState &shard) { return shard.key == key; });
 }
 
 ShardIndex ProgressShards::add_shard(char name_prefix) {
@@ -102,7 +102,7 @@
   std::string key = wire::progress_key(fmt::format("{}{}", name_prefix, number));
   while (key_in_use(key))
     key = wire::progress_key(fmt::format("{}{}", name_prefix, ++number));
-  ProgressShard new_shard;
+  ShardState new_shard;
   new_shard.key = std::move(key);
   shards_.push_back(std::move(new_shard));
   return ShardIndex(shards_.size() - 1);
@@ -115,7 +115,7 @@
   assign(job_index, loaded_from);
 }
 
-// Assigns the job to the shard that already holds it, unless that no longer fits because the size limit was lowered.
+// A job stays in the shard that already holds it, unless the size limit was lowered and it no longer fits.
 void ProgressShards::assign(JobIndex job_index, ShardIndex loaded_from) {
   if (loaded_from.valid()) {
     const bool fits = has_space(loaded_from, job_index) || (*this)[loaded_from].jobs.empty();
@@ -135,7 +135,7 @@
 void ProgressShards::remove_job(JobIndex job_index) {
   const JobProgress &progress = job(job_index);
   if (progress.moving_from.valid()) std::erase((*this)[progress.moving_from].departing_jobs, job_index);
-  ProgressShard &shard = (*this)[progress.shard];
+  ShardState &shard = (*this)[progress.shard];
   std::erase(shard.jobs, job_index);
   shard.reserved_chars -= entry_chars(jobs_[job_index]);
   mark_dirty(progress.shard, false);
@@ -151,8 +151,8 @@
   return {};
 }
 
-// Starts moving a job to another shard. Each step is safe by itself: a job in two records counts as started as far as
-// either says, and its usage is that of the newer one (ProgressLoader). Sums stay in the shard where they were charged.
+// Starts moving a job to another shard. A failover at any time is safe, because ProgressLoader merges the entries of a
+// job in two records. The job's usage stays in the sums of the old shard.
 void ProgressShards::move_job(JobIndex job_index, ShardIndex from) {
   const ShardIndex target = find_move_target(job_index, from);
   add_to_shard(job_index, target.valid() ? target : add_shard(kMovedShardNamePrefix));
@@ -190,7 +190,7 @@
 }
 
 void ProgressShards::mark_dirty(ShardIndex shard, bool urgent) {
-  ProgressShard &marked = (*this)[shard];
+  ShardState &marked = (*this)[shard];
   if (!marked.dirty) marked.dirty_since = runtime_.now();
   marked.dirty = true;
   marked.urgent |= urgent;
@@ -205,15 +205,15 @@
   return (*this)[shard].jobs.empty() && (*this)[shard].unsettled_jobs.empty() && ledger_.sums(shard).empty();
 }
 
-// A shard must not be written while a departing job is not confirmed in its new record, or while an oversize shard
-// still has unsettled jobs.
-bool ProgressShards::write_blocked(const ProgressShard &shard) const {
+// Returns whether a write would lose a departing job that its new record is not confirmed to hold, or would be rejected
+// because unsettled jobs, which can't move, may exceed the size limit.
+bool ProgressShards::write_blocked(const ShardState &shard) const {
   if (shard.oversize && !shard.unsettled_jobs.empty()) return true;
   return std::any_of(shard.departing_jobs.begin(), shard.departing_jobs.end(),
                      [this](JobIndex job_index) { return !job(job_index).copy_recorded; });
 }
 
-bool ProgressShards::is_due(const ProgressShard &shard, double max_delay_s) const {
+bool ProgressShards::is_due(const ShardState &shard, double max_delay_s) const {
   if (!shard.dirty || write_blocked(shard)) return false;
   return shard.urgent || runtime_.now() - shard.dirty_since >= max_delay_s;
 }
--- a/src/core/state/progress_writer.cpp
+++ b/src/core/state/progress_writer.cpp
@@ -8,9 +8,9 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr std::size_t kEntryBytes = 85;           // of an entry, without its two task sets
-constexpr std::size_t kMaxRangeChars = 14;        // of one task range in a record
-constexpr std::uint32_t kMaxPrerecordedGang = 64; // tasks; starts of larger gangs are recorded at placement
+constexpr std::size_t kEntryBytes = 85;           // a job's entry without its two task sets
+constexpr std::size_t kMaxRangeChars = 14;        // a task range in a record
+constexpr std::uint32_t kMaxPrerecordedGang = 64; // tasks; larger gangs are recorded when placed
 constexpr int kMaxSizeReductions = 8;
 constexpr double kReadDeadline = 1.0; // s
 
@@ -38,8 +38,8 @@
   if (available < (tasks + 1) / 2) jobs_.changed(job_index, true);
 }
 
-// Marks the next pending tasks as started before they are placed. Marking too many is safe: after a failover they wait
-// until worker leases have expired.
+// Marks the next pending tasks as started. Marking tasks that are not placed is safe: after a failover they wait until
+// worker leases have expired.
 void ProgressWriter::prerecord_starts(JobIndex job_index) {
   const Job &job = jobs_[job_index];
   if (job.cancelled || !dependencies_.ready(job_index)) return;
@@ -68,7 +68,7 @@
   return record;
 }
 
-// Limits the size of the task ranges. Rounding may add started tasks and omit finished ones, never the reverse.
+// Limits the size of the task ranges. May add started tasks and omit finished ones, never the reverse.
 void ProgressWriter::limit_size(ProgressRecord &record, JobIndex job_index) const {
   const int size_reductions = std::min(shards_.job(job_index).size_reductions, kMaxSizeReductions);
   const std::size_t max_chars = shards_.max_task_set_chars() >> size_reductions;
@@ -78,7 +78,7 @@
   record.finished = narrow(std::move(record.finished), max_ranges);
 }
 
-// Notes the state covered by this write. Tasks placed or completed later need another write.
+// Tasks placed or completed after this need another write.
 void ProgressWriter::snapshot_written_state(JobIndex job_index) {
   const Job &job = jobs_[job_index];
   JobProgress &progress = shards_.job(job_index);
@@ -94,7 +94,7 @@
 void ProgressWriter::build_entry(JobIndex job_index, WriteTransaction &transaction) {
   prerecord_starts(job_index);
   ProgressRecord record = progress_record(job_index);
-  ledger_.write_account(job_index, record);
+  ledger_.update_and_copy_account(job_index, record);
   shards_.job(job_index).entry = wire::to_json(record);
   snapshot_written_state(job_index);
   shards_.job(job_index).dirty = false;
@@ -123,21 +123,21 @@
 }
 
 void ProgressWriter::add_shard(ShardIndex shard, WriteTransaction &transaction, const std::string &without_period) {
-  ProgressShard &written = shards_[shard];
-  for (JobIndex job_index : written.jobs) {
+  ShardState &state = shards_[shard];
+  for (JobIndex job_index : state.jobs) {
     if (shards_.job(job_index).dirty || ledger_.has_unwritten_charges(job_index)) build_entry(job_index, transaction);
     transaction.approximate_bytes += jobs_[job_index].spec.tasks / 2 + kEntryBytes;
   }
-  transaction.preconditions.push_back({written.key, written.mod_revision});
+  transaction.preconditions.push_back({state.key, state.mod_revision});
   if (shards_.empty(shard)) {
-    transaction.writes.push_back({written.key, std::nullopt, 0});
+    transaction.writes.push_back({state.key, std::nullopt, 0});
     transaction.deleted_shards.push_back(shard);
   } else {
-    transaction.writes.push_back({written.key, shard_value(shard, without_period), 0});
+    transaction.writes.push_back({state.key, shard_value(shard, without_period), 0});
     transaction.shards.push_back(shard);
   }
-  written.dirty = false;
-  written.urgent = false;
+  state.dirty = false;
+  state.urgent = false;
 }
 
 void ProgressWriter::on_committed(const WriteTransaction &transaction, std::uint64_t revision) {
@@ -146,7 +146,7 @@
   for (ShardIndex shard : transaction.shards) {
     shards_.on_departures_written(shard);
     shards_[shard].mod_revision = revision;
-    shards_[shard].rollup_in_doubt.clear(); // earlier writes can no longer be applied
+    shards_[shard].unconfirmed_rollup.clear(); // earlier writes can no longer be applied
     if (!transaction.rolled_up_period.empty()) ledger_.remove_period(shard, transaction.rolled_up_period);
   }
   for (ShardIndex shard : transaction.deleted_shards) {
@@ -178,19 +178,19 @@
   progress.delegations_recorded = progress.delegations_in_write;
 }
 
-// The transaction may have been applied or may still be. The revisions are read again, so that of it and the next write
-// the later one fails its precondition.
+// The transaction may have been applied, or may still be. The revisions are read again, so that whichever of it and the
+// next write comes later fails its precondition.
 void ProgressWriter::on_outcome_unknown(const WriteTransaction &transaction) {
   for (const auto *shards : {&transaction.shards, &transaction.deleted_shards})
     for (ShardIndex shard : *shards) {
       shards_[shard].needs_resync = true;
-      if (!transaction.rolled_up_period.empty()) shards_[shard].rollup_in_doubt = transaction.rolled_up_period;
+      if (!transaction.rolled_up_period.empty()) shards_[shard].unconfirmed_rollup = transaction.rolled_up_period;
     }
 }
 
 void ProgressWriter::on_conflict(const std::string &key) {
   for (std::size_t i = 0; i < shards_.size(); ++i)
-    if (ProgressShard &shard = shards_[ShardIndex(i)]; shard.key == key) shard.needs_resync = true;
+    if (ShardState &shard = shards_[ShardIndex(i)]; shard.key == key) shard.needs_resync = true;
 }
 
 void ProgressWriter::resync(ShardIndex shard) {
@@ -203,27 +203,27 @@
 }
 
 void ProgressWriter::on_shard_read(ShardIndex shard, const wire::StoreReply &reply) {
-  ProgressShard &read = shards_[shard];
-  read.resyncing = false;
+  ShardState &state = shards_[shard];
+  state.resyncing = false;
   if (reply.status == 200 && reply.entries.size() == 1) {
-    read.mod_revision = reply.entries[0].mod_revision;
+    state.mod_revision = reply.entries[0].mod_revision;
     resolve_rollup(shard, reply.entries[0].value);
   } else if (reply.status == 404) {
-    read.mod_revision = 0;
+    state.mod_revision = 0;
   } else {
     schedule_.not_before = runtime_.now() + kReadRetryDelay;
     return;
   }
-  read.needs_resync = false;
+  state.needs_resync = false;
 }
 
-// Checks whether the unanswered write that moved a period's sums out of the record was applied. If it was not, it may
-// still be applied until another write of the record is confirmed.
+// Checks whether the write without a reply that moved a period's sums out of the record was applied. If not, it may
+// still be, until another write of the record is confirmed.
 void ProgressWriter::resolve_rollup(ShardIndex shard, const wire::Json &value) {
-  std::string &period = shards_[shard].rollup_in_doubt;
+  std::string &period = shards_[shard].unconfirmed_rollup;
   if (period.empty()) return;
-  const auto read = wire::progress_from_json(shards_[shard].key, value);
-  if (!read || has_period(read->sums, period)) return;
+  const auto stored = wire::progress_from_json(shards_[shard].key, value);
+  if (!stored || has_period(stored->sums, period)) return;
   ledger_.remove_period(shard, period);
   period.clear();
 }
--- a/src/core/state/state_watch.cpp
+++ b/src/core/state/state_watch.cpp
@@ -9,17 +9,16 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kListDeadline = 2.0; // s
-constexpr double kRetryDelay = 0.2;   // s
-// A page is audited at this interval, or less often if that would be more than one in kReadsPerAudit reads.
-constexpr double kMinAuditInterval = 5.0; // s
-constexpr double kReadsPerAudit = 100;
-constexpr double kWatchHold = 3.0;         // s; short, to detect a lost watch early
-constexpr double kWatchAnswerMargin = 1.5; // s, in addition to the hold time
-constexpr int kWatchTooFarBehind = 410;    // status: changes since that revision are no longer available
-constexpr std::size_t kMaxLoggedKey = 60;  // characters
-
-// Returns the key after which the next page begins; empty: no more pages.
+constexpr double kListDeadline = 2.0;     // s
+constexpr double kRetryDelay = 0.2;       // s
+constexpr double kMinAuditInterval = 5.0; // s, between two pages
+constexpr double kReadsPerAudit = 100;    // one page is audited per so many reads of the state service's limit
+constexpr double kWatchHold = 3.0;        // s; short, to detect a lost watch early
+constexpr double kWatchReplyMargin = 1.5; // s, in addition to the hold time
+constexpr int kRevisionTooOld = 410;      // reply status: changes since that revision are no longer available
+constexpr std::size_t kMaxLoggedKey = 60; // characters
+
+// Returns the last key of a page; empty: it is the last page.
 std::string next_page_key(const wire::StoreReply &reply) {
   return reply.more && !reply.entries.empty() ? reply.entries.back().key : std::string();
 }
@@ -55,7 +54,7 @@
   });
 }
 
-// Read before the open records, so that a job that ends in between is simply not found open.
+// Progress records are read before open records, so that a job that ends in between is not loaded.
 void StateWatch::load_progress_records(const std::string &from) {
   runtime_.store(StoreList{std::string(wire::kProgressPrefix), from}, kListDeadline,
                  [this, from, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
@@ -67,7 +66,7 @@
   if (reply.status != 200) return retry_later([this, from] { load_progress_records(from); });
   for (const auto &record : reply.entries) {
     if (state_writer_.load_progress_record(record)) continue;
-    // The record may name started tasks, so no task may be started.
+    // Tasks named in the record may have been started, and must not be started again.
     runtime_.log(LogLevel::Error, "record_rejected",
                  {{"key", record.key.substr(0, kMaxLoggedKey)}, {"then", "term ended"}});
     return leadership_.step_down("a progress record cannot be read");
@@ -76,9 +75,8 @@
   load_open_records("");
 }
 
-// Reads all open records, before the term begins and after the watch has failed.
 void StateWatch::load_open_records(const std::string &from) {
-  if (from.empty()) listed_at_ = runtime_.now();
+  if (from.empty()) list_requested_at_ = runtime_.now();
   runtime_.store(StoreList{std::string(wire::kOpenPrefix), from}, kListDeadline,
                  [this, from, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
                    if (epoch == leadership_.epoch()) on_open_page(from, reply);
@@ -97,7 +95,7 @@
 }
 
 void StateWatch::on_open_records_loaded() {
-  cancellations_.confirm_from_state_service(listed_at_);
+  cancellations_.confirm_from_state_service(list_requested_at_);
   if (!relisting_) return leadership_.begin_term();
   relisting_ = false;
 }
@@ -106,7 +104,7 @@
   if (watching_ || relisting_) return;
   watching_ = true;
   runtime_.store(StoreWatch{std::string(wire::kOpenPrefix), watched_revision_, kWatchHold},
-                 kWatchHold + kWatchAnswerMargin,
+                 kWatchHold + kWatchReplyMargin,
                  [this, requested_at = runtime_.now(), epoch = leadership_.epoch()](const wire::StoreReply &reply) {
                    if (epoch == leadership_.epoch()) on_watch_reply(requested_at, reply);
                  });
@@ -114,7 +112,7 @@
 
 void StateWatch::on_watch_reply(double requested_at, const wire::StoreReply &reply) {
   watching_ = false;
-  if (reply.status == kWatchTooFarBehind || reply.status == 0) { // 0: no reply; listing may still succeed
+  if (reply.status == kRevisionTooOld || reply.status == 0) { // 0: no reply
     relisting_ = true;
     return load_open_records("");
   }
@@ -126,8 +124,8 @@
   watch();
 }
 
-// Compares the open records with the job table, one page at a time, so that a missed change can't stall a job
-// forever. Any mismatch is a defect.
+// Compares a page of open records with the job table, so that a change missed by the watch can't stall a job forever.
+// Any mismatch is a defect.
 void StateWatch::audit() {
   next_audit_at_ = runtime_.now() + std::max(kMinAuditInterval, kReadsPerAudit / settings_.state_rps);
   auditing_ = true;
--- a/src/core/state/state_writer.cpp
+++ b/src/core/state/state_writer.cpp
@@ -10,7 +10,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kMaxProgressDelay = 0.8;      // s, for progress that nothing waits for
+constexpr double kMaxProgressDelay = 0.8;      // s, for progress that is not urgent
 constexpr double kMaxProgressDelayBusy = 2.5;  // s, same while many jobs end
 constexpr double kCommitDeadline = 1.5;        // s
 constexpr double kSingleOperationPeriod = 5.0; // s, after a transaction was rejected as too large
@@ -85,7 +85,7 @@
   const bool in_place = single_operation || (end_records_.busy() && !compaction_.full());
   WriteTransaction transaction(leadership_.term());
   TransactionCapacity capacity(max_operations, write_budget);
-  // Alternates the order of ends and progress, because either alone may use up the budget.
+  // The order alternates because ends or progress alone may use up the budget.
   ends_first_ = !ends_first_;
   if (ends_first_) end_records_.add_to(transaction, capacity, in_place);
   progress_writer_.add_shards(due, transaction, capacity);
@@ -126,10 +126,10 @@
     on_outcome_unknown(transaction);
     break;
   case 400:
-    on_refused(transaction);
+    on_rejected(transaction);
     break;
   default:
-    schedule_.not_before = runtime_.now() + kWriteRefusedDelay;
+    schedule_.not_before = runtime_.now() + kWriteRejectedDelay;
   }
   requeue(transaction);
 }
@@ -141,21 +141,20 @@
   }
 }
 
-// There was no reply: the transaction may have been applied or may still be.
+// Without a reply the transaction may have been applied, or may still be.
 void StateWriter::on_outcome_unknown(const WriteTransaction &transaction) {
   end_records_.on_outcome_unknown(transaction.ended_jobs);
   progress_writer_.on_outcome_unknown(transaction);
   schedule_.not_before = runtime_.now() + kReadRetryDelay;
 }
 
-// Keeps a single oversized record from blocking all writes: records are written one by one to find it, then it is
-// shrunk.
-void StateWriter::on_refused(const WriteTransaction &transaction) {
+// Keeps an oversized record from blocking all writes: records are written one by one to find it, and it is shrunk.
+void StateWriter::on_rejected(const WriteTransaction &transaction) {
   const bool single = operation_count(transaction) == 1;
   runtime_.log(
       LogLevel::Error, "record_write_refused",
       {{"record", describe(transaction)}, {"then", single ? "shrink the record" : "write records one by one"}});
-  schedule_.not_before = runtime_.now() + kWriteRefusedDelay;
+  schedule_.not_before = runtime_.now() + kWriteRejectedDelay;
   schedule_.single_operation_until = runtime_.now() + kSingleOperationPeriod;
   if (single) reduce_size(transaction);
 }
@@ -174,7 +173,6 @@
   return fmt::format("{} records", operation_count(transaction));
 }
 
-// Marks the content of a transaction for writing again.
 void StateWriter::requeue(const WriteTransaction &transaction) {
   end_records_.on_not_applied(transaction.ended_jobs);
   for (const auto *ids : {&transaction.ended_jobs, &transaction.progress_jobs})
--- a/src/core/state/usage_ledger.cpp
+++ b/src/core/state/usage_ledger.cpp
@@ -55,8 +55,8 @@
   if (!usage.none()) sums_at(shard)[{current_period(), team}] += accounts::sums_of(usage, need);
 }
 
-// Period names are dates, so the smallest is the oldest. Periods left over from a change of the accounting clock count
-// as past.
+// Period names are dates, so the smallest is the oldest. After a change of the accounting clock older names count as
+// past.
 std::string UsageLedger::oldest_past_period(ShardIndex shard) {
   const auto &sums = this->sums(shard);
   if (sums.empty()) return {};
@@ -73,7 +73,7 @@
   account(job_index).shard = shard;
 }
 
-// Charges the running time of attempts at the time of the write; their later progress is unknown.
+// Charges the time that attempts had held when the account was written; what became of them is unknown.
 void UsageLedger::restore_account(JobIndex job_index, const ProgressRecord &written) {
   Account &job_account = account(job_index);
   job_account.usage = written.usage;
@@ -85,7 +85,7 @@
 }
 
 std::int64_t UsageLedger::held_in_flight_ms(const Account &account) const {
-  return account.attempts_in_flight * to_ms(runtime_.now()) - account.held_since_ms;
+  return account.attempts_in_flight * to_ms(runtime_.now()) - account.allocated_at_sum_ms;
 }
 
 std::int64_t UsageLedger::ms_since_written(const Account &account) const {
@@ -93,9 +93,9 @@
   return std::max<std::int64_t>(0, to_ms(runtime_.wall()) - account.written_at_ms);
 }
 
-// Charges each unaccounted task (started according to an earlier leader, not seen since) for the whole time since the
-// last write, as uncertain. A task holds at most one allocation at a time, so this bounds all its attempts.
-void UsageLedger::write_account(JobIndex job_index, ProgressRecord &record) {
+// Charges each unaccounted task (started by an earlier leader, not reported since) for the whole time since the last
+// write, as uncertain usage. This is an upper bound, because a task holds at most one allocation at a time.
+void UsageLedger::update_and_copy_account(JobIndex job_index, ProgressRecord &record) {
   if (!enabled()) return;
   Account &job_account = account(job_index);
   charge(job_index, {});
@@ -124,8 +124,8 @@
   return accounts_[job_index.position()].has_unwritten_charges;
 }
 
-// Keeps a team's sums from exceeding its jobs' usage, if a worker reported a task after the write of the job's end and
-// before the lost reply to that write was resolved.
+// Keeps a team's sums from exceeding its jobs' usage if a worker reported a task before the outcome of the write was
+// known.
 void UsageLedger::reduce_to_recorded(JobIndex job_index, const accounts::Usage &recorded) {
   const JobSpec &spec = jobs_[job_index].spec;
   accounts::Sums excess = accounts::sums_of(account(job_index).usage - recorded, spec.need);
@@ -144,9 +144,7 @@
 void UsageLedger::charge(JobIndex job_index, accounts::Usage usage) {
   Account &job_account = account(job_index);
   const Job &job = jobs_[job_index];
-  // Keeps a team's sums from exceeding its jobs' usage, if a worker reports a task while the job's end is being
-  // written.
-  if (job.ending) {
+  if (job.ending) { // the end record already holds the job's usage
     job_account.deferred += usage;
     return;
   }
@@ -161,7 +159,7 @@
   if (!enabled()) return;
   Account &job_account = account(event.job);
   ++job_account.attempts_in_flight;
-  job_account.held_since_ms += to_ms(runtime_.now());
+  job_account.allocated_at_sum_ms += to_ms(runtime_.now());
   accounts::Usage usage;
   if (!event.found) usage[accounts::Attempts] = 1;
   if (event.unaccounted) usage[accounts::Uncertain] = ms_since_written(job_account);
@@ -179,8 +177,8 @@
   assert(allocated_at <= waiting_at && waiting_at <= running_at && running_at <= released_at &&
          job_account.attempts_in_flight > 0);
   --job_account.attempts_in_flight;
-  job_account.held_since_ms -= allocated_at;
-  const bool useful = event.done || jobs_[event.job].spec.shape == Shape::Service; // services end by being stopped
+  job_account.allocated_at_sum_ms -= allocated_at;
+  const bool useful = event.done || jobs_[event.job].spec.shape == Shape::Service; // services run until stopped
   accounts::Usage usage;
   usage[accounts::Fetch] = waiting_at - allocated_at;
   usage[accounts::Wait] = running_at - waiting_at;
@@ -199,8 +197,7 @@
   jobs_.changed(event.job, false);
 }
 
-// Returns the cost of an allocation: the price of its machine times the largest fraction of a resource that the task
-// takes.
+// Returns the machine's price for `held_ms`, times the largest fraction that the task takes of any of its resources.
 std::int64_t UsageLedger::cost(const TaskReleased &event, std::int64_t held_ms) const {
   if (event.type < 0) return 0;
   const auto &type = catalog_.type(event.type);
--- a/src/core/state/usage_settlement.cpp
+++ b/src/core/state/usage_settlement.cpp
@@ -7,7 +7,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kInterval = 0.1;     // s, between reads of two jobs
+constexpr double kInterval = 0.1;     // s, between two jobs
 constexpr double kReadDeadline = 1.0; // s
 } // namespace
 
@@ -36,8 +36,8 @@
                  });
 }
 
-// If there is no end record, it is being moved right now or was never written. After any other error the read is
-// retried.
+// A missing end record is being moved (EndRecordCompaction) or was never written. After other errors the read is
+// repeated.
 void UsageSettlement::on_end_record_read(ShardIndex shard, const std::string &id, const wire::StoreReply &reply) {
   reading_ = false;
   if (reply.status == 200 && reply.entries.size() == 1)
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -1,5 +1,5 @@
-// Compares Cancellations with a simple model that remembers every cancellation of every replica: each one recorded
-// before `known_until` must be marked in the job table, or as soon as its job is added to it.
+// Compares Cancellations with a model that remembers the cancellations of all replicas: each one recorded before
+// `known_until` must be marked in the job table, or as soon as its job is added to it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 
 constexpr double kCancelS = 40;
 constexpr double kLeaseS = 10;
-constexpr int kOwnReplica = 2; // the one under test; 0 and 1 are the others
+constexpr int kOwnReplica = 2; // the one under test; the others are 0 and 1
 constexpr std::array<double, 2> kClockDrift = {0.0005, -0.0005};
 
 Settings three_replicas(double cancel_s) {
@@ -30,7 +30,6 @@
   return settings;
 }
 
-// Another replica's process, which records and reports cancellations.
 class SimulatedReplica {
 public:
   SimulatedReplica(double started_at, double clock_drift) : started_at_(started_at), rate_(1 + clock_drift) {}
@@ -52,10 +51,10 @@
 private:
   double started_at_;
   double rate_;
-  std::deque<std::pair<std::string, double>> recorded_; // id and time, by the true clock
+  std::deque<std::pair<std::string, double>> recorded_; // id and true time
 };
 
-// An elected leader that is loading its records, with the other replicas and the state service.
+// An elected leader that is loading its records, the other replicas, and the state service.
 class Model {
 public:
   explicit Model(unsigned seed, double cancel_s = kCancelS) : settings(three_replicas(cancel_s)), rng(seed) {
@@ -64,7 +63,6 @@
   }
   int pick(int count) { return static_cast<int>(rng() % static_cast<unsigned>(count)); }
 
-  // Elects the leader by answering every state service request; afterwards it is loading records.
   void elect() {
     MachineType type;
     type.name = "t";
@@ -88,7 +86,7 @@
     });
   }
 
-  void record_at(int replica) {
+  void record_cancellation(int replica) {
     const auto id = job_name(next_job++);
     recorded_at[id] = now;
     if (replica != kOwnReplica) return replicas[static_cast<std::size_t>(replica)].record(id, now);
@@ -96,40 +94,37 @@
     deliver();
   }
   void restart(int replica) { replicas[static_cast<std::size_t>(replica)].restart(now); }
-  // Delivers a report with the present content, in reply to a request sent at `requested_at`.
-  void report(std::size_t replica, double requested_at) {
+  void deliver_report(std::size_t replica, double requested_at) {
     const auto ids = replicas[replica].recent(now);
     cancellations.confirm_from_replica(replica, requested_at, replicas[replica].uptime_s(now), ids);
     deliver();
   }
-  // Sends a read that is answered later. Its answer holds a random part of the open jobs, with the cancellations
-  // recorded by now.
-  void ask_state_service() {
+  // Starts a read that returns a random part of the open jobs, with the cancellations recorded by now.
+  void start_read() {
     std::map<std::string, bool> open;
     for (int i = std::max(0, next_job - 40); i < next_job + 5; ++i)
       if (pick(4)) open[job_name(i)] = recorded_at.contains(job_name(i));
     reads_in_flight.emplace_back(now, std::move(open));
   }
-  void answer_oldest_read() {
+  void answer_read() {
     if (reads_in_flight.empty()) return;
     const auto [requested_at, open] = std::move(reads_in_flight.front());
     reads_in_flight.pop_front();
     for (const auto &[id, at] : recorded_at)
       if (at <= requested_at) cancel(id);
     for (const auto &[id, cancelled] : open) {
-      accept(id);
+      add_job(id);
       if (cancelled) cancel(id);
     }
     cancellations.confirm_from_state_service(requested_at);
     deliver();
   }
-  // Removes an ended job from the table.
   void end_job() {
     if (accepted_ids.empty()) return;
     if (const JobIndex job_index = jobs.index(*accepted_ids.begin()); job_index.valid()) jobs.remove(job_index);
     deliver();
   }
-  // Describes a cancellation that should be marked and is not; empty: none.
+  // Returns a cancellation that should be marked and is not; empty: none.
   std::string unmarked_cancellation() const {
     for (const auto &[id, at] : recorded_at) {
       const JobIndex job_index = jobs.index(id);
@@ -163,7 +158,7 @@
       }
     deliver();
   }
-  void accept(const std::string &id) {
+  void add_job(const std::string &id) {
     if (jobs.index(id).valid() || !accepted_ids.insert(id).second) return;
     OpenRecord record;
     record.spec.id = id;
@@ -175,31 +170,31 @@
   }
 
   std::mt19937 rng;
-  std::map<std::string, double> recorded_at; // by job id, over all replicas
+  std::map<std::string, double> recorded_at; // by job id
   std::set<std::string> accepted_ids;
-  // Time of the request, and the jobs in the reply with whether each is cancelled.
+  // Time of the request, and the jobs in the reply: whether each is cancelled.
   std::deque<std::pair<double, std::map<std::string, bool>>> reads_in_flight;
   int next_job = 1;
   std::uint64_t revision = 100;
 };
 
-// One random step. `link_up`: by replica; `state_service`: whether it responds.
-void random_step(Model &model, std::array<bool, 2> &link_up, bool &state_service) {
+// `link_up`: by replica.
+void random_step(Model &model, std::array<bool, 2> &link_up, bool &state_service_up) {
   switch (model.pick(12)) {
   case 0:
   case 1:
-    model.record_at(model.pick(3));
+    model.record_cancellation(model.pick(3));
     break;
   case 2:
     if (model.pick(60) == 0)
       for (int i = 0; i < 80; ++i) // more than a report holds
-        model.record_at(0);
+        model.record_cancellation(0);
     break;
   case 3:
     if (model.pick(12) == 0) model.restart(model.pick(2));
     break;
   case 4:
-    if (model.pick(25) == 0) state_service = !state_service;
+    if (model.pick(25) == 0) state_service_up = !state_service_up;
     break;
   case 5:
     if (model.pick(12) == 0) {
@@ -212,10 +207,10 @@
     if (model.pick(150) == 0) model.elect();
     break;
   case 7:
-    if (state_service) model.ask_state_service();
+    if (state_service_up) model.start_read();
     break;
   case 8:
-    if (state_service || model.pick(3) == 0) model.answer_oldest_read(); // replies may also arrive during an outage
+    if (state_service_up || model.pick(3) == 0) model.answer_read(); // replies may arrive during an outage
     break;
   case 9:
     model.end_job();
@@ -232,16 +227,16 @@
   for (unsigned seed = 1; seed <= 60; ++seed) {
     Model model(seed);
     std::array<bool, 2> link_up = {true, true};
-    bool state_service = true;
+    bool state_service_up = true;
     for (int step = 0; step < 3000; ++step) {
       model.advance_time(0.02 * model.pick(8));
-      const double requested_at = model.now; // of this step's report requests
-      random_step(model, link_up, state_service);
+      const double requested_at = model.now;
+      random_step(model, link_up, state_service_up);
       if (model.pick(3) == 0) model.advance_time(0.01 * model.pick(100)); // between a request and its reply
       for (std::size_t replica = 0; replica < link_up.size(); ++replica) {
         if (!link_up[replica] || !model.pick(2)) continue;
         const double before = model.cancellations.known_until();
-        model.report(replica, requested_at);
+        model.deliver_report(replica, requested_at);
         gained_from_reports_s += std::clamp(model.cancellations.known_until() - before, 0.0, 5.0);
       }
       ASSERT_EQ(model.unmarked_cancellation(), "") << "seed " << seed << " step " << step;
@@ -250,8 +245,7 @@
   EXPECT_GT(gained_from_reports_s, 1000) << "most cancellations should become known from replica reports";
 }
 
-// A renewed lease and the stop command after it must end within `cancel_s` of the first unknown cancellation: 40 s
-// shortened for clock drift, less a lease of 10 s lengthened for it, less 2.5 s.
+// The limit is 40 s less a lease of 10 s, both corrected for clock drift, less 2.5 s to stop the tasks.
 TEST(CancellationsTest, LeasesAreRenewedWhileUnknownCancellationsWouldStopInTime) {
   Model model(1);
   model.cancellations.confirm_from_state_service(model.now);
@@ -265,7 +259,6 @@
   EXPECT_TRUE(model.cancellations.may_renew_leases());
 }
 
-// If `cancel_s` is shorter than a lease, knowledge of the last five seconds is sufficient.
 TEST(CancellationsTest, LeasesAreRenewedForFiveSecondsIfCancelTimeIsShorterThanALease) {
   Model model(1, 8);
   model.cancellations.confirm_from_state_service(model.now);
@@ -275,7 +268,7 @@
   EXPECT_FALSE(model.cancellations.may_renew_leases());
 }
 
-// A replica that restarted since, or whose report omits ids, can't confirm the earlier time.
+// A report is incomplete if the replica has restarted since or if it is full.
 TEST(CancellationsTest, IncompleteReportConfirmsNothing) {
   Model model(1);
   model.cancellations.confirm_from_state_service(model.now);
--- a/tests/progress_loader_test.cpp
+++ b/tests/progress_loader_test.cpp
@@ -29,7 +29,6 @@
 
 } // namespace
 
-// A job that was moving between records has an entry in both.
 TEST_F(ProgressLoaderTest, JobInTwoRecordsHasTheStartsOfBothAndTheNewerAccount) {
   ASSERT_TRUE(loader.load(progress_record_with("s0", "j-000001", progress_with_started({{0, 2}}, 2000))));
   ASSERT_TRUE(loader.load(progress_record_with("t0", "j-000001", progress_with_started({{4, 5}}, 1000))));
@@ -62,7 +61,7 @@
   EXPECT_TRUE(shards[ShardIndex(1)].unsettled_jobs.empty());
 }
 
-// An empty record that is not deleted would be read at every failover.
+// Otherwise it would be read at every failover.
 TEST_F(ProgressLoaderTest, EmptyRecordIsMarkedDirtyForDeletion) {
   ASSERT_TRUE(loader.load({"progress/s0", wire::progress_shard({}), 7, 0}));
   loader.finish();
--- a/tests/progress_shards_test.cpp
+++ b/tests/progress_shards_test.cpp
@@ -13,7 +13,7 @@
 
 class ProgressShardsTest : public test::StateFixture {
 protected:
-  // Assigns a job that earlier leaders stored in `loaded_from`; invalid: a new job.
+  // `loaded_from`: the shard that already holds the job; invalid: a new job.
   JobIndex assign(const std::string &id, std::uint32_t tasks, ShardIndex loaded_from = {}) {
     const JobIndex job_index = add_job(id, tasks);
     shards.add_job(job_index, loaded_from);
@@ -45,7 +45,7 @@
   EXPECT_EQ(shards.job(assign("j-000002", kLargeJob)).shard, shard);
 }
 
-// Otherwise a leader elected in between would not know that the job's tasks were started.
+// Otherwise a new leader could start the job's tasks again.
 TEST_F(ProgressShardsTest, MovingJobLeavesItsRecordOnlyAfterTheOtherIsWritten) {
   const ShardIndex loaded = shards.add_loaded("progress/s0", 7, kOversize);
   JobIndex moving;
@@ -77,7 +77,6 @@
   EXPECT_EQ(shards.due(0.8), (std::vector<ShardIndex>{urgent, not_urgent}));
 }
 
-// The state service rejected the record as too large.
 TEST_F(ProgressShardsTest, ShrinkingMovesEverySecondJob) {
   std::vector<JobIndex> jobs_of_shard;
   for (int i = 1; i <= 4; ++i)
--- a/tests/state_fixture.hpp
+++ b/tests/state_fixture.hpp
@@ -1,5 +1,4 @@
-// Test fixture with the dependencies of the state module, but without a state service: tests inspect the transactions
-// that the module would send.
+// Test fixture with the dependencies of the state module, but without a state service.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/state_watch_test.cpp
+++ b/tests/state_watch_test.cpp
@@ -6,7 +6,7 @@
 using namespace loftrouter;
 using namespace loftrouter::test;
 
-// Guards against jobs, cancellations and ends that are lost because the watch omitted their events.
+// Guards against jobs, cancellations and ends that are lost because the watch omitted an event.
 TEST(StateWatch, AuditFindsEventsOmittedByTheWatch) {
   World world(11, {});
   mixed_load(world, 10);
