--- a/include/loftrouter/core/state/cancellations.hpp
+++ b/include/loftrouter/core/state/cancellations.hpp
@@ -26,7 +26,7 @@
   void record(const std::string &id);
   // Returns the ids recorded within `Settings::cancel_s`, newest first, at most wire::kPeerMaxCancelled.
   [[nodiscard]] std::vector<std::string> recent();
-  // Returns whether that limit omits none.
+  // Returns whether `recent` omits none.
   [[nodiscard]] bool recent_is_complete() const { return own_cancellations_.size() <= wire::kPeerMaxCancelled; }
 
   // Called after the job table has been updated from everything that the state service held at `requested_at`.
--- a/include/loftrouter/core/state/job_progress.hpp
+++ b/include/loftrouter/core/state/job_progress.hpp
@@ -1,4 +1,4 @@
-// What the state service has recorded of a job's progress, and what is still to be written.
+// Tracks which progress of a job the state service has recorded, and what is still to be written.
 #pragma once
 
 #include <cstdint>
--- a/include/loftrouter/core/state/progress_shards.hpp
+++ b/include/loftrouter/core/state/progress_shards.hpp
@@ -37,13 +37,13 @@
   bool urgent = false;    // something, such as a task start, depends on the write
   double dirty_since = 0; // monotonic, s
 
-  bool needs_resync = false; // the revision is unknown after a rejected or unanswered write
+  bool needs_resync = false; // the revision is uncertain after a failed precondition or a write without a reply
   bool resyncing = false;    // a read is in flight
   // Period whose sums a write without a reply may have moved out of this shard; empty: none.
   std::string unconfirmed_rollup;
 };
 
-// Concurrent delegations of a job; its entry reserves space for them.
+// Maximum number of concurrent delegations of a job; its entry reserves space for them.
 inline constexpr std::size_t kMaxDelegationsPerJob = 2;
 
 class ProgressShards {
--- a/include/loftrouter/core/state/write_transaction.hpp
+++ b/include/loftrouter/core/state/write_transaction.hpp
@@ -18,8 +18,8 @@
   wire::Json end;
 };
 
-// Conditional on the revision of the leader key, so that a former leader's writes fail, and on the revision of every
-// record written, so that at most one of a transaction without a reply and its successor is applied.
+// A transaction is conditional on the revision of the leader key, so that a former leader's writes fail, and on the
+// revision of every record written, so that at most one of a transaction without a reply and its successor is applied.
 struct WriteTransaction {
   // `term`: revision of the leader key, which serves as fencing token.
   explicit WriteTransaction(std::uint64_t term) : preconditions{{std::string(wire::kLeaderKey), term}} {}
--- a/src/core/state/state_watch.cpp
+++ b/src/core/state/state_watch.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 constexpr double kListDeadline = 2.0;     // s
-constexpr double kRetryDelay = 0.2;       // s
+constexpr double kLoadRetryDelay = 0.2;   // s
 constexpr double kMinAuditInterval = 5.0; // s, between two pages
-constexpr double kReadsPerAudit = 100;    // one page is audited per so many reads of the state service's limit
+constexpr double kReadsPerAudit = 100;    // at most one in so many reads allowed by Settings::state_rps is an audit
 constexpr double kWatchHold = 3.0;        // s; short, to detect a lost watch early
 constexpr double kWatchReplyMargin = 1.5; // s, in addition to the hold time
 constexpr int kRevisionTooOld = 410;      // reply status: changes since that revision are no longer available
@@ -49,7 +49,7 @@
 }
 
 void StateWatch::retry_later(std::function<void()> action) {
-  runtime_.schedule(kRetryDelay, [this, epoch = leadership_.epoch(), action = std::move(action)] {
+  runtime_.schedule(kLoadRetryDelay, [this, epoch = leadership_.epoch(), action = std::move(action)] {
     if (epoch == leadership_.epoch()) action();
   });
 }
--- a/src/core/state/usage_settlement.cpp
+++ b/src/core/state/usage_settlement.cpp
@@ -7,8 +7,8 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kInterval = 0.1;     // s, between two jobs
-constexpr double kReadDeadline = 1.0; // s
+constexpr double kSettlementInterval = 0.1; // s, between two jobs
+constexpr double kReadDeadline = 1.0;       // s
 } // namespace
 
 UsageSettlement::UsageSettlement(const StateContext &context, ProgressShards &shards,
@@ -26,7 +26,7 @@
   if (reading_ || runtime_.now() < next_at_) return;
   const ShardIndex shard = first_unsettled_shard();
   if (!shard.valid()) return;
-  next_at_ = runtime_.now() + kInterval;
+  next_at_ = runtime_.now() + kSettlementInterval;
   const std::string id = shards_[shard].unsettled_jobs.back().id;
   if (const wire::Json *end = compaction_.find_end(id)) return settle(shard, id, wire::end_from_json(*end));
   reading_ = true;
