--- a/include/loftrouter/core/state/cancellations.hpp
+++ b/include/loftrouter/core/state/cancellations.hpp
@@ -22,7 +22,7 @@
 public:
   Cancellations(Runtime &runtime, const Settings &settings, const Leadership &leadership, JobTable &jobs);
 
-  // Records that a job is cancelled. Must be called before the user gets an acknowledgement.
+  // Must be called before the user gets an acknowledgement.
   void record(const std::string &id);
   // Returns the ids recorded within `Settings::cancel_s`, newest first, at most wire::kPeerMaxCancelled.
   [[nodiscard]] std::vector<std::string> recent();
--- a/include/loftrouter/core/state/progress_shards.hpp
+++ b/include/loftrouter/core/state/progress_shards.hpp
@@ -64,7 +64,6 @@
   void remove_job(JobIndex job_index);
 
   void mark_dirty(ShardIndex shard, bool urgent);
-  // Marks a job's entry, and the shard that holds it, for writing.
   void mark_job_dirty(JobIndex job_index, bool urgent);
   // Returns whether the record may be deleted.
   [[nodiscard]] bool empty(ShardIndex shard) const;
--- a/include/loftrouter/core/state/state_watch.hpp
+++ b/include/loftrouter/core/state/state_watch.hpp
@@ -19,7 +19,6 @@
   StateWatch(Runtime &runtime, const Settings &settings, Leadership &leadership, StateWriter &state_writer,
              Cancellations &cancellations);
 
-  // Sends the next watch and audit requests that are due.
   void tick();
 
   void on(const LeaderElected &);
--- a/include/loftrouter/core/state/state_writer.hpp
+++ b/include/loftrouter/core/state/state_writer.hpp
@@ -42,25 +42,20 @@
   [[nodiscard]] bool completion_recorded(JobIndex job_index, std::uint32_t task) const {
     return shards_.job(job_index).tasks[task].completion_recorded;
   }
-  // See ProgressWriter::set_prerecorded_tasks.
   void set_prerecorded_tasks(JobIndex job_index, std::uint32_t tasks) {
     progress_writer_.set_prerecorded_tasks(job_index, tasks);
   }
 
-  // Loads a progress record. Called before the open records are loaded. Returns false if it is unreadable
-  // (ProgressLoader::load).
+  // Called before the open records are loaded. Returns false if the record is unreadable (ProgressLoader::load).
   [[nodiscard]] bool load_progress_record(const wire::KeyValue &record) { return progress_loader_.load(record); }
   // Loads an open record if it holds the end of its job (EndRecordCompaction).
   void load_end_record(const wire::KeyValue &record);
-  // See OpenRecordLoader::load.
   void load_open_record(const std::string &key, const wire::Json &value, std::uint64_t mod_revision) {
     open_records_.load(key, value, mod_revision);
   }
 
-  // See OpenRecordLoader::audit.
   [[nodiscard]] std::string_view audit_open_record(const wire::KeyValue &record) { return open_records_.audit(record); }
-  // Updates the jobs of OpenRecordLoader::absent_jobs from their stored records. Returns the keys of their open
-  // records.
+  // Updates the jobs of OpenRecordLoader::absent_jobs from their stored records, and returns their keys.
   std::vector<std::string> resync_absent_jobs(const std::string &from, const std::string &to,
                                               const std::set<std::string> &listed, std::uint64_t revision);
 
--- a/include/loftrouter/core/state/usage_ledger.hpp
+++ b/include/loftrouter/core/state/usage_ledger.hpp
@@ -28,12 +28,10 @@
 
   // Opens the account of a job. `shard`: its sums are charged, even if the job moves later.
   void open_account(JobIndex job_index, ShardIndex shard);
-  // Restores an account written by an earlier leader.
   void restore_account(JobIndex job_index, const ProgressRecord &written);
   // Returns the job's usage, for its end record. Charges while that is being written (Job::ending) are applied only if
   // the write fails.
   accounts::Usage current_usage(JobIndex job_index);
-  // Charges usage of the job in another cell.
   void charge_remote_usage(JobIndex job_index, const accounts::Usage &usage);
   // Returns whether a write of the shard's sums must include the account.
   [[nodiscard]] bool has_unwritten_charges(JobIndex job_index) const;
--- a/include/loftrouter/core/state/usage_settlement.hpp
+++ b/include/loftrouter/core/state/usage_settlement.hpp
@@ -21,7 +21,6 @@
 
   // Settles the next unsettled job, if there is one and no read is in flight.
   void settle_next();
-  // Called at the end of the term.
   void clear() { reading_ = false; }
 
 private:
--- a/include/loftrouter/core/state/write_transaction.hpp
+++ b/include/loftrouter/core/state/write_transaction.hpp
@@ -46,7 +46,6 @@
 
   [[nodiscard]] bool full() const { return full_; }
 
-  // Returns whether `transaction` has capacity for so many more operations.
   [[nodiscard]] bool fits(const WriteTransaction &transaction, std::size_t operations) {
     const std::size_t total = transaction.writes.size() + operations;
     full_ |= total > max_operations_ || static_cast<double>(total) > write_budget_ ||
--- a/src/core/state/progress_loader.cpp
+++ b/src/core/state/progress_loader.cpp
@@ -23,8 +23,7 @@
   return true;
 }
 
-// Merges an entry into the job's loaded progress. A job that was moving between records has two: the starts of both
-// count, and the usage of the newer one.
+// A job that was moving between records has two entries. The usage is that of the newer one.
 void ProgressLoader::merge(const std::string &id, const ProgressRecord &progress, ShardIndex shard) {
   LoadedJob &merged = loaded_jobs_[{id, progress.delegated_here}];
   if (progress.at_ms >= merged.progress.at_ms) merged.shard = shard;
--- a/src/core/state/state_writer.cpp
+++ b/src/core/state/state_writer.cpp
@@ -141,7 +141,6 @@
   }
 }
 
-// Without a reply the transaction may have been applied, or may still be.
 void StateWriter::on_outcome_unknown(const WriteTransaction &transaction) {
   end_records_.on_outcome_unknown(transaction.ended_jobs);
   progress_writer_.on_outcome_unknown(transaction);
