--- a/include/loftrouter/core/jobs/dependencies.hpp
+++ b/include/loftrouter/core/jobs/dependencies.hpp
@@ -1,9 +1,9 @@
-// The dependency graph of the jobs, maintained while this node leads.
+// Maintains the dependency graph of the jobs while this replica leads.
 //
 // Owns the graph; used by the core's thread alone. A job is ready once the state service has confirmed that all its
 // dependencies are done (docs/safety.md "too_early"). Cancelling a job cancels its transitive dependents ("orphaned"),
-// none of whose tasks has started. Dependencies that are not open here are looked up within the budget for users'
-// reads.
+// none of whose tasks has started. Dependencies that are not in the job table are looked up in the state service, which
+// uses the read budget of user requests.
 //
 // Priorities and deadlines propagate from dependents to their dependencies.
 #pragma once
@@ -25,11 +25,11 @@
 
 namespace loftrouter::core {
 
-// The estimated schedule of all open jobs, by job index.
+// Estimates when each open job starts and ends, in seconds from now. All members are indexed by job.
 struct CriticalPath {
   std::vector<double> starts_in_s;
   std::vector<double> done_in_s;
-  std::vector<JobIndex> last_dependency; // invalid: none is open
+  std::vector<JobIndex> last_dependency; // the one that ends last; invalid: none is open
 };
 
 class Dependencies {
@@ -39,25 +39,26 @@
       : runtime_(runtime), settings_(settings), state_limits_(state_limits), leadership_(leadership), jobs_(jobs),
         ended_(ended) {}
 
+  // Returns true if all dependencies are done and none was cancelled.
   bool ready(JobIndex job_index) const;
-  // Wall-clock time of the submission or the last known end of a dependency, whichever is later.
+  // Returns the wall-clock time of the submission or of the last known end of a dependency, whichever is later.
   double ready_wall(JobIndex job_index) const { return node(job_index).ready_wall; }
   const std::vector<JobIndex> &open_dependencies(JobIndex job_index) const { return node(job_index).open_dependencies; }
-  // The number of dependencies that are being looked up.
+  // Counts the dependencies whose end has to be looked up.
   std::size_t unresolved_count(JobIndex job_index) const;
   const std::vector<JobIndex> &dependents(JobIndex job_index) const { return node(job_index).dependents; }
-  // The dependency whose cancellation cancelled this job; empty: none.
+  // Returns the id of the dependency whose cancellation cancelled this job; empty: none.
   const std::string &cancelled_dependency(JobIndex job_index) const { return node(job_index).cancelled_dependency; }
 
-  // The highest of the job and its transitive dependents.
+  // Returns the highest priority of the job and its transitive dependents.
   Urgency urgency(JobIndex job_index) const;
-  // Seconds after `ready_wall`; early enough for all dependents to meet theirs.
+  // Returns by when the job has to end for all dependents to meet their deadlines, in seconds after `ready_wall`.
   std::optional<double> deadline(JobIndex job_index) const;
-  // Seconds after `ready_wall`; ignores the dependents.
+  // Returns the deadline of the job alone, in seconds after `ready_wall`.
   std::optional<double> own_deadline(JobIndex job_index) const;
-  // All open jobs, each after its open dependencies.
+  // Returns all open jobs, each after its open dependencies.
   const std::vector<JobIndex> &topological_order() const;
-  // `remaining_s`: how long a job takes once it can start.
+  // `remaining_s` returns how long a job takes once it can start.
   CriticalPath critical_path(const std::function<double(JobIndex)> &remaining_s) const;
 
   void tick();
@@ -73,18 +74,20 @@
     std::string id;
     std::vector<JobIndex> open_dependencies;
     std::vector<JobIndex> dependents;
-    std::size_t unmet = 0; // dependencies not known to be done
-    double ready_wall = 0;
+    std::size_t unmet_count = 0; // dependencies not known to be done
+    double ready_wall = 0;       // wall-clock time, s
     std::string cancelled_dependency;
   };
-  struct Lookup { // a dependency that is not open here
+  // The look-up of how a dependency ended that is not in the job table.
+  struct Lookup {
     std::vector<JobIndex> dependents;
     bool in_flight = false;
     double next_at = 0; // monotonic s
   };
-  struct Requirement { // of a job and its transitive dependents
+  // The combined priority and deadline of a job and its transitive dependents.
+  struct Requirement {
     Urgency urgency{};
-    std::optional<double> due_wall;
+    std::optional<double> due_wall; // wall-clock time, s
   };
   static constexpr std::size_t kMaxLookups = 8; // in flight
   const Node &node(JobIndex job_index) const;
@@ -112,10 +115,10 @@
   JobTable &jobs_;
   EndedJobs &ended_;
   std::vector<Node> nodes_; // by job index
-  std::unordered_map<std::string, JobIndex> index_;
+  std::unordered_map<std::string, JobIndex> index_by_id_;
   std::map<std::string, Lookup> lookups_; // by job id
   std::size_t lookups_in_flight_ = 0;
-  // Computed lazily after a change of the graph.
+  // Recomputed on the first use after a change of the graph.
   mutable bool outdated_ = false;
   mutable std::vector<JobIndex> topological_order_;
   mutable std::vector<Requirement> requirements_; // by job index
--- a/include/loftrouter/core/jobs/ended_jobs.hpp
+++ b/include/loftrouter/core/jobs/ended_jobs.hpp
@@ -1,6 +1,6 @@
-// A bounded cache of the final records of ended jobs.
+// Caches the end records of jobs, up to a fixed number.
 //
-// Final records never change. One that was evicted is read from the state service again when it is needed.
+// End records never change. The oldest are evicted, and read from the state service again when they are needed.
 #pragma once
 
 #include <cstddef>
@@ -16,15 +16,15 @@
 class EndedJobs {
 public:
   explicit EndedJobs(Events &events) : events_(events) {}
-  const EndRecord *find(const std::string &id) const; // null: not cached
+  const EndRecord *find(const std::string &job_id) const; // null: not cached
   // Caches the record and publishes `JobEndLearned`, also if it was cached already.
-  void remember(const std::string &id, EndRecord end);
+  void remember(const std::string &job_id, EndRecord end);
 
 private:
-  static constexpr std::size_t kMaxCached = 12'000; // about 0.4 KB each
+  static constexpr std::size_t kMaxRecords = 12'000; // of about 0.4 KB each
   Events &events_;
-  std::unordered_map<std::string, EndRecord> ends_;
-  std::deque<std::string> insertion_order_; // job ids, oldest first
+  std::unordered_map<std::string, EndRecord> records_; // by job id
+  std::deque<std::string> insertion_order_;            // job ids, oldest first
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/jobs/failure_attribution.hpp
+++ b/include/loftrouter/core/jobs/failure_attribution.hpp
@@ -1,8 +1,8 @@
 // Attributes task failures to machines or to jobs.
 //
-// Failures of jobs that succeed elsewhere count against the machine; failures on several machines without a success
-// count against the job. Owns the failure counts; used by the core's thread alone. Not relevant for safety: a wrong
-// result returns a healthy machine or keeps a faulty one.
+// Failures of a job that succeeds elsewhere count against the machine; failures on several machines without a success
+// count against the job. Owns the failure counts; used by the core's thread alone. A wrong result does not affect
+// safety: at worst a healthy machine is returned to the cloud or a faulty one is kept.
 #pragma once
 
 #include <cstddef>
@@ -23,16 +23,17 @@
   FailureAttribution(Runtime &runtime, Events &events, JobTable &jobs, const Operators &operators)
       : runtime_(runtime), events_(events), jobs_(jobs), operators_(operators) {}
 
-  // The job itself is probably faulty: it has failed on several machines and never succeeded.
+  // Returns true if the job itself is probably faulty: it has failed on several machines and no task has succeeded.
   bool suspected(JobIndex job_index) const;
-  // Different machines on which the job has failed since its last success.
+  // Counts the machines on which the job has failed since its last success.
   std::uint32_t failed_machine_count(JobIndex job_index) const;
   bool has_failed(JobIndex job_index) const { return failed_machine_count(job_index) > 0; }
-  // When a suspected job may be placed again, monotonic s.
+  // Returns when a suspected job may be placed again, monotonic s.
   double retry_at(JobIndex job_index) const;
-  // Machines on which the job has failed recently.
+  // Returns the machines on which the job has failed recently.
   std::vector<MachineIndex> avoided_machines(JobIndex job_index) const;
 
+  // Restores the count from the job's progress record.
   void restore(JobIndex job_index, std::uint32_t failed_machine_count);
   void on(const TaskExited &event);
   void on(const JobCancelled &event);
@@ -49,7 +50,7 @@
     std::uint32_t failed_machine_count = 0;
     std::vector<Failure> failures; // the last one on each machine, bounded
     double retry_at = 0;           // monotonic s
-    int probes = 0;                // since the job became suspected
+    int retries = 0;               // since the job became suspected, capped
   };
   struct FailedJob {
     std::string id;
@@ -57,9 +58,9 @@
   };
   struct MachineHistory {
     std::vector<FailedJob> failed_jobs; // cleared when a task placed after `failing_since` succeeds
-    int errors = 0;
+    int error_count = 0;
     double failing_since = -1;       // monotonic s
-    double last_good_placement = -1; // of a task that succeeded, monotonic s
+    double last_good_placement = -1; // when the last task that succeeded was placed, monotonic s
     bool quarantined = false;
 
     bool is_faulty() const;
@@ -71,7 +72,7 @@
   void suspect(JobIndex job_index, JobHistory &history);
   void schedule_retry(JobHistory &history);
   void count_against_machine(MachineIndex machine_index, JobIndex job_index, double failed_at);
-  void clear_machines_of(JobIndex job_index);
+  void clear_machine_failures(JobIndex job_index);
 
   Runtime &runtime_;
   Events &events_;
--- a/include/loftrouter/core/jobs/job_objectives.hpp
+++ b/include/loftrouter/core/jobs/job_objectives.hpp
@@ -1,5 +1,5 @@
-// Computes when a job should be complete, by its deadline or by the service-level objectives of its class. Affects only
-// scheduling order and fleet size.
+// Computes when a job should be complete, by its deadline or by the service-level objectives of its class. The results
+// affect only scheduling order, fleet size and reports.
 #pragma once
 
 #include <optional>
@@ -9,17 +9,18 @@
 
 namespace loftrouter::core {
 
-// Times and ages are in seconds since the job became ready. `deadline`: the job's own, or the one that its dependents
-// require (`Dependencies::deadline`).
+// All times are in seconds since the job became ready. `deadline` is the job's own or that of its dependents
+// (`Dependencies::deadline`).
 class JobObjectives {
 public:
   explicit JobObjectives(const Settings &settings) : settings_(settings) {}
 
-  // When the job becomes late; nothing without a deadline or an objective.
+  // Returns when the job becomes late: its deadline or else the loosest objective of its class. Returns nothing without
+  // either.
   std::optional<double> completion_target(const JobSpec &spec, std::optional<double> deadline) const;
-  // The tightest objective that a job of this age can still meet.
+  // Returns the deadline, or else the tightest objective that a job of this age can still meet.
   double achievable_target(const JobSpec &spec, std::optional<double> deadline, double age_s) const;
-  // True for small work without a target that may still wait for cheaper machines.
+  // Returns true for small work that has no target and is young enough to wait for cheaper machines.
   bool deferrable(const JobSpec &spec, Urgency urgency, std::optional<double> deadline, double age_s) const;
 
 private:
@@ -27,7 +28,7 @@
   const Settings &settings_;
 };
 
-// Small work is of low priority and tolerates spot machines. It is kept off machines that others need whole.
+// Returns true for low-priority work that tolerates spot machines. It is kept off machines that other jobs need whole.
 inline bool is_small(const JobSpec &spec, Urgency urgency) {
   return urgency == Urgency::Low && spec.spot;
 }
--- a/include/loftrouter/core/jobs/job_reasons.hpp
+++ b/include/loftrouter/core/jobs/job_reasons.hpp
@@ -1,5 +1,5 @@
-// The texts that tell users what happened to their jobs: the last notable event of each open job, and the final record.
-// Has no effect on scheduling.
+// Composes the texts that tell users what happened to their jobs: the last notable event of each open job, and the
+// reason in its end record. Does not affect scheduling.
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
 
 namespace loftrouter::core {
 
-// The reason shown to users when a job is cancelled because its dependency was.
+// Returns the reason shown to users for a job that was cancelled because its dependency was.
 std::string dependency_cancelled_reason(std::string_view dependency_id);
 
 class JobReasons {
@@ -25,9 +25,9 @@
       : runtime_(runtime), jobs_(jobs), dependencies_(dependencies), failure_attribution_(failure_attribution),
         objectives_(objectives) {}
 
-  // The last event with its time of day; empty: none.
+  // Returns the last event with its time of day; empty: none.
   const std::string &last_event(JobIndex job_index) const;
-  // The final record of a job that ends now.
+  // Returns the end record of a job that ends now.
   EndRecord end_record(JobIndex job_index) const;
 
   void on(const JobAccepted &event) { grown(last_events_, event.job).clear(); }
--- a/include/loftrouter/core/jobs/job_table.hpp
+++ b/include/loftrouter/core/jobs/job_table.hpp
@@ -1,9 +1,9 @@
-// The leader's table of open jobs and the state of each of their tasks.
+// Holds the leader's open jobs and the state of each of their tasks.
 //
 // Owns jobs and tasks; used by the core's thread alone. Invariants: the counts match the task states, and a task leaves
 // `Placed` only by `finish`, or by `release` for its machine. Otherwise a running task could be placed again
-// (docs/safety.md "ran_twice"), or a job reported as done too early ("not_done"). Indices are reused after
-// `JobFinalized`.
+// (docs/safety.md "ran_twice"), or a job reported as done too early ("not_done"). The index of a removed job is reused
+// after `JobFinalized` has been delivered.
 #pragma once
 
 #include <cstddef>
@@ -42,7 +42,7 @@
   std::uint64_t serial = 0;            // distinguishes jobs that reuse an index
   std::uint64_t open_mod_revision = 0; // newest known revision of the open record
   int team = -1;                       // -1: not in the settings
-  int image = -1;
+  int image = -1;                      // index of the image name
 
   bool cancelled = false;
   bool ending = false; // the final record is being written
@@ -53,18 +53,18 @@
   std::uint32_t placed = 0;
   std::uint32_t unaccounted = 0;
   std::uint32_t delegated = 0;
-  std::vector<int> zone_used; // placed tasks by zone
+  std::vector<int> zone_used; // number of placed tasks by zone
 
   std::uint64_t gang_attempt = 0;
-  bool gang_started = false; // started: lost tasks are not replaced within this attempt
+  bool gang_started = false; // lost tasks are not replaced within this attempt
 
   std::vector<DelegationRecord> delegations;      // to remote cells
   std::uint32_t delegated_running = 0;            // by the last reports of the remote cells
-  std::optional<DelegationSource> delegated_here; // set: work of an origin cell; its other tasks count as done
-  bool origin_confirmed_end = false;              // if delegated here: the origin cell knows the result
+  std::optional<DelegationSource> delegated_here; // set: an origin cell delegated some tasks; the others count as done
+  bool origin_confirmed_end = false; // if delegated here: the origin cell has acknowledged the result or is not awaited
 
   std::uint32_t pending() const { return spec.tasks - done - placed - unaccounted - delegated; }
-  // True if the final record can be written: no task is left to run or may still be running.
+  // Returns true if the final record can be written: no task is left to run or may still be running.
   bool finishable() const;
 };
 
@@ -82,24 +82,24 @@
       if (jobs_[i]) visit(JobIndex(i), *jobs_[i]);
   }
   int find_team(const std::string &name) const { return team_names_.find(name); } // -1: not in the settings
-  // When all leases renewed by earlier leaders have expired, monotonic s; 0: already.
+  // Returns when all leases renewed by earlier leaders will have expired, monotonic s; 0: already.
   double unaccounted_until() const { return unaccounted_until_; }
-  // Increases whenever a job is added or a task becomes placeable.
+  // Increases whenever a job is added, becomes ready or is resumed, or a task becomes pending.
   std::uint64_t pending_work_version() const { return pending_work_version_; }
   bool consistent(JobIndex job_index) const; // for asserts and tests
 
   // ---- jobs ----
 
   JobIndex add(OpenRecord record, std::uint64_t mod_revision);
-  // Must precede the first placement.
+  // Restores the task states and delegations from the progress record. Called before the first placement.
   void restore(JobIndex job_index, const ProgressRecord &progress);
   void remove(JobIndex job_index);
   void cancel(JobIndex job_index);
-  // Returns false if the revision is not newer than the known one.
+  // Updates the revision of the open record. Returns false if it is not newer than the known one.
   [[nodiscard]] bool update_mod_revision(JobIndex job_index, std::uint64_t mod_revision);
   void set_ending(JobIndex job_index, bool ending);
   void pause(JobIndex job_index, bool paused);
-  void mark_ready(JobIndex job_index); // all dependencies are done
+  void mark_ready(JobIndex job_index); // called when all dependencies are done
   void confirm_end_by_origin(JobIndex job_index);
   void publish_changed(JobIndex job_index, bool urgent); // requests an update of the progress record
 
@@ -107,20 +107,20 @@
 
   void place(JobIndex job_index, std::uint32_t task_index, MachineIndex machine, int zone);
   void finish(JobIndex job_index, std::uint32_t task_index);
-  // `unaccounted`: another attempt may still run elsewhere.
+  // Makes a placed task pending, or unaccounted if another attempt may still run elsewhere.
   void release(JobIndex job_index, std::uint32_t task_index, MachineIndex machine, bool unaccounted);
   // Makes unaccounted tasks pending after `unaccounted_until`. Returns the affected jobs.
   [[nodiscard]] std::vector<JobIndex> expire_unaccounted();
 
   // ---- gangs ----
 
-  // `min_attempt`: exceeds all attempt numbers of earlier leaders.
+  // Begins a new attempt of the whole gang. `min_attempt` exceeds all attempt numbers of earlier leaders.
   std::uint64_t next_gang_attempt(JobIndex job_index, std::uint64_t min_attempt);
   void adopt_gang_attempt(JobIndex job_index, std::uint64_t attempt);
-  void set_gang_started(JobIndex job_index, bool closed);
+  void set_gang_started(JobIndex job_index, bool started);
 
   // ---- delegations to remote cells ----
-  // Delegated tasks cannot be placed here until the delegation expires or is removed.
+  // Delegated tasks cannot be placed in this cell until the delegation expires or is removed.
 
   void delegate(JobIndex job_index, DelegationRecord delegation);
   void charge_delegation(JobIndex job_index, std::uint64_t generation, const accounts::Usage &charged);
--- a/src/core/jobs/critical_path.cpp
+++ b/src/core/jobs/critical_path.cpp
@@ -1,4 +1,4 @@
-// Dependencies: topological order, priority, deadlines and the critical path.
+// Implements the topological order, propagated priorities and deadlines, and the critical path of Dependencies.
 #include <algorithm>
 
 #include "loftrouter/core/jobs/dependencies.hpp"
@@ -7,10 +7,10 @@
 
 namespace {
 constexpr double kEstimateFactor = 1.25; // safety margin for run time estimates
-constexpr double kStartDelayS = 2.0;
+constexpr double kStartDelayS = 2.0;     // besides the wait for a heartbeat
 } // namespace
 
-// The time from ready to done. A start waits for a heartbeat.
+// Estimates the time from when a job is ready until it is done.
 double Dependencies::lead_time_s(JobIndex job_index) const {
   return kEstimateFactor * jobs_[job_index].spec.estimate_s + kStartDelayS + settings_.heartbeat_interval_s;
 }
@@ -27,15 +27,15 @@
   topological_order_.clear();
   std::vector<std::size_t> unsorted_dependencies(nodes_.size(), 0);
   jobs_.each([&](JobIndex job_index, const Job &) {
-    if (!has_node(job_index)) return; // its event has not been delivered yet
+    if (!has_node(job_index)) return; // its JobAccepted event has not been delivered yet
     unsorted_dependencies[job_index.position()] = node(job_index).open_dependencies.size();
     if (node(job_index).open_dependencies.empty()) topological_order_.push_back(job_index);
   });
   for (std::size_t i = 0; i < topological_order_.size(); ++i)
     for (JobIndex dependent : node(topological_order_[i]).dependents) {
-      std::size_t &unsorted = unsorted_dependencies[dependent.position()];
-      --unsorted;
-      if (unsorted == 0) topological_order_.push_back(dependent);
+      std::size_t &unsorted_count = unsorted_dependencies[dependent.position()];
+      --unsorted_count;
+      if (unsorted_count == 0) topological_order_.push_back(dependent);
     }
 }
 
@@ -49,8 +49,8 @@
     const Requirement &downstream = requirements_[dependent.position()];
     combined.urgency = std::max(combined.urgency, downstream.urgency);
     if (!downstream.due_wall) continue;
-    const double latest_wall = *downstream.due_wall - lead_time_s(dependent);
-    combined.due_wall = std::min(combined.due_wall.value_or(latest_wall), latest_wall);
+    const double latest_end_wall = *downstream.due_wall - lead_time_s(dependent);
+    combined.due_wall = std::min(combined.due_wall.value_or(latest_end_wall), latest_end_wall);
   }
   return combined;
 }
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -11,7 +11,7 @@
 namespace {
 constexpr double kLookupRetryS = 1.0;    // after a look-up that found no end
 constexpr double kLookupDeadlineS = 1.0; // for each read
-constexpr double kReadsPerLookup = 1.3;  // average; the second read is rarely needed
+constexpr double kReadsPerLookup = 1.3;  // on average: the open record, and sometimes the end record
 } // namespace
 
 const Dependencies::Node &Dependencies::node(JobIndex job_index) const {
@@ -20,13 +20,13 @@
 }
 
 bool Dependencies::ready(JobIndex job_index) const {
-  const Node &job = node(job_index);
-  return job.known && job.unmet == 0 && job.cancelled_dependency.empty();
+  const Node &graph_node = node(job_index);
+  return graph_node.known && graph_node.unmet_count == 0 && graph_node.cancelled_dependency.empty();
 }
 
 std::size_t Dependencies::unresolved_count(JobIndex job_index) const {
-  const Node &job = node(job_index);
-  return job.unmet - job.open_dependencies.size();
+  const Node &graph_node = node(job_index);
+  return graph_node.unmet_count - graph_node.open_dependencies.size();
 }
 
 void Dependencies::on(const JobAccepted &event) {
@@ -39,19 +39,19 @@
   added.id = job.spec.id;
   added.ready_wall = job.submit_wall;
   outdated_ = true;
-  index_[added.id] = job_index;
-  // Its dependents may have become known first.
+  index_by_id_[added.id] = job_index;
+  // Dependents that were accepted earlier are waiting for a look-up.
   if (const auto it = lookups_.find(added.id); it != lookups_.end()) {
     const auto dependents = std::move(it->second.dependents);
     lookups_.erase(it);
     for (JobIndex dependent : dependents)
       add_edge(dependent, job_index);
   }
-  added.unmet = job.spec.waits_for.size();
+  added.unmet_count = job.spec.waits_for.size();
   for (const auto &id : job.spec.waits_for) {
     if (const auto *end = ended_.find(id))
       resolve({job_index}, id, *end);
-    else if (const auto it = index_.find(id); it != index_.end())
+    else if (const auto it = index_by_id_.find(id); it != index_by_id_.end())
       add_edge(job_index, it->second);
     else
       lookups_[id].dependents.push_back(job_index);
@@ -75,24 +75,24 @@
 }
 
 void Dependencies::dependency_done(JobIndex job_index, double end_wall) {
-  Node &job = node(job_index);
-  job.ready_wall = std::max(job.ready_wall, end_wall);
+  Node &graph_node = node(job_index);
+  graph_node.ready_wall = std::max(graph_node.ready_wall, end_wall);
   outdated_ = true;
-  --job.unmet;
+  --graph_node.unmet_count;
   if (ready(job_index) && jobs_.find(job_index) && !jobs_[job_index].cancelled) jobs_.mark_ready(job_index);
 }
 
-// The dependents of the job are cancelled when its JobCancelled event is delivered.
+// Cancels the job. Its own dependents follow when the JobCancelled event is delivered.
 void Dependencies::dependency_cancelled(JobIndex job_index, const std::string &dependency_id) {
-  Node &job = node(job_index);
-  if (job.cancelled_dependency.empty()) job.cancelled_dependency = dependency_id;
+  Node &graph_node = node(job_index);
+  if (graph_node.cancelled_dependency.empty()) graph_node.cancelled_dependency = dependency_id;
   outdated_ = true;
-  if (jobs_.find(job_index)) jobs_.cancel(job_index); // the same write may have ended it
+  if (jobs_.find(job_index)) jobs_.cancel(job_index); // it may have ended, with JobFinalized not delivered yet
 }
 
 void Dependencies::on(const JobCancelled &event) {
   if (!has_node(event.job) || !jobs_.find(event.job)) return;
-  outdated_ = true; // its requirements no longer propagate to its dependencies
+  outdated_ = true; // its priority and deadline no longer propagate to its dependencies
   const auto dependents = node(event.job).dependents;
   for (JobIndex dependent : dependents)
     dependency_cancelled(dependent, node(event.job).id);
@@ -100,13 +100,13 @@
 
 void Dependencies::on(const JobEndLearned &event) {
   const auto *end = ended_.find(event.id);
-  if (!end) return; // evicted from the cache; it is looked up again
+  if (!end) return; // evicted from the cache; the look-up is repeated
   if (const auto it = lookups_.find(event.id); it != lookups_.end()) {
     const auto dependents = std::move(it->second.dependents);
     lookups_.erase(it);
     resolve(dependents, event.id, *end);
   }
-  if (const auto it = index_.find(event.id); it != index_.end()) {
+  if (const auto it = index_by_id_.find(event.id); it != index_by_id_.end()) {
     const auto dependents = std::exchange(node(it->second).dependents, {});
     for (JobIndex dependent : dependents)
       std::erase(node(dependent).open_dependencies, it->second);
@@ -119,23 +119,23 @@
   Node &ended = node(event.job);
   for (JobIndex dependency : ended.open_dependencies)
     std::erase(node(dependency).dependents, event.job);
-  const bool has_lookups = ended.unmet > ended.open_dependencies.size();
+  const bool has_lookups = ended.unmet_count > ended.open_dependencies.size();
   for (auto it = lookups_.begin(); has_lookups && it != lookups_.end();) {
     std::erase(it->second.dependents, event.job);
     it = it->second.dependents.empty() ? lookups_.erase(it) : std::next(it);
   }
-  for (JobIndex dependent : ended.dependents) { // how the job ended has to be looked up
+  for (JobIndex dependent : ended.dependents) { // they depend on how the job ended, which has to be looked up
     std::erase(node(dependent).open_dependencies, event.job);
     lookups_[ended.id].dependents.push_back(dependent);
   }
-  index_.erase(ended.id);
+  index_by_id_.erase(ended.id);
   ended = {};
   outdated_ = true;
 }
 
 void Dependencies::on(const TermEnded &) {
   nodes_.clear();
-  index_.clear();
+  index_by_id_.clear();
   lookups_.clear();
   topological_order_.clear();
   requirements_.clear();
@@ -155,8 +155,8 @@
   }
 }
 
-// One write replaces the open record of a job by its end record, so the end record is read only if the open record is
-// missing. The watch reports the end of open jobs.
+// Reads the open record, which holds the end of a job until a later transaction moves it to the end record. So the end
+// record is read only if the open record is missing. If the job is still open, the watch reports its end.
 void Dependencies::look_up_open(const std::string &id) {
   const auto epoch = leadership_.epoch();
   runtime_.store(StoreGet{wire::open_key(id)}, kLookupDeadlineS, [this, id, epoch](const wire::StoreReply &reply) {
--- a/src/core/jobs/failure_attribution.cpp
+++ b/src/core/jobs/failure_attribution.cpp
@@ -12,8 +12,8 @@
 constexpr double kPauseAfterFailoverS = 20.0;        // for jobs that an earlier leader suspected
 constexpr double kMachineAvoidedS = 120.0;           // after a failure of the job there
 constexpr std::size_t kMaxFailuresPerJob = 8;
-constexpr double kMaxProbePauseS = 80.0; // between retries of a suspected job
-constexpr int kMaxProbes = 10;           // bounds the exponent of the backoff
+constexpr double kMaxRetryPauseS = 80.0; // between retries of a suspected job
+constexpr int kMaxRetryExponent = 10;    // of the backoff
 } // namespace
 
 const FailureAttribution::JobHistory &FailureAttribution::history(JobIndex job_index) const {
@@ -40,10 +40,11 @@
   return avoided;
 }
 
+// A failure is confirmed if the job has succeeded elsewhere, so that the job is not at fault.
 bool FailureAttribution::MachineHistory::is_faulty() const {
-  const auto confirmed = std::count_if(failed_jobs.begin(), failed_jobs.end(),
-                                       [](const FailedJob &job) { return job.succeeded_elsewhere; });
-  return confirmed >= 2 || failed_jobs.size() >= 3 || (confirmed >= 1 && errors >= 3);
+  const auto confirmed_count = std::count_if(failed_jobs.begin(), failed_jobs.end(),
+                                             [](const FailedJob &job) { return job.succeeded_elsewhere; });
+  return confirmed_count >= 2 || failed_jobs.size() >= 3 || (confirmed_count >= 1 && error_count >= 3);
 }
 
 void FailureAttribution::restore(JobIndex job_index, std::uint32_t failed_machine_count) {
@@ -62,14 +63,14 @@
   machine.last_good_placement = std::max(machine.last_good_placement, event.placed_at);
   if (event.placed_at >= machine.failing_since) {
     machine.failed_jobs.clear();
-    machine.errors = 0;
+    machine.error_count = 0;
   }
   JobHistory &job = grown(job_histories_, event.job);
   job.failed_machine_count = 0;
   std::erase_if(job.failures,
                 [this](const Failure &failure) { return runtime_.now() - failure.at >= kMachineAvoidedS; });
   for (const auto &failure : job.failures)
-    count_against_machine(failure.machine, event.job, failure.at); // the job is not at fault
+    count_against_machine(failure.machine, event.job, failure.at); // the job is not at fault, so the machine is
 }
 
 void FailureAttribution::task_failed(const TaskExited &event) {
@@ -78,7 +79,7 @@
   record_failure(job, event.machine);
   if (!suspected(event.job)) {
     events_.publish(TaskRetried{event.job, event.machine_name});
-    ++grown(machine_histories_, event.machine).errors;
+    ++grown(machine_histories_, event.machine).error_count;
     count_against_machine(event.machine, event.job, runtime_.now());
     return;
   }
@@ -100,8 +101,8 @@
 }
 
 void FailureAttribution::suspect(JobIndex job_index, JobHistory &history) {
-  history.probes = 0;
-  clear_machines_of(job_index);
+  history.retries = 0;
+  clear_machine_failures(job_index);
   events_.publish(JobSuspected{job_index, history.failed_machine_count});
   jobs_.publish_changed(job_index, false);
 }
@@ -109,14 +110,14 @@
 // Retries a suspected job with exponential backoff.
 void FailureAttribution::schedule_retry(JobHistory &history) {
   const double first_pause_s = operators_.tunables().probe_pause_s;
-  const double max_pause_s = std::max(kMaxProbePauseS, first_pause_s);
-  history.retry_at = runtime_.now() + std::min(max_pause_s, first_pause_s * std::pow(2.0, history.probes));
-  history.probes = std::min(history.probes + 1, kMaxProbes);
+  const double max_pause_s = std::max(kMaxRetryPauseS, first_pause_s);
+  history.retry_at = runtime_.now() + std::min(max_pause_s, first_pause_s * std::pow(2.0, history.retries));
+  history.retries = std::min(history.retries + 1, kMaxRetryExponent);
 }
 
 void FailureAttribution::count_against_machine(MachineIndex machine_index, JobIndex job_index, double failed_at) {
   MachineHistory &machine = grown(machine_histories_, machine_index);
-  if (machine.last_good_placement > failed_at) return;
+  if (machine.last_good_placement > failed_at) return; // a task placed after the failure has succeeded
   if (machine.failed_jobs.empty()) machine.failing_since = failed_at;
   const std::string &id = jobs_[job_index].spec.id;
   const bool succeeded_elsewhere = jobs_[job_index].done > 0;
@@ -131,17 +132,18 @@
   events_.publish(MachineQuarantined{machine_index, machine.failed_jobs.size()});
 }
 
-void FailureAttribution::clear_machines_of(JobIndex job_index) {
+// Stops counting the failures of the job against machines, because the job itself may be at fault.
+void FailureAttribution::clear_machine_failures(JobIndex job_index) {
   const std::string &id = jobs_[job_index].spec.id;
   for (const auto &failure : grown(job_histories_, job_index).failures) {
     MachineHistory &machine = grown(machine_histories_, failure.machine);
     std::erase_if(machine.failed_jobs, [&id](const FailedJob &failed) { return failed.id == id; });
-    if (machine.failed_jobs.empty()) machine.errors = 0;
+    if (machine.failed_jobs.empty()) machine.error_count = 0;
   }
 }
 
 void FailureAttribution::on(const JobCancelled &event) {
-  if (jobs_[event.job].done == 0) clear_machines_of(event.job);
+  if (jobs_[event.job].done == 0) clear_machine_failures(event.job);
 }
 
 void FailureAttribution::on(const MachineRemoved &event) {
--- a/src/core/jobs/job_objectives.cpp
+++ b/src/core/jobs/job_objectives.cpp
@@ -9,28 +9,28 @@
 
 namespace {
 constexpr double kDefaultTargetS = 3600.0; // for jobs without a deadline or an objective
-constexpr double kDeferrableS = 1800.0;    // then small work without a target may use expensive machines, too
-// Objective kinds in the settings.
-constexpr std::string_view kFinished = "finished";
-constexpr std::string_view kWait = "wait";
+constexpr double kMaxDeferralS = 1800.0;   // after that, small work may use expensive machines, too
+// The kinds of objectives in the settings.
+constexpr std::string_view kCompletionObjective = "finished";
+constexpr std::string_view kStartObjective = "wait";
 } // namespace
 
 std::optional<double> JobObjectives::completion_target(const JobSpec &spec, std::optional<double> deadline) const {
   if (deadline) return deadline;
-  std::optional<double> latest;
+  std::optional<double> loosest_s;
   for (const auto &objective : settings_.objectives)
-    if (objective.kind == kFinished && objective.job_class == spec.job_class)
-      latest = std::max(latest.value_or(0), objective.within_s);
-  return latest ? latest : start_target(spec);
+    if (objective.kind == kCompletionObjective && objective.job_class == spec.job_class)
+      loosest_s = std::max(loosest_s.value_or(0), objective.within_s);
+  return loosest_s ? loosest_s : start_target(spec);
 }
 
-// The completion target implied by a start objective.
+// Returns the completion target that follows from the objective for the start.
 std::optional<double> JobObjectives::start_target(const JobSpec &spec) const {
-  std::optional<double> latest;
+  std::optional<double> loosest_s;
   for (const auto &objective : settings_.objectives)
-    if (objective.kind == kWait && objective.job_class == spec.job_class)
-      latest = std::max(latest.value_or(0), objective.within_s + spec.estimate_s);
-  return latest;
+    if (objective.kind == kStartObjective && objective.job_class == spec.job_class)
+      loosest_s = std::max(loosest_s.value_or(0), objective.within_s + spec.estimate_s);
+  return loosest_s;
 }
 
 double JobObjectives::achievable_target(const JobSpec &spec, std::optional<double> deadline, double age_s) const {
@@ -39,7 +39,7 @@
   double tightest_s = std::numeric_limits<double>::infinity();
   double loosest_s = 0;
   for (const auto &objective : settings_.objectives) {
-    if (objective.kind != kFinished || objective.job_class != spec.job_class) continue;
+    if (objective.kind != kCompletionObjective || objective.job_class != spec.job_class) continue;
     if (objective.within_s >= earliest_end_s) tightest_s = std::min(tightest_s, objective.within_s);
     loosest_s = std::max(loosest_s, objective.within_s);
   }
@@ -49,7 +49,7 @@
 
 bool JobObjectives::deferrable(const JobSpec &spec, Urgency urgency, std::optional<double> deadline,
                                double age_s) const {
-  return is_small(spec, urgency) && !completion_target(spec, deadline) && age_s < kDeferrableS;
+  return is_small(spec, urgency) && !completion_target(spec, deadline) && age_s < kMaxDeferralS;
 }
 
 } // namespace loftrouter::core
--- a/src/core/jobs/job_reasons.cpp
+++ b/src/core/jobs/job_reasons.cpp
@@ -54,17 +54,18 @@
   const auto target_s = objectives_.completion_target(job.spec, dependencies_.own_deadline(job_index));
   end.late = target_s && duration_s > *target_s;
   if (!end.late) return end;
-  const std::string &last = last_event(job_index);
-  end.reason = fmt::format("finished {:.0f} s late{}{}", duration_s - *target_s, last.empty() ? "" : "; ", last);
+  const std::string &event_text = last_event(job_index);
+  end.reason =
+      fmt::format("finished {:.0f} s late{}{}", duration_s - *target_s, event_text.empty() ? "" : "; ", event_text);
   return end;
 }
 
 std::string JobReasons::cancellation_reason(JobIndex job_index) const {
   const std::string &dependency_id = dependencies_.cancelled_dependency(job_index);
   if (!dependency_id.empty()) return dependency_cancelled_reason(dependency_id);
-  const std::uint32_t failed_machines = failure_attribution_.failed_machine_count(job_index);
-  if (failed_machines == 0) return "stopped: cancelled by its user";
-  return fmt::format("stopped: cancelled by its user; it had failed on {} machines", failed_machines);
+  const std::uint32_t machine_count = failure_attribution_.failed_machine_count(job_index);
+  if (machine_count == 0) return "stopped: cancelled by its user";
+  return fmt::format("stopped: cancelled by its user; it had failed on {} machines", machine_count);
 }
 
 } // namespace loftrouter::core
--- a/src/core/jobs/job_table.cpp
+++ b/src/core/jobs/job_table.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-// Skips indices beyond `task_count`, which records may contain.
+// Visits the task indices of the ranges. Skips those beyond `task_count`, which records may contain.
 template <class Visit> void each_task(const Ranges &ranges, std::uint32_t task_count, Visit &&visit) {
   for (const auto &[begin, end] : ranges)
     for (std::uint32_t task_index = begin; task_index < end && task_index < task_count; ++task_index)
       visit(task_index);
 }
 
-// Returns null for pending tasks, which are not counted.
+// Returns the job's count of tasks in this state; null for pending tasks, which are not counted.
 std::uint32_t *count_of(Job &job, TaskState state) {
   switch (state) {
   case TaskState::Placed:
@@ -94,17 +94,17 @@
   return job_index;
 }
 
-// The team name "@<cell>" separates delegated work from local work; JobApiHandler refuses such names from users. The
-// job is paused until the origin cell confirms the delegation.
+// Marks the job as work of an origin cell. It is paused until that cell confirms the delegation. The team name
+// "@<cell>" separates it from local work; JobApiHandler refuses such names from users.
 void JobTable::accept_delegation(JobIndex job_index, DelegationSource source) {
   Job &job = at(job_index);
   job.spec.team = "@" + source.origin;
   job.delegated_here = std::move(source);
   job.paused = true;
-  std::vector<char> delegated(job.spec.tasks, 0);
-  each_task(job.delegated_here->tasks, job.spec.tasks, [&](std::uint32_t task_index) { delegated[task_index] = 1; });
+  std::vector<char> is_delegated(job.spec.tasks, 0);
+  each_task(job.delegated_here->tasks, job.spec.tasks, [&](std::uint32_t task_index) { is_delegated[task_index] = 1; });
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
-    if (!delegated[i]) set_state(job_index, i, TaskState::Done);
+    if (!is_delegated[i]) set_state(job_index, i, TaskState::Done);
 }
 
 void JobTable::restore(JobIndex job_index, const ProgressRecord &progress) {
@@ -208,8 +208,8 @@
 }
 
 std::vector<JobIndex> JobTable::expire_unaccounted() {
-  std::vector<JobIndex> affected;
-  if (unaccounted_until_ <= 0 || runtime_.now() < unaccounted_until_) return affected;
+  std::vector<JobIndex> affected_jobs;
+  if (unaccounted_until_ <= 0 || runtime_.now() < unaccounted_until_) return affected_jobs;
   unaccounted_until_ = 0;
   each([&](JobIndex job_index, const Job &job) {
     if (job.unaccounted == 0) return;
@@ -217,9 +217,9 @@
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
       if (job.tasks[i].state == TaskState::Unaccounted) set_state(job_index, i, TaskState::Pending);
     if (job.finishable()) publish_changed(job_index, true);
-    affected.push_back(job_index);
+    affected_jobs.push_back(job_index);
   });
-  return affected;
+  return affected_jobs;
 }
 
 std::uint64_t JobTable::next_gang_attempt(JobIndex job_index, std::uint64_t min_attempt) {
@@ -235,8 +235,8 @@
   job.gang_attempt = std::max(job.gang_attempt, attempt);
 }
 
-void JobTable::set_gang_started(JobIndex job_index, bool closed) {
-  at(job_index).gang_started = closed;
+void JobTable::set_gang_started(JobIndex job_index, bool started) {
+  at(job_index).gang_started = started;
 }
 
 void JobTable::delegate(JobIndex job_index, DelegationRecord delegation) {
