--- a/include/loftrouter/core/workers/machine.hpp
+++ b/include/loftrouter/core/workers/machine.hpp
@@ -1,4 +1,4 @@
-// The leader's view of a worker machine and of the tasks allocated to it.
+// Describes a worker machine and the tasks allocated to it, as known to the leader.
 //
 // Owned and modified by the `WorkerRegistry` alone. Times are monotonic seconds; -1 means "never".
 #pragma once
@@ -18,7 +18,7 @@
 
 namespace loftrouter::core {
 
-// The lifecycle of an allocation, which only moves forward: if a sent start counted as unsent, the task could be
+// States how far an allocation has got. It only moves forward: if a sent start counted as unsent, the task could be
 // started elsewhere while it runs (docs/safety.md "ran_twice").
 enum class AllocationState : std::uint8_t {
   Unsent,    // no response has carried the start
@@ -27,7 +27,7 @@
   Completed, // listed as succeeded; kept until the result is recorded
 };
 
-// How the last heartbeat listed an allocated task.
+// States how the last heartbeat listed an allocated task.
 enum class Presence : std::uint8_t {
   Absent,
   Listed,
@@ -41,9 +41,9 @@
   std::uint64_t attempt = 0;
   AllocationState state = AllocationState::Unsent;
   TaskPhase phase = TaskPhase::Fetching;
-  bool was_unaccounted = false; // adopted from an earlier leader while unaccounted for
+  bool was_unaccounted = false; // adopted from an earlier leader while its task was unaccounted
   Presence presence = Presence::Absent;
-  std::optional<double> stop_grace_s; // set: stop requested; time to save a checkpoint
+  std::optional<double> stop_grace_s; // time to save a checkpoint; set: a stop was requested
   double placed_at = 0;
   double start_sent_at = -1;
   double waiting_since = -1;
@@ -56,20 +56,21 @@
   bool stop_requested() const { return stop_grace_s.has_value(); }
 };
 
-// An accepted heartbeat makes a lost machine available again.
+// States whether the machine can run tasks. An accepted heartbeat makes a lost machine available again.
 enum class MachineAvailability : std::uint8_t {
   Starting, // no heartbeat yet
   Available,
   Lost, // the lease expired, or the machine failed or was removed
 };
 
-// Scale-in progress; `Returning` is final.
+// States whether the machine is being returned to the cloud. `Returning` is final.
 enum class ScaleInState : std::uint8_t {
   Retained,
-  Draining,  // takes no new tasks; is returned to the cloud once it is empty
-  Returning, // takes no new tasks; is being returned to the cloud
+  Draining,  // takes no new tasks; is returned once it is empty
+  Returning, // takes no new tasks; is being returned
 };
 
+// Keeps what the last accepted heartbeat has shown.
 struct HeartbeatState {
   std::string worker_address;      // receives stop commands; empty: none
   ReplicaIndex forwarding_replica; // forwarded the last heartbeat; invalid: received directly
@@ -82,7 +83,7 @@
   bool received() const { return first_accepted_at >= 0; }
 };
 
-// What the cloud's machine list has shown so far.
+// Keeps what the cloud's list of machines has shown so far.
 struct CloudListing {
   bool running = false; // listed as running; may have stopped since
   bool failed = false;  // stopped without a request
@@ -98,8 +99,8 @@
   double known_since = 0;
   double rented_at = 0;
   double idle_since = -1;                             // -1: not idle, or unknown
-  std::optional<double> reclaim_at;                   // by the spot reclaim notice
-  std::optional<wire::MachineAdminState> admin_state; // set by an operator: takes no new tasks
+  std::optional<double> reclaim_at;                   // when the cloud will reclaim it, by its spot notice
+  std::optional<wire::MachineAdminState> admin_state; // if set by an operator: takes no new tasks
 
   MachineAvailability availability = MachineAvailability::Starting;
   ScaleInState scale_in = ScaleInState::Retained;
@@ -108,7 +109,7 @@
   CloudListing listing;
 
   std::vector<Allocation> allocations;
-  bool stop_commands_pending = false;       // not yet sent with a response
+  bool stop_commands_pending = false;       // requested, not yet sent
   Resources used;                           // by allocations that are not completed
   std::list<std::pair<int, double>> images; // cached images and their GB, most recently used first
   double busy_cpu_s = 0;                    // CPU seconds of tasks that succeeded here
@@ -122,6 +123,7 @@
   }
 };
 
+// Groups machines by instance type, zone and price model.
 struct MachineKind {
   int type = -1;
   int zone = -1;
--- a/include/loftrouter/core/workers/worker_registry.hpp
+++ b/include/loftrouter/core/workers/worker_registry.hpp
@@ -1,9 +1,9 @@
-// The leader's registry of machines and of the tasks that run or may run on them.
+// Registers the leader's machines and the tasks that run or may run on them.
 //
 // Owns machines and allocations; used by the core's thread alone. Invariant: an allocation is released only on proof
 // that its attempt is over: the start was never sent, a newer heartbeat does not list it, the lease has expired, or the
 // machine was removed. Otherwise the task could be started elsewhere while it runs (docs/safety.md "ran_twice").
-// Indices are reused after `MachineRemoved`.
+// The index of a removed machine is reused after `MachineRemoved`.
 #pragma once
 
 #include <cstddef>
@@ -42,11 +42,12 @@
       if (machines_[i]) visit(MachineIndex(i), *machines_[i]);
   }
   std::size_t available_count() const;
-  // Counts the workers whose heartbeats this replica forwards; invalid: those received directly.
+  // Counts the available workers whose heartbeats this replica forwards; invalid: those received directly.
   std::size_t available_count(ReplicaIndex forwarding_replica) const;
-  // Monotonic s; nothing if the machine was not removed or the removal was forgotten.
+  // Returns when the machine was removed, monotonic s; nothing if it was not or the removal has been forgotten.
   std::optional<double> removed_at(const std::string &name) const;
-  // Indexed by job. Includes unaccounted tasks, as most of them are running.
+  // Counts running tasks, by job index. Includes those in remote cells, and unaccounted ones, most of which are
+  // running.
   std::vector<std::uint32_t> running_tasks_by_job() const;
   std::uint32_t running_tasks(JobIndex job_index) const;
   bool consistent(MachineIndex machine_index) const; // for asserts and tests
@@ -68,11 +69,11 @@
 
   enum class HeartbeatResult : std::uint8_t {
     Stale,         // not newer than the last accepted one
-    MachineFailed, // by the cloud's list
+    MachineFailed, // by the cloud's list of machines
     Accepted,
   };
-  // Renews the lease and reconciles the allocations with the listed tasks. Appends the commands for listed tasks;
-  // `build_response` adds the others after the events have been handled.
+  // Renews the lease and reconciles the allocations with the listed tasks. Appends the commands that concern these
+  // tasks; `build_response` appends the others after the events have been handled.
   [[nodiscard]] HeartbeatResult accept_heartbeat(MachineIndex machine_index, const Heartbeat &heartbeat,
                                                  ReplicaIndex forwarding_replica, std::vector<TaskCommand> &commands);
   // Appends requested stops and, with `may_start`, the recorded starts.
@@ -81,16 +82,16 @@
   // ---- allocations ----
 
   void allocate(MachineIndex machine_index, JobIndex job_index, std::uint32_t task_index, std::uint64_t attempt);
-  // Releases an unsent allocation at once, others when a heartbeat no longer lists them.
-  // `grace_s`: time to save a checkpoint.
+  // Releases an unsent allocation at once; otherwise requests a stop, and a later heartbeat that no longer lists the
+  // task releases it. `grace_s`: time to save a checkpoint.
   void stop(MachineIndex machine_index, std::size_t position, double grace_s);
-  // Returns false if all tasks of the job were being stopped already.
+  // Stops all tasks of the job. Returns false if they were being stopped already.
   bool stop_job(JobIndex job_index, double grace_s);
   void release_unsent(JobIndex job_index);
   // Stops a gang that has lost a task since it started, so that it can be started again as a whole.
   void reconcile_gang(JobIndex job_index);
 
-  void tick();               // expired leases and spot reclaims
+  void tick();               // handles expired leases and spot reclaims
   void send_stop_commands(); // called at the end of each batch
   void on(const JobCancelled &event) { stop_job(event.job, 0); }
   void on(const JobFinalized &event);
@@ -100,15 +101,15 @@
   void on(const TermEnded &);
 
 private:
-  struct TaskListing; // a heartbeat's tasks matched with the allocations
+  struct TaskListing; // the tasks of a heartbeat, matched with the allocations
 
   Machine &at(MachineIndex machine_index) { return *machines_[machine_index.position()]; }
   MachineIndex free_index();
-  void mark_lost(MachineIndex machine_index, std::string_view why);
+  void mark_lost(MachineIndex machine_index, std::string_view reason);
   bool lease_expired(const Machine &machine) const;
   void stop_checkpointable_before_reclaim(MachineIndex machine_index);
 
-  DownlinkEvidence fencing_token_evidence(const Machine &machine, const Heartbeat &heartbeat) const;
+  DownlinkEvidence downlink_evidence(const Machine &machine, const Heartbeat &heartbeat) const;
   void renew_lease(Machine &machine, const Heartbeat &heartbeat, ReplicaIndex forwarding_replica);
   void reconcile_tasks(MachineIndex machine_index, const Heartbeat &heartbeat, DownlinkEvidence evidence,
                        std::vector<TaskCommand> &commands);
@@ -127,7 +128,7 @@
   void mark_start_sent(MachineIndex machine_index, Allocation &allocation);
 
   void release(MachineIndex machine_index, std::size_t position);
-  void publish_released(MachineIndex machine_index, const Allocation &allocation, bool done);
+  void publish_released(MachineIndex machine_index, const Allocation &allocation, bool completed);
   void request_stop(MachineIndex machine_index, Allocation &allocation, double grace_s);
   void touch_cached_image(Machine &machine, int image, double image_gb);
   bool gang_has_started(JobIndex job_index) const;
--- a/src/core/workers/allocations.cpp
+++ b/src/core/workers/allocations.cpp
@@ -1,4 +1,4 @@
-// WorkerRegistry: allocating, releasing and stopping tasks.
+// Implements how the WorkerRegistry allocates, releases and stops tasks.
 #include <algorithm>
 #include <utility>
 
@@ -31,25 +31,26 @@
   Machine &machine = at(machine_index);
   const Allocation allocation = std::move(machine.allocations[position]);
   machine.allocations.erase(machine.allocations.begin() + static_cast<std::ptrdiff_t>(position));
-  if (allocation.completed()) return; // published and accounted for at its exit
+  if (allocation.completed()) return; // handled when it exited
   publish_released(machine_index, allocation, false);
   machine.used.add(allocation.need, -1);
   if (!allocation.job.valid()) return;
-  // A delayed heartbeat may have listed an outdated attempt of an earlier leader, while a newer one runs elsewhere.
+  // The released attempt may be an old one that a delayed heartbeat listed, while a newer one of an earlier leader runs
+  // elsewhere. So the task becomes pending only after `unaccounted_until`.
   const bool unaccounted = allocation.was_unaccounted && jobs_.unaccounted_until() > 0;
   jobs_.release(allocation.job, allocation.index, machine_index, unaccounted);
 }
 
-void WorkerRegistry::publish_released(MachineIndex machine_index, const Allocation &allocation, bool done) {
+void WorkerRegistry::publish_released(MachineIndex machine_index, const Allocation &allocation, bool completed) {
   if (!allocation.job.valid() || allocation.start_sent_at < 0)
-    return; // belongs to no job, or its allocation was not published
+    return; // belongs to no job, or its allocation was never published
   const Machine &machine = at(machine_index);
-  events_.publish(TaskReleased{allocation.job, allocation.index, machine_index, done, allocation.start_sent_at,
+  events_.publish(TaskReleased{allocation.job, allocation.index, machine_index, completed, allocation.start_sent_at,
                                allocation.waiting_since, allocation.running_since, machine.type, machine.zone,
                                machine.spot});
 }
 
-// Models the image cache of the worker, with LRU eviction. The image just used always stays.
+// Models the worker's image cache with LRU eviction. The image just used is never evicted.
 void WorkerRegistry::touch_cached_image(Machine &machine, int image, double image_gb) {
   if (image < 0) return;
   machine.images.remove_if([image](const auto &cached) { return cached.first == image; });
@@ -73,18 +74,18 @@
 }
 
 bool WorkerRegistry::stop_job(JobIndex job_index, double grace_s) {
-  bool any_new = false;
+  bool any_stop_new = false;
   for (std::size_t i = 0; i < machines_.size(); ++i) {
     if (!machines_[i]) continue;
     const MachineIndex machine_index(i);
     for (std::size_t position = at(machine_index).allocations.size(); position-- > 0;) {
       const Allocation &allocation = at(machine_index).allocations[position];
       if (allocation.job != job_index || allocation.completed()) continue;
-      any_new |= !allocation.stop_requested();
+      any_stop_new |= !allocation.stop_requested();
       stop(machine_index, position, grace_s);
     }
   }
-  return any_new;
+  return any_stop_new;
 }
 
 void WorkerRegistry::release_unsent(JobIndex job_index) {
@@ -98,7 +99,7 @@
   }
 }
 
-// The shortest grace period of several requests applies.
+// Requests a stop. If it was requested before, the shorter grace period applies.
 void WorkerRegistry::request_stop(MachineIndex machine_index, Allocation &allocation, double grace_s) {
   if (allocation.completed()) return;
   if (allocation.stop_requested()) {
@@ -109,8 +110,8 @@
   if (!std::exchange(at(machine_index).stop_commands_pending, true)) stop_commands_pending_.push_back(machine_index);
 }
 
-// Sends stops without waiting for the next heartbeat, so that other tasks can start sooner. This includes tasks that
-// were sent but not observed. If the start has not arrived, the stop has no effect: attempt numbers are not reused.
+// Sends stops without waiting for the next heartbeat, so that other tasks can start sooner. Includes tasks whose start
+// may not have arrived: as attempt numbers are not reused, such a stop cannot affect a later attempt.
 void WorkerRegistry::send_stop_commands() {
   for (MachineIndex machine_index : std::exchange(stop_commands_pending_, {})) {
     Machine *machine = machines_[machine_index.position()].get();
--- a/src/core/workers/heartbeat_reconciliation.cpp
+++ b/src/core/workers/heartbeat_reconciliation.cpp
@@ -1,4 +1,4 @@
-// WorkerRegistry: handling heartbeats, see docs/safety.md "ran_twice".
+// Implements how the WorkerRegistry reconciles allocations with heartbeats (docs/safety.md "ran_twice").
 #include <algorithm>
 #include <cassert>
 #include <utility>
@@ -10,7 +10,8 @@
 namespace {
 constexpr std::size_t kMaxStartsPerResponse = 400; // keeps the message below the protocol's 64 KiB
 constexpr double kResponseTimeoutS = 3.5;          // less than the 4 s after which a worker resends
-// A restart within this share of the lease after a response means that the response did not arrive.
+// A worker begins a new incarnation when its lease expires. If that happens within this share of the lease after a
+// response, the response did not arrive.
 constexpr double kUnacknowledgedLeaseShare = 0.6;
 
 TaskCommand make_command(TaskCommand::Verb verb, const Allocation &allocation, double grace_s = 0) {
@@ -28,7 +29,7 @@
 
 struct WorkerRegistry::TaskListing {
   std::vector<std::pair<std::size_t, const TaskStatus *>> exits; // with the position of the allocation
-  std::vector<const TaskStatus *> unknown;                       // tasks without an allocation
+  std::vector<const TaskStatus *> unknown;                       // without an allocation
 };
 
 WorkerRegistry::HeartbeatResult WorkerRegistry::accept_heartbeat(MachineIndex machine_index, const Heartbeat &heartbeat,
@@ -40,25 +41,25 @@
     return HeartbeatResult::Stale;
   if (machine.listing.failed) return HeartbeatResult::MachineFailed;
   if (!last.received()) events_.publish(MachineJoined{machine_index});
-  const DownlinkEvidence evidence = fencing_token_evidence(machine, heartbeat);
+  const DownlinkEvidence evidence = downlink_evidence(machine, heartbeat);
   renew_lease(machine, heartbeat, forwarding_replica);
   reconcile_tasks(machine_index, heartbeat, evidence, commands);
   return HeartbeatResult::Accepted;
 }
 
-// Infers whether the last response arrived. A worker waits 4 s for a response before it sends the next heartbeat, so
-// one that comes sooner with our token acknowledges the response.
-DownlinkEvidence WorkerRegistry::fencing_token_evidence(const Machine &machine, const Heartbeat &heartbeat) const {
-  const bool shows_our_token = heartbeat.fencing_token >= leadership_.term();
+// Infers whether the last response arrived. Without a response, a worker waits 4 s before it sends the next heartbeat.
+// So a heartbeat that comes sooner and carries our fencing token acknowledges the response.
+DownlinkEvidence WorkerRegistry::downlink_evidence(const Machine &machine, const Heartbeat &heartbeat) const {
+  const bool has_our_token = heartbeat.fencing_token >= leadership_.term();
   DownlinkEvidence evidence;
-  evidence.acknowledged = shows_our_token && !machine.downlink.verified();
+  evidence.acknowledged = has_our_token && !machine.downlink.verified();
   if (!machine.heartbeat.received()) return evidence;
   const double since_response_s = runtime_.now() - machine.heartbeat.last_accepted_at;
   const bool in_time = since_response_s < kResponseTimeoutS && settings_.heartbeat_interval_s < kResponseTimeoutS;
-  const bool restarted = heartbeat.incarnation > machine.heartbeat.incarnation;
-  evidence.acknowledged |= in_time && shows_our_token;
+  const bool new_incarnation = heartbeat.incarnation > machine.heartbeat.incarnation;
+  evidence.acknowledged |= in_time && has_our_token;
   evidence.unacknowledged =
-      !shows_our_token || (restarted && since_response_s < kUnacknowledgedLeaseShare * settings_.lease_s);
+      !has_our_token || (new_incarnation && since_response_s < kUnacknowledgedLeaseShare * settings_.lease_s);
   return evidence;
 }
 
@@ -102,7 +103,7 @@
     }
     const auto position = static_cast<std::size_t>(found - allocations.begin());
     found->presence = Presence::Listed;
-    // The response with its start has arrived.
+    // The task is listed, so the response with its start has arrived.
     evidence.acknowledged |= found->state == AllocationState::Sent;
     observe(machine_index, *found, task);
     if (task.phase == TaskPhase::Exited) listing.exits.emplace_back(position, &task);
@@ -128,7 +129,7 @@
                                          std::vector<TaskCommand> &commands) {
   for (const auto &[position, task] : listing.exits) {
     Allocation &allocation = at(machine_index).allocations[position];
-    // The worker keeps the result until the completion is recorded.
+    // The worker has to keep the result until its completion is recorded.
     if (allocation.completed()) {
       if (!allocation.job.valid() || state_writer_.completion_recorded(allocation.job, allocation.index))
         commands.push_back(make_command(TaskCommand::Verb::Forget, allocation));
@@ -174,11 +175,12 @@
   }
 }
 
-// Absence proves that an attempt is over, because the heartbeat is newer than every response that could have carried
-// its start. An allocation that was never listed is kept while its start can still be sent (again).
+// Releases the allocations that the heartbeat does not list. Their attempts are over, because the heartbeat is newer
+// than every response that could have carried the start. An allocation that was never listed is kept while its start
+// can still be sent or resent.
 //
-// `reconcile_gang` may release other allocations and shift positions. `presence` is therefore stored in the allocation;
-// by position, a running task could be taken for an absent one.
+// `reconcile_gang` may release other allocations and shift positions. `presence` is therefore kept in the allocation
+// and not by position, so that a running task is never taken for an absent one.
 void WorkerRegistry::release_absent(MachineIndex machine_index) {
   Machine &machine = at(machine_index);
   for (std::size_t position = machine.allocations.size(); position-- > 0;) {
@@ -198,7 +200,7 @@
   const JobIndex job_index = jobs_.index(task.job);
   if (may_adopt(job_index, task)) {
     adopt(machine_index, job_index, task, commands);
-  } else if (task.phase == TaskPhase::Exited) { // of an ended job, or a duplicate attempt
+  } else if (task.phase == TaskPhase::Exited) { // its job has ended, or it is a duplicate attempt
     commands.push_back(make_command(TaskCommand::Verb::Forget, task));
   } else {
     commands.push_back(make_command(TaskCommand::Verb::Stop, task));
@@ -254,7 +256,8 @@
   }
 }
 
-// The task occupies capacity until a heartbeat no longer lists it.
+// Adds an allocation without a job for a task that is being stopped, as it uses capacity until a heartbeat no longer
+// lists it.
 void WorkerRegistry::add_unwanted(MachineIndex machine_index, JobIndex job_index, const TaskStatus &task) {
   Machine &machine = at(machine_index);
   Allocation unwanted;
@@ -273,15 +276,15 @@
 void WorkerRegistry::build_response(MachineIndex machine_index, bool may_start, std::vector<TaskCommand> &commands) {
   Machine &machine = at(machine_index);
   machine.stop_commands_pending = false;
-  std::size_t starts = 0;
+  std::size_t start_count = 0;
   for (auto &allocation : machine.allocations) {
     if (allocation.completed()) continue;
     if (allocation.stop_requested()) {
       if (allocation.observed() && allocation.phase != TaskPhase::Exited)
         commands.push_back(make_command(TaskCommand::Verb::Stop, allocation, *allocation.stop_grace_s));
-    } else if (may_start && starts < kMaxStartsPerResponse && may_send_start(machine, allocation)) {
+    } else if (may_start && start_count < kMaxStartsPerResponse && may_send_start(machine, allocation)) {
       mark_start_sent(machine_index, allocation);
-      ++starts;
+      ++start_count;
       commands.push_back(make_command(TaskCommand::Verb::Start, allocation));
     }
   }
@@ -292,7 +295,7 @@
   assert(consistent(machine_index));
 }
 
-// Starts are recorded before they are sent, so that the next leader knows of every task that may run.
+// Returns true once the start is recorded, so that the next leader knows of every task that may run.
 bool WorkerRegistry::may_send_start(const Machine &machine, const Allocation &allocation) const {
   if (machine.downlink.lost() || machine.returning()) return false;
   if (allocation.observed() || !allocation.job.valid() || jobs_[allocation.job].paused) return false;
--- a/src/core/workers/worker_registry.cpp
+++ b/src/core/workers/worker_registry.cpp
@@ -68,9 +68,9 @@
 }
 
 MachineIndex WorkerRegistry::free_index() {
-  const auto free = std::find(machines_.begin(), machines_.end(), nullptr);
-  const auto position = free - machines_.begin();
-  if (free == machines_.end()) machines_.emplace_back();
+  const auto free_slot = std::find(machines_.begin(), machines_.end(), nullptr);
+  const auto position = free_slot - machines_.begin();
+  if (free_slot == machines_.end()) machines_.emplace_back();
   return MachineIndex(static_cast<std::size_t>(position));
 }
 
@@ -120,16 +120,16 @@
   mark_returning(machine_index);
 }
 
-void WorkerRegistry::mark_lost(MachineIndex machine_index, std::string_view why) {
+void WorkerRegistry::mark_lost(MachineIndex machine_index, std::string_view reason) {
   Machine &machine = at(machine_index);
   if (machine.lost()) return;
   machine.availability = MachineAvailability::Lost;
-  events_.publish(MachineLost{machine_index, machine.name, std::string(why), machine.allocations.size()});
+  events_.publish(MachineLost{machine_index, machine.name, std::string(reason), machine.allocations.size()});
   std::vector<JobIndex> affected_jobs;
   while (!machine.allocations.empty()) {
     if (const JobIndex job_index = machine.allocations.back().job; job_index.valid()) {
       affected_jobs.push_back(job_index);
-      events_.publish(TaskLost{job_index, machine.name, std::string(why)});
+      events_.publish(TaskLost{job_index, machine.name, std::string(reason)});
     }
     release(machine_index, machine.allocations.size() - 1);
   }
@@ -165,14 +165,15 @@
   }
 }
 
-// Earlier leaders stopped responding before this term began, so only this leader's responses count.
+// Returns true if the worker's lease has expired. Only this leader's responses renew it, as earlier leaders stopped
+// responding before this term began.
 bool WorkerRegistry::lease_expired(const Machine &machine) const {
   return leadership_.active() && machine.available() &&
          runtime_.now() >
              machine.heartbeat.last_accepted_at + settings_.lease_s * (1 + kMaxClockDrift) + kLeaseExpiryMarginS;
 }
 
-// Stops tasks with checkpoints just early enough to save before a spot reclaim.
+// Stops tasks that have checkpoints just early enough for them to save before a spot reclaim.
 void WorkerRegistry::stop_checkpointable_before_reclaim(MachineIndex machine_index) {
   Machine &machine = at(machine_index);
   if (!machine.reclaim_at || !machine.available()) return;
@@ -190,7 +191,7 @@
     if (!machine) continue;
     for (auto &allocation : machine->allocations) {
       if (allocation.job != event.job) continue;
-      allocation.job = {}; // stopped like any task of an unknown job
+      allocation.job = {}; // from now on a task of an unknown job, which is stopped
       allocation.stop_grace_s = 0;
     }
   }
