--- a/tests/downlink_state_test.cpp
+++ b/tests/downlink_state_test.cpp
@@ -1,4 +1,4 @@
-// Tests when the downlink of a worker is considered lost and restored.
+// Tests when the downlink of a worker counts as lost and as restored.
 #include <gtest/gtest.h>
 
 #include "loftrouter/core/workers/downlink_state.hpp"
@@ -9,7 +9,7 @@
 constexpr DownlinkEvidence kNoEvidence{};
 constexpr DownlinkEvidence kAcknowledged{.acknowledged = true, .unacknowledged = false};
 constexpr DownlinkEvidence kUnacknowledged{.acknowledged = false, .unacknowledged = true};
-constexpr DownlinkEvidence kBoth{.acknowledged = true, .unacknowledged = true};
+constexpr DownlinkEvidence kContradictory{.acknowledged = true, .unacknowledged = true};
 
 DownlinkState lost_downlink() {
   DownlinkState downlink;
@@ -27,14 +27,14 @@
   EXPECT_TRUE(downlink.accepts_commands());
 }
 
-TEST(DownlinkState, SurvivesASingleUnacknowledgedResponse) {
+TEST(DownlinkState, IsNotLostAfterASingleUnacknowledgedResponse) {
   DownlinkState downlink;
   downlink.set_verified();
   EXPECT_EQ(downlink.update(kUnacknowledged, false, 1), DownlinkState::Change::None);
   EXPECT_TRUE(downlink.accepts_commands());
   EXPECT_EQ(downlink.update(kAcknowledged, false, 2), DownlinkState::Change::None);
   EXPECT_EQ(downlink.update(kUnacknowledged, false, 3), DownlinkState::Change::None);
-  EXPECT_FALSE(downlink.lost()) << "the two were not in a row";
+  EXPECT_FALSE(downlink.lost()) << "an acknowledged response came between the two";
 }
 
 TEST(DownlinkState, IsLostAfterTwoUnacknowledgedResponsesInARow) {
@@ -43,7 +43,7 @@
   EXPECT_EQ(downlink.lost_since(), 2);
   EXPECT_FALSE(downlink.accepts_commands());
   EXPECT_EQ(downlink.update(kUnacknowledged, true, 3), DownlinkState::Change::None);
-  EXPECT_EQ(downlink.lost_since(), 2) << "still the time of the loss";
+  EXPECT_EQ(downlink.lost_since(), 2) << "a further unacknowledged response does not change the time of the loss";
 }
 
 TEST(DownlinkState, StaysLostWithoutEvidence) {
@@ -54,7 +54,7 @@
 
 TEST(DownlinkState, StaysLostOnContradictoryEvidence) {
   DownlinkState downlink = lost_downlink();
-  EXPECT_EQ(downlink.update(kBoth, false, 3), DownlinkState::Change::None);
+  EXPECT_EQ(downlink.update(kContradictory, false, 3), DownlinkState::Change::None);
   EXPECT_TRUE(downlink.lost());
 }
 
@@ -64,7 +64,7 @@
   EXPECT_TRUE(downlink.accepts_commands());
 }
 
-TEST(DownlinkState, IsRestoredWhenAnIncarnationSurvivesALease) {
+TEST(DownlinkState, IsRestoredWhenTheWorkerOutlivesALease) {
   DownlinkState downlink = lost_downlink();
   EXPECT_EQ(downlink.update(kNoEvidence, true, 40), DownlinkState::Change::Restored);
   EXPECT_TRUE(downlink.accepts_commands());
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -13,18 +13,18 @@
 
 namespace {
 
-// Submits a job once its dependencies are accepted; gives up at `until`.
-void submit_when_accepted(World &world, JobSpec spec, double until) {
+// Submits a job once its dependencies are accepted; gives up at `give_up_at`, in seconds.
+void submit_when_accepted(World &world, JobSpec spec, double give_up_at) {
   for (const auto &id : spec.waits_for)
     if (const auto *dependency = world.own(id); !dependency || !dependency->accepted) {
-      if (world.now() < until)
-        world.at(world.now() + 0.2, [&world, spec, until] { submit_when_accepted(world, spec, until); });
+      if (world.now() < give_up_at)
+        world.at(world.now() + 0.2, [&world, spec, give_up_at] { submit_when_accepted(world, spec, give_up_at); });
       return;
     }
   world.submit(spec);
 }
 
-// Submits a diamond of four jobs and returns their ids.
+// Submits four jobs with diamond-shaped dependencies and returns their ids.
 std::vector<std::string> submit_pipeline(World &world, int variant) {
   std::vector<std::string> ids;
   auto first = world.job(Shape::Array, 4, 1, 4);
@@ -44,13 +44,14 @@
   return ids;
 }
 
+// Submits pipelines at intervals and cancels one job of every third pipeline.
 void submit_pipelines(World &world, int count, std::uint64_t seed) {
   for (int i = 0; i < count; ++i)
     world.at(15 + 6.0 * i, [&world, i, seed] {
-      auto ids = submit_pipeline(world, i);
+      auto job_ids = submit_pipeline(world, i);
       if (i % 3 == 2)
-        world.at(world.now() + 1 + (seed * 7 + static_cast<std::uint64_t>(i) * 5) % 25, [&world, ids, i] {
-          const auto &id = ids[static_cast<std::size_t>(i / 3) % 3];
+        world.at(world.now() + 1 + (seed * 7 + static_cast<std::uint64_t>(i) * 5) % 25, [&world, job_ids, i] {
+          const auto &id = job_ids[static_cast<std::size_t>(i / 3) % 3];
           if (const auto *job = world.own(id); job && job->accepted) world.cancel(id);
         });
     });
@@ -100,59 +101,60 @@
   EXPECT_EQ(checked, 32);
 }
 
-TEST(Upgrade, UpcomingStateServiceLimitsAreValidated) {
-  auto parse_next_limits = [](const std::string &next) {
+TEST(Upgrade, AnnouncedStateServiceLimitsAreValidated) {
+  auto parse_with_next_limits = [](const std::string &next_limits) {
     return app::parse_settings(R"({"node_name":"n","site":"a","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
       "siblings":[],"outside":{"cloud":"10.2.0.2:1","state":"10.2.0.1:2"},"settings":{"zones":["a"],"teams":[],
       "workers":{"report_s":1,"lease_s":10,"gang_wait_s":30,"gang_peer_s":4,"cancel_s":40},
       "state":{"rps":250,"write_rps":15,"value_kb":8,"txn_ops":8,"next":)" +
-                               next + R"(},"cloud":{"rps":5,"list_lag_s":3},
+                               next_limits + R"(},"cloud":{"rps":5,"list_lag_s":3},
       "limits":{"cpu_share":1,"memory_mb":56,"fd_limit":700}}})");
   };
-  EXPECT_EQ(std::get<Settings>(parse_next_limits("null")).state_value_kb, 8);
-  EXPECT_EQ(std::get<Settings>(parse_next_limits(R"({"value_kb":64})")).state_value_kb, 8)
-      << "the lower of the current and the next limit";
-  const auto settings = std::get<Settings>(parse_next_limits(R"({"value_kb":2,"txn_ops":4,"write_rps":9})"));
-  EXPECT_EQ(std::tuple(settings.state_value_kb, settings.state_txn_ops), std::tuple(2, 4)) << "applied immediately";
+  EXPECT_EQ(std::get<Settings>(parse_with_next_limits("null")).state_value_kb, 8);
+  EXPECT_EQ(std::get<Settings>(parse_with_next_limits(R"({"value_kb":64})")).state_value_kb, 8)
+      << "the lower of the present and the announced limit applies";
+  const auto settings = std::get<Settings>(parse_with_next_limits(R"({"value_kb":2,"txn_ops":4,"write_rps":9})"));
+  EXPECT_EQ(std::tuple(settings.state_value_kb, settings.state_txn_ops), std::tuple(2, 4))
+      << "lower announced limits apply at once";
   EXPECT_EQ(std::tuple(settings.state_write_rps, settings.state_next_write_rps), std::tuple(15, std::optional(9.0)));
   for (const char *invalid : {"3", R"({"value_kb":"x"})", R"({"txn_ops":0})", R"({"write_rps":-1})"})
-    EXPECT_NE(std::get<std::string>(parse_next_limits(invalid)).find("next"), std::string::npos) << invalid;
+    EXPECT_NE(std::get<std::string>(parse_with_next_limits(invalid)).find("next"), std::string::npos) << invalid;
 }
 
 // ---- the graph ----
 
 namespace {
 
-// Evaluates each query recursively, without incremental state.
+// Answers each query by recursion over the whole graph, without incremental updates.
 struct ReferenceGraph {
   struct ReferenceJob {
     std::vector<std::string> dependency_ids;
     bool open = true, cancelled = false, done = false;
-    bool end_known = true;           // to the graph under test
-    bool dependency_stopped = false; // stays set
+    bool end_known = true;               // to the graph under test
+    bool transitively_cancelled = false; // stays set
   };
   std::map<std::string, ReferenceJob> jobs;
 
-  bool stopped(const std::string &id) {
+  bool is_cancelled(const std::string &id) {
     ReferenceJob &job = jobs.at(id);
-    return job.dependency_stopped |=
+    return job.transitively_cancelled |=
            job.cancelled ||
            std::any_of(job.dependency_ids.begin(), job.dependency_ids.end(), [&](const auto &dependency_id) {
-             return (jobs.at(dependency_id).open || jobs.at(dependency_id).end_known) && stopped(dependency_id);
+             return (jobs.at(dependency_id).open || jobs.at(dependency_id).end_known) && is_cancelled(dependency_id);
            });
   }
   bool ready(const std::string &id) {
     const ReferenceJob &job = jobs.at(id);
-    return !stopped(id) &&
+    return !is_cancelled(id) &&
            std::all_of(job.dependency_ids.begin(), job.dependency_ids.end(), [&](const auto &dependency_id) {
              return jobs.at(dependency_id).done && jobs.at(dependency_id).end_known;
            });
   }
-  Urgency urgency(const std::string &id, const std::map<std::string, Urgency> &own) {
-    Urgency highest = own.at(id);
-    for (const auto &[other, job] : jobs)
-      if (job.open && !stopped(other) && std::count(job.dependency_ids.begin(), job.dependency_ids.end(), id))
-        highest = std::max(highest, urgency(other, own));
+  Urgency urgency(const std::string &id, const std::map<std::string, Urgency> &own_priorities) {
+    Urgency highest = own_priorities.at(id);
+    for (const auto &[other_id, job] : jobs)
+      if (job.open && !is_cancelled(other_id) && std::count(job.dependency_ids.begin(), job.dependency_ids.end(), id))
+        highest = std::max(highest, urgency(other_id, own_priorities));
     return highest;
   }
 };
@@ -160,10 +162,10 @@
 } // namespace
 
 TEST(Dependencies, MatchesTheReferenceModel) {
-  int ready_count = 0, stopped_count = 0, lookup_count = 0;
+  int ready_count = 0, cancelled_count = 0, lookup_count = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     std::mt19937 rng(seed);
-    auto pick = [&](std::size_t n) { return static_cast<std::size_t>(rng() % n); };
+    auto random_below = [&](std::size_t limit) { return static_cast<std::size_t>(rng() % limit); };
     Settings settings;
     settings.teams = {{"red", 0, 0, 0, 0}};
     core::Runtime runtime(seed);
@@ -175,9 +177,9 @@
     core::EndedJobs ended(events);
     core::Dependencies graph(runtime, settings, state_limits, leadership, jobs, ended);
     ReferenceGraph reference;
-    std::map<std::string, Urgency> own;
+    std::map<std::string, Urgency> own_priorities;
     std::vector<std::string> ids;
-    auto deliver = [&] {
+    auto deliver_events = [&] {
       events.deliver([&](const auto &event) {
         if constexpr (requires { graph.on(event); }) graph.on(event);
         if constexpr (requires { jobs.on(event); }) jobs.on(event);
@@ -186,45 +188,45 @@
     runtime.begin_batch({100, 1000});
     test::win_election(runtime, leadership);
     leadership.begin_term();
-    deliver();
+    deliver_events();
     for (int step = 0; step < 150; ++step) {
       runtime.begin_batch({100.0 + step, 1000.0 + step});
-      const auto action = pick(10);
+      const auto action = random_below(10);
       if (action < 4 || ids.empty()) {
         char id[16];
         std::snprintf(id, sizeof id, "j-%06u", static_cast<unsigned>(ids.size()));
         OpenRecord record;
         record.spec.id = id;
         record.spec.team = "red";
-        record.spec.urgency = own[id] = static_cast<Urgency>(pick(4));
+        record.spec.urgency = own_priorities[id] = static_cast<Urgency>(random_below(4));
         record.submit_wall = runtime.wall();
-        for (std::size_t remaining = pick(4); remaining > 0 && !ids.empty(); --remaining)
-          if (const auto &dependency_id = ids[ids.size() - 1 - pick(std::min<std::size_t>(ids.size(), 12))];
+        for (std::size_t draws_left = random_below(4); draws_left > 0 && !ids.empty(); --draws_left)
+          if (const auto &dependency_id = ids[ids.size() - 1 - random_below(std::min<std::size_t>(ids.size(), 12))];
               std::count(record.spec.waits_for.begin(), record.spec.waits_for.end(), dependency_id) == 0)
             record.spec.waits_for.push_back(dependency_id);
         reference.jobs[id].dependency_ids = record.spec.waits_for;
         ids.push_back(id);
         events.publish(core::JobAccepted{jobs.add(std::move(record), 1)});
       } else {
-        const auto &id = ids[pick(ids.size())];
+        const auto &id = ids[random_below(ids.size())];
         auto &expected = reference.jobs[id];
         const core::JobIndex job_index = jobs.index(id);
         if (action < 6 && job_index.valid()) { // cancelled by its user
           jobs.cancel(job_index);
           expected.cancelled = true;
-        } else if (action < 9 && job_index.valid()) { // ends, not always observed
-          const bool cancelled = reference.stopped(id);
+        } else if (action < 9 && job_index.valid()) { // ends; the graph does not always learn how
+          const bool cancelled = reference.is_cancelled(id);
           if (!cancelled && !reference.ready(id)) continue;
           expected.open = false;
           expected.done = !cancelled;
           expected.cancelled = cancelled;
-          expected.end_known = pick(4) != 0;
+          expected.end_known = random_below(4) != 0;
           EndRecord end;
           end.cancelled = cancelled;
           end.end_wall = runtime.wall();
           if (expected.end_known) ended.remember(id, end);
           jobs.remove(job_index);
-        } else if (!job_index.valid() && !expected.end_known) { // look-up
+        } else if (!job_index.valid() && !expected.end_known) { // its end is looked up
           ++lookup_count;
           expected.end_known = true;
           EndRecord end;
@@ -233,25 +235,26 @@
           ended.remember(id, end);
         }
       }
-      deliver();
+      deliver_events();
       for (const auto &id : ids) {
         const core::JobIndex job_index = jobs.index(id);
         if (!job_index.valid()) continue;
-        ASSERT_EQ(jobs[job_index].cancelled, reference.stopped(id)) << "seed " << seed << " step " << step << " " << id;
+        ASSERT_EQ(jobs[job_index].cancelled, reference.is_cancelled(id))
+            << "seed " << seed << " step " << step << " " << id;
         if (!jobs[job_index].cancelled) {
           ASSERT_EQ(graph.ready(job_index), reference.ready(id)) << "seed " << seed << " step " << step << " " << id;
-          ASSERT_EQ(graph.urgency(job_index), reference.urgency(id, own))
+          ASSERT_EQ(graph.urgency(job_index), reference.urgency(id, own_priorities))
               << "seed " << seed << " step " << step << " " << id;
         }
         ready_count +=
             graph.ready(job_index) && !jobs[job_index].cancelled && !reference.jobs[id].dependency_ids.empty();
-        stopped_count += !graph.cancelled_dependency(job_index).empty();
+        cancelled_count += !graph.cancelled_dependency(job_index).empty();
       }
       ASSERT_EQ(graph.topological_order().size(), jobs.open_count());
     }
   }
   EXPECT_GT(ready_count, 1000);
-  EXPECT_GT(stopped_count, 1000);
+  EXPECT_GT(cancelled_count, 1000);
   EXPECT_GT(lookup_count, 50);
 }
 
@@ -265,7 +268,7 @@
     world.submit(service);
   });
   world.run(6);
-  auto submit_with = [&](int node, std::vector<std::string> dependency_ids) {
+  auto submit_with_dependencies = [&](int node, std::vector<std::string> dependency_ids) {
     auto spec = world.job(Shape::Array, 1, 1, 5);
     spec.waits_for = std::move(dependency_ids);
     auto answer = world.submit_at(node, spec);
@@ -273,20 +276,21 @@
     return answer;
   };
   for (int node = 0; node < 3; ++node) {
-    EXPECT_EQ(submit_with(node, {first.id})->status, 201) << node;
-    EXPECT_EQ(submit_with(node, {first.id, "j-999999"})->status, 422) << node;
-    EXPECT_EQ(submit_with(node, {service.id})->status, 422) << node;
+    EXPECT_EQ(submit_with_dependencies(node, {first.id})->status, 201) << node;
+    EXPECT_EQ(submit_with_dependencies(node, {first.id, "j-999999"})->status, 422) << node;
+    EXPECT_EQ(submit_with_dependencies(node, {service.id})->status, 422) << node;
   }
-  world.run(90); // the job has ended by now, but may still be named
+  world.run(90); // the dependency has ended, and can still be named
   for (int node = 0; node < 3; ++node)
-    EXPECT_EQ(submit_with(node, {first.id})->status, 201) << node;
+    EXPECT_EQ(submit_with_dependencies(node, {first.id})->status, 201) << node;
   world.outage(20);
   world.run(world.now() + 3);
-  EXPECT_EQ(submit_with(0, {"j-999998"})->status, 503) << "cannot be checked during the outage";
+  EXPECT_EQ(submit_with_dependencies(0, {"j-999998"})->status, 503)
+      << "dependencies cannot be checked while the state service is down";
 }
 
-// Guards against a replica of an earlier version, which ignores dependencies and would start jobs too early.
-TEST(Pipelines, DependenciesAreRefusedBesideAnEarlierVersion) {
+// Guards against jobs with dependencies while a replica runs an earlier version, which would start them too early.
+TEST(Pipelines, DependenciesAreRefusedWhileAReplicaRunsAnEarlierVersion) {
   Settings settings;
   settings.node = "node-0";
   settings.replicas = {{"node-1", "a", ""}};
@@ -301,7 +305,7 @@
     message.sender = 1;
     return core.apply({core::PeerMessageCommand{core::ReplicaIndex(), 7, message}}, {now, 1.7e9 + now});
   };
-  auto replica_version = [&] {
+  auto reported_version = [&] {
     const auto effects = core.apply({core::AdminCommand{9, wire::AdminRequest{}}}, {now, 1.7e9 + now});
     return wire::Json::parse(effects.replies.at(0).body)["siblings"][0]["version"].get<std::string>();
   };
@@ -314,7 +318,7 @@
     return !effects.replies.empty() &&
            wire::decode(effects.replies[0].body)->dump().find("all nodes") != std::string::npos;
   };
-  // Submissions are validated against the machine types.
+  // Submissions are validated against the machine types, which the state service supplies.
   for (const auto &op : core.apply({core::TickCommand{}}, {now, 1.7e9 + now}).store)
     if (const auto *get = std::get_if<core::StoreGet>(&op.request); get && get->key == "conf/types") {
       wire::StoreReply reply;
@@ -323,27 +327,27 @@
           {get->key, wire::to_json(std::vector<MachineType>{{"g", {4, 0, 8}, 1, 1, 1, 1, 1, {"a"}}}), 1, 0});
       core.apply({core::StoreReplyCommand{op.op, reply}}, {now, 1.7e9 + now});
     }
-  EXPECT_EQ(replica_version(), "unknown");
+  EXPECT_EQ(reported_version(), "unknown");
   const auto pong = ping(41);
   ASSERT_FALSE(pong.peers.empty());
   EXPECT_EQ(pong.peers[0].message.nonce, 41u) << "the nonce is returned unchanged";
-  EXPECT_EQ(replica_version(), "earlier");
+  EXPECT_EQ(reported_version(), "earlier");
   EXPECT_TRUE(dependency_refused());
   ping(42 | wire::kKnowsDependencies);
-  EXPECT_EQ(replica_version(), "this or later");
+  EXPECT_EQ(reported_version(), "this or later");
   EXPECT_FALSE(dependency_refused());
-  ping(43); // downgraded
+  ping(43); // the replica was downgraded
   EXPECT_TRUE(dependency_refused());
-  now += 4; // gone
+  now += 4; // the replica no longer answers
   EXPECT_FALSE(dependency_refused());
 }
 
-// Every node reports the cancellations before all records are written.
+// Every replica reports the dependents as cancelled before all their records are written.
 TEST(Pipelines, CancellationReachesAThousandDependents) {
   WorldOptions options;
   options.next_value_kb = 2;
   options.next_txn_ops = 4;
-  options.state_rps = 400; // users ask 200 times a second
+  options.state_rps = 400; // users poll about 200 times a second
   World world(5, options);
   auto first = world.job(Shape::Array, 1, 1, 2000);
   world.at(2, [&] { world.submit(first); });
@@ -376,11 +380,11 @@
 
 TEST(Pipelines, AChainOfFiftyJobsSurvivesFailovers) {
   World world(6, {});
-  std::string previous;
+  std::string previous_id;
   for (int i = 0; i < 50; ++i) {
     auto spec = world.job(Shape::Array, 1, 0.5, 1);
-    if (i) spec.waits_for = {previous};
-    previous = spec.id;
+    if (i) spec.waits_for = {previous_id};
+    previous_id = spec.id;
     world.at(3 + 0.3 * i, [&world, spec] { submit_when_accepted(world, spec, 100); });
   }
   for (int i = 0; i < 4; ++i)
@@ -392,7 +396,7 @@
   EXPECT_EQ(world.finished_jobs, 50);
 }
 
-// Every node reports the dependency of a waiting job and that its deadline is at risk.
+// Every replica names the dependency of a waiting job and reports that its deadline is at risk.
 TEST(Pipelines, ReasonNamesTheDependencyAndTheRisk) {
   World world(7, {});
   auto first = world.job(Shape::Array, 3, 1, 200), last = world.job(Shape::Array, 1, 1, 5);
@@ -403,17 +407,17 @@
   world.run(12); // before the first job has started
   for (int node = 0; node < 3; ++node) {
     auto answer = world.look_up(node, last.id);
-    auto late = world.admin(node, "GET", "/admin/v1/foreseen");
+    auto at_risk = world.admin(node, "GET", "/admin/v1/foreseen");
     world.run(world.now() + 0.7);
     EXPECT_EQ(answer->body["status"], "queued");
     const auto reason = answer->body.value("reason", "");
     EXPECT_NE(reason.find("waits for job " + first.id), std::string::npos) << reason;
     EXPECT_NE(reason.find("at risk"), std::string::npos) << reason;
-    EXPECT_NE(late->body.dump().find(last.id), std::string::npos) << late->body.dump();
+    EXPECT_NE(at_risk->body.dump().find(last.id), std::string::npos) << at_risk->body.dump();
   }
 }
 
-// The state service rejects records below its announced size limit.
+// Guards against a state service that rejects records smaller than its announced size limit.
 TEST(Pipelines, RejectedRecordsAreMadeSmaller) {
   WorldOptions options;
   options.untold_value_kb = 0.8;
@@ -429,7 +433,8 @@
 
 class PipelineSeeds : public ::testing::TestWithParam<int> {};
 
-// All faults during a rolling upgrade, while the limits are lowered below the record size of the old version.
+// Injects all faults during a rolling upgrade, while the state service's limits fall below the record size of the old
+// version.
 TEST_P(PipelineSeeds, SafetyHoldsUnderFaults) {
   const auto seed = static_cast<std::uint64_t>(GetParam());
   WorldOptions options = troubled(seed);
@@ -439,7 +444,7 @@
   options.begins_old = true;
   World world(seed, options);
   mixed_load(world, 24);
-  for (int i = 0; i < 12; ++i) // records exceed the lowered limit
+  for (int i = 0; i < 12; ++i) // their records exceed the lowered limit
     world.at(1 + 0.1 * i, [&world] {
       auto spec = world.job(Shape::Array, 900, 0.05, 30);
       spec.urgency = Urgency::Low;
