--- a/include/loftrouter/core/jobs/job_table.hpp
+++ b/include/loftrouter/core/jobs/job_table.hpp
@@ -45,7 +45,7 @@
   int image = -1;                      // index of the image name
 
   bool cancelled = false;
-  bool ending = false; // the final record is being written
+  bool ending = false; // the end of the job is being recorded
   bool paused = false; // no task may be started
 
   std::vector<Task> tasks;
@@ -64,7 +64,7 @@
   bool origin_confirmed_end = false; // if delegated here: the origin cell has acknowledged the result or is not awaited
 
   std::uint32_t pending() const { return spec.tasks - done - placed - unaccounted - delegated; }
-  // Returns true if the final record can be written: no task is left to run or may still be running.
+  // Returns true if the end of the job can be recorded: no task is left to run or may still be running.
   bool finishable() const;
 };
 
--- a/include/loftrouter/core/workers/worker_registry.hpp
+++ b/include/loftrouter/core/workers/worker_registry.hpp
@@ -144,7 +144,7 @@
   std::vector<std::unique_ptr<Machine>> machines_; // by index; null: free
   std::unordered_map<std::string, MachineIndex> index_by_name_;
   std::unordered_map<std::string, double> removed_at_; // by name, monotonic s
-  std::vector<MachineIndex> stop_commands_pending_;
+  std::vector<MachineIndex> stop_commands_pending_;    // machines with stops to be sent
 };
 
 } // namespace loftrouter::core
--- a/src/core/jobs/dependencies.cpp
+++ b/src/core/jobs/dependencies.cpp
@@ -65,6 +65,7 @@
   if (jobs_.find(dependency) && jobs_[dependency].cancelled) dependency_cancelled(dependent, node(dependency).id);
 }
 
+// Applies the end of a dependency to its dependents.
 void Dependencies::resolve(const std::vector<JobIndex> &dependents, const std::string &id, const EndRecord &end) {
   for (JobIndex dependent : dependents) {
     if (end.cancelled)
@@ -92,7 +93,7 @@
 
 void Dependencies::on(const JobCancelled &event) {
   if (!has_node(event.job) || !jobs_.find(event.job)) return;
-  outdated_ = true; // its priority and deadline no longer propagate to its dependencies
+  outdated_ = true; // its dependencies no longer inherit its priority and deadline
   const auto dependents = node(event.job).dependents;
   for (JobIndex dependent : dependents)
     dependency_cancelled(dependent, node(event.job).id);
