--- a/include/loftrouter/core/autoscaling/autoscaler.hpp
+++ b/include/loftrouter/core/autoscaling/autoscaler.hpp
@@ -25,7 +25,7 @@
   void tick();
   // Calls the cloud, at a limited rate, to find out whether this node can reach it.
   void probe() { catalog_loader_.probe(); }
-  // Returns whether the cloud recently reported no capacity for this kind.
+  // Returns whether the cloud recently reported no capacity for this kind of machine.
   bool lacks_capacity(const MachineKind &kind) const { return scale_out_.lacks_capacity(kind); }
   std::vector<MachineKind> kinds_without_capacity() const { return scale_out_.kinds_without_capacity(); }
   void on(const TermStarted &);
@@ -42,7 +42,7 @@
   ScaleIn scale_in_;
   ScaleOut scale_out_;
   CapacityPlanner planner_;
-  bool listing_ = false;
+  bool list_in_flight_ = false;
   double next_list_ = 0;        // monotonic
   double next_scale_ = 0;       // monotonic
   double first_listed_at_ = -1; // monotonic; first complete list of the term; -1: none yet
--- a/include/loftrouter/core/autoscaling/autoscaling_context.hpp
+++ b/include/loftrouter/core/autoscaling/autoscaling_context.hpp
@@ -21,6 +21,6 @@
   const JobObjectives &objectives;
 };
 
-constexpr double kMinimumChargeS = 60.0; // minimum billed per machine
+constexpr double kMinimumChargeS = 60.0; // shortest time that the cloud bills for a machine
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/autoscaling/capacity_planner.hpp
+++ b/include/loftrouter/core/autoscaling/capacity_planner.hpp
@@ -11,7 +11,7 @@
 
 struct CapacityPlan {
   std::vector<CapacityRequest> requests; // by descending priority of their first jobs
-  double waiting_cpus = 0;               // of pending tasks that aren't deferrable
+  double waiting_cpus = 0;               // needed by pending tasks that aren't deferrable
 };
 
 class CapacityPlanner {
--- a/include/loftrouter/core/autoscaling/scale_out.hpp
+++ b/include/loftrouter/core/autoscaling/scale_out.hpp
@@ -14,8 +14,8 @@
 struct CapacityRequest {
   MachineKind kind;
   int machines = 0;
-  int jobs = 0;
-  JobIndex first_job; // of those it is for
+  int jobs = 0;       // that the machines are for
+  JobIndex first_job; // the one with the highest priority
 };
 
 class ScaleOut {
@@ -23,12 +23,12 @@
   ScaleOut(const AutoscalingContext &context, TokenBucket &call_limiter)
       : context_(context), call_limiter_(call_limiter) {}
 
-  // Sends as much as the rate limit allows; the next plan repeats the rest.
+  // Requests as many machines as the rate limit allows; the next plan repeats the rest.
   void request(const CapacityRequest &wanted);
-  // Returns whether the cloud recently reported no capacity for this kind.
+  // Returns whether the cloud recently reported no capacity for this kind of machine.
   bool lacks_capacity(const MachineKind &kind) const;
   std::vector<MachineKind> kinds_without_capacity() const;
-  // Machines in requests not answered yet.
+  // Returns the number of machines in requests that the cloud hasn't answered yet.
   const std::map<MachineKind, int> &in_flight() const { return in_flight_; }
   bool in_flight(const MachineKind &kind) const;
   void on(const TermEnded &) { in_flight_.clear(); }
--- a/include/loftrouter/core/catalog/instance_type_catalog.hpp
+++ b/include/loftrouter/core/catalog/instance_type_catalog.hpp
@@ -11,7 +11,7 @@
 
 namespace loftrouter::core {
 
-// Times the cheapest CPU price; more expensive machines are for urgent work only.
+// A machine counts as expensive if its CPU price exceeds this multiple of the cheapest; deferrable jobs avoid it.
 constexpr double kExpensiveRatio = 1.5;
 
 class InstanceTypeCatalog {
@@ -20,7 +20,8 @@
 
   // Adds or replaces the listed types. An empty list changes nothing.
   void update(std::vector<MachineType> types);
-  bool known() const { return known_; } // loaded at least once
+  // Returns whether types have been loaded at least once.
+  bool known() const { return known_; }
   const std::vector<MachineType> &types() const { return types_; }
   const MachineType &type(int type_index) const { return types_[static_cast<std::size_t>(type_index)]; }
 
--- a/include/loftrouter/core/scheduling/fleet_snapshot.hpp
+++ b/include/loftrouter/core/scheduling/fleet_snapshot.hpp
@@ -1,5 +1,5 @@
 // Lists the machines that may take tasks, with their free resources, for a placement round.
-// Safety doesn't depend on it: it excludes machines on which a task would probably not start.
+// Machines on which a task would probably not start are left out; safety doesn't depend on that.
 #pragma once
 
 #include <functional>
--- a/include/loftrouter/core/scheduling/large_task_reservations.hpp
+++ b/include/loftrouter/core/scheduling/large_task_reservations.hpp
@@ -1,6 +1,5 @@
-// Tracks the instance types whose machines are reserved for large tasks, which fit no other type and need a whole
-// machine.
-// Small tasks avoid such machines (`FleetSnapshot`). Safety doesn't depend on it.
+// Tracks the instance types whose on-demand machines are reserved for large tasks: those that fit no other type and
+// don't fit twice on one machine. `FleetSnapshot` keeps small tasks off such machines. Safety doesn't depend on it.
 #pragma once
 
 #include <unordered_map>
@@ -13,12 +12,12 @@
 public:
   struct Reservation {
     double last_wanted_at = 0; // monotonic
-    Resources need;            // maximum over the jobs, for each resource
+    Resources need;            // of the largest task, for each resource
   };
   explicit LargeTaskReservations(const SchedulingContext &context) : context_(context) {}
 
-  // Returns null if no job wanted the type within the last `within_s` seconds.
-  const Reservation *find(int type, double within_s) const;
+  // Returns null if no job wanted the type within the last `max_age_s` seconds.
+  const Reservation *find(int type, double max_age_s) const;
   void on(const JobAccepted &event);
 
 private:
--- a/include/loftrouter/core/scheduling/nominations.hpp
+++ b/include/loftrouter/core/scheduling/nominations.hpp
@@ -1,5 +1,5 @@
-// Records machines nominated for one job: cleared by preemption, or kept for a job that has waited too long.
-// Nominations expire. Guards against small tasks refilling a machine while its victims are still stopping.
+// Records machines nominated for a single job, because preemption is emptying them for it or because it has waited too
+// long. Nominations expire. Guards against small tasks refilling a machine while its victims are still stopping.
 #pragma once
 
 #include <string>
@@ -16,19 +16,21 @@
 public:
   struct Nomination {
     std::string job_id;
-    double until = -1;          // monotonic
-    bool open_to_small = false; // as decided by the last full round
+    double expires_at = -1;           // monotonic
+    bool open_to_small_tasks = false; // as decided by the last full round
   };
   // Returns null or a nomination, which may have expired.
   const Nomination *find(MachineIndex machine) const {
     return machine.position() < nominations_.size() ? &nominations_[machine.position()] : nullptr;
   }
-  void nominate(MachineIndex machine, std::string job_id, double until) {
+  void nominate(MachineIndex machine, std::string job_id, double expires_at) {
     Nomination &nomination = grown(nominations_, machine);
     nomination.job_id = std::move(job_id);
-    nomination.until = until;
+    nomination.expires_at = expires_at;
+  }
+  void set_open_to_small_tasks(MachineIndex machine, bool open) {
+    grown(nominations_, machine).open_to_small_tasks = open;
   }
-  void set_open_to_small(MachineIndex machine, bool open) { grown(nominations_, machine).open_to_small = open; }
   void clear() { nominations_.clear(); }
   void on(const MachineRemoved &event) {
     if (find(event.machine)) nominations_[event.machine.position()] = {};
--- a/include/loftrouter/core/scheduling/placement_queue.hpp
+++ b/include/loftrouter/core/scheduling/placement_queue.hpp
@@ -18,7 +18,7 @@
   PlacementJob placement_job(JobIndex job_index) const;
   // Like `placement_job`, but a starved job may use expensive and reserved machines too.
   PlacementJob job_relaxed_if_starved(JobIndex job_index) const;
-  // Oldest first, so that a team's guaranteed quota covers its oldest jobs.
+  // Returns the jobs with pending tasks, oldest first, so that a team's guaranteed quota covers its oldest jobs.
   std::vector<JobIndex> waiting_jobs() const;
   // Returns whether the job may wait for cheap capacity.
   bool deferrable(JobIndex job_index) const;
@@ -26,22 +26,22 @@
   bool starved(JobIndex job_index) const;
   double age_s(JobIndex job_index) const; // since the job became ready
 
-  // Called in each full round.
+  // Called for each waiting job in each full round.
   void note_waiting(JobIndex job_index, double round_interval_s);
   void note_placed(JobIndex job_index);
-  // CPUs of all schedulable machines.
+  // Sets the CPUs of all schedulable machines.
   void set_available_cpus(double cpus) { available_cpus_ = cpus; }
   double available_cpus() const { return available_cpus_; }
   void clear() { waits_.clear(); }
 
 private:
   struct Wait {
-    std::uint64_t serial = 0;
-    double since = 0;           // monotonic; first seen or last placement
+    std::uint64_t serial = 0;   // detects that the job index has been reused
+    double since = 0;           // monotonic; first round or last placement
     double last_seen_at = -1e9; // monotonic
   };
   bool blocked(const Job &job, JobIndex job_index) const;
-  bool would_finish_in_time(const Job &job, JobIndex job_index, const PlacementJob &placement) const;
+  bool would_finish_in_time(const Job &job, JobIndex job_index, const PlacementJob &placement_job) const;
 
   const SchedulingContext &context_;
   std::vector<Wait> waits_; // by job index
--- a/include/loftrouter/core/scheduling/preemption.hpp
+++ b/include/loftrouter/core/scheduling/preemption.hpp
@@ -1,5 +1,5 @@
-// Preempts tasks of lower priority for jobs that fit nowhere, choosing the victims that lose the least work.
-// Victims count against their team's quota until a heartbeat shows that they are gone (docs/safety.md "quota").
+// Preempts tasks of lower priority for jobs that found no free resources, choosing the victims that lose the least
+// work. Victims count against their team's quota until a heartbeat shows that they are gone (docs/safety.md "quota").
 #pragma once
 
 #include <cstddef>
@@ -19,9 +19,9 @@
              Nominations &nominations, TaskPlacer &placer)
       : context_(context), snapshot_(snapshot), queue_(queue), nominations_(nominations), placer_(placer) {}
 
-  // `unplaced`: jobs of which the round placed no task.
-  void make_room(std::vector<JobIndex> unplaced);
-  // Only where the budget says so; tasks get time to save a checkpoint.
+  // Preempts for jobs of which the last round placed no task.
+  void preempt_for(std::vector<JobIndex> unplaced);
+  // Stops the tasks of teams whose exhausted budget demands it; tasks get time to save a checkpoint.
   void stop_teams_over_budget();
 
 private:
@@ -32,7 +32,7 @@
                                  int zone) const;
   Candidates best_candidates(const PlacementJob &job, const std::vector<PlacementMachine> &machines) const;
   bool can_start_immediately(const PlacementJob &job, const Candidates &candidates) const;
-  void make_room_for(JobIndex job_index, std::vector<PlacementMachine> &machines);
+  void preempt_for_job(JobIndex job_index, std::vector<PlacementMachine> &machines);
   void stop_victims(const Candidate &candidate, MachineIndex machine_index, const std::string &preemptor_id);
 
   const SchedulingContext &context_;
--- a/include/loftrouter/core/scheduling/scheduler.hpp
+++ b/include/loftrouter/core/scheduling/scheduler.hpp
@@ -27,8 +27,8 @@
   void tick(); // runs a full round if one is due
   // Runs a full round if jobs have arrived or tasks have exited; called at the end of each batch.
   void place_if_something_changed();
-  // Runs a round for a machine whose heartbeat has just been accepted, so that the response can start a prerecorded
-  // task instead of leaving the machine idle for a heartbeat interval.
+  // Runs a round for a machine whose heartbeat has just been accepted, so that the response can start a task already
+  // recorded as started (see `prerecord_tasks`) instead of leaving the machine idle for a heartbeat interval.
   void place_on_machine(MachineIndex machine_index);
 
   const PlacementQueue &queue() const { return queue_; }
@@ -36,21 +36,22 @@
   const LargeTaskReservations &large_task_reservations() const { return large_task_reservations_; }
 
   void on(const JobAccepted &event) { large_task_reservations_.on(event); }
-  void on(const TaskExited &) { room_freed_ = true; }
+  void on(const TaskExited &) { task_exited_ = true; }
   void on(const MachineRemoved &event) { nominations_.on(event); }
   void on(const TermStarted &);
   void on(const TermEnded &);
 
 private:
   struct QueuedJob {
-    PlacementJob placement;
+    PlacementJob placement_job;
     std::uint64_t serial = 0; // detects that the job index has been reused
   };
-  bool something_changed() const { return room_freed_ || context_.jobs.arrivals() != arrivals_seen_; }
+  bool something_changed() const { return task_exited_ || context_.jobs.arrivals() != arrivals_seen_; }
   void mark_changes_seen();
   void run_full_round();
   void fill_queue(const std::vector<JobIndex> &jobs);
-  std::vector<JobIndex> unplaced(const std::vector<JobIndex> &jobs, const std::vector<std::uint32_t> &placed) const;
+  std::vector<JobIndex> unplaced_jobs(const std::vector<JobIndex> &jobs,
+                                      const std::vector<std::uint32_t> &placed) const;
   bool refresh(QueuedJob &queued) const;
   void prerecord_tasks();
   PlacementOptions options() const;
@@ -65,7 +66,7 @@
 
   double next_round_ = 0;     // monotonic
   double next_prerecord_ = 0; // monotonic
-  bool room_freed_ = false;   // a task has exited since the last full round
+  bool task_exited_ = false;  // since the last full round
   std::uint64_t arrivals_seen_ = 0;
   std::vector<QueuedJob> last_round_queue_; // oldest first
 };
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 constexpr double kScaleIntervalS = 1.0;
-constexpr double kFirstScaleDelayS = 1.0; // lets placement rounds run before the fleet is sized
+constexpr double kFirstScaleDelayS = 1.0; // lets placement rounds run before the first scaling
 constexpr double kListIntervalS = 3.0;
 constexpr double kListDeadlineS = 3.0; // per page
 constexpr double kScaleDelayAfterListS = 1.0;
-constexpr double kListLagFactor = 4.0; // for removed machines that are still listed
+// A removed machine may stay listed for this multiple of the configured list lag, plus the margin.
+constexpr double kListLagFactor = 4.0;
 constexpr double kListLagMarginS = 5.0;
 constexpr double kCallRateShare = 0.7; // of the cloud's rate limit
 } // namespace
@@ -28,7 +29,7 @@
 }
 
 void Autoscaler::on(const TermEnded &event) {
-  listing_ = false;
+  list_in_flight_ = false;
   first_listed_at_ = -1;
   scale_in_.on(event);
   scale_out_.on(event);
@@ -42,8 +43,8 @@
     next_scale_ = now + kFirstScaleDelayS;
     return;
   }
-  if (!listing_ && now >= next_list_ && call_limiter_.take(now)) {
-    listing_ = true;
+  if (!list_in_flight_ && now >= next_list_ && call_limiter_.take(now)) {
+    list_in_flight_ = true;
     next_list_ = now + kListIntervalS;
     list_machines("");
   }
@@ -54,7 +55,7 @@
   }
 }
 
-// Needs a complete list first, so that existing machines are not requested again.
+// Waits for a complete machine list, so that machines that exist already are not requested again.
 void Autoscaler::scale() {
   if (first_listed_at_ < 0 || context_.runtime.now() - first_listed_at_ < kScaleDelayAfterListS) return;
   if (context_.failure_detector.all_unreachable()) return;
@@ -64,19 +65,19 @@
   scale_in_.drain_surplus(plan.waiting_cpus);
 }
 
-// `after_name`: last name of the previous page; empty for the first page.
+// Fetches the list page by page. `after_name`: last name of the previous page; empty for the first page.
 void Autoscaler::list_machines(const std::string &after_name) {
   const auto epoch = context_.leadership.epoch();
   context_.runtime.cloud(CloudList{after_name}, kListDeadlineS, [this, epoch](const wire::CloudReply &reply) {
     if (epoch != context_.leadership.epoch()) return;
     if (reply.status != 200) {
-      listing_ = false;
+      list_in_flight_ = false;
       return;
     }
     for (const auto &listed : reply.machines)
       update_listed_machine(listed);
     if (reply.more && !reply.machines.empty()) return list_machines(reply.machines.back().name);
-    listing_ = false;
+    list_in_flight_ = false;
     if (first_listed_at_ < 0) first_listed_at_ = context_.runtime.now();
   });
 }
@@ -85,8 +86,8 @@
   const double now = context_.runtime.now();
   WorkerRegistry &workers = context_.workers;
   if (const auto removed_at = workers.removed_at(listed.name)) {
-    const double lag_s = kListLagFactor * context_.settings.cloud_list_lag_s + kListLagMarginS;
-    if (now - *removed_at < lag_s) return;
+    const double max_lag_s = kListLagFactor * context_.settings.cloud_list_lag_s + kListLagMarginS;
+    if (now - *removed_at < max_lag_s) return;
     workers.forget_removal(listed.name); // the removal failed: return it again
     workers.mark_returning(workers.find_or_add(listed.name, listed.type, listed.zone, listed.spot));
     return;
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -12,22 +12,22 @@
 
 namespace {
 
-constexpr double kQueueSlackShare = 0.7; // of the time left until the target
-constexpr double kVeryLateFactor = 8.0;  // multiple of a job's target time
-constexpr double kWaveTimeShare = 0.5;   // of the time left until the target; bounds `Demand::waves`
+constexpr double kQueueSlackShare = 0.7; // of the time left until the target; a job may queue that long
+constexpr double kVeryLateFactor = 8.0;  // multiple of a job's target time that counts as very late
+constexpr double kWaveTimeShare = 0.5;   // of the time left until the target; sets `Demand::waves`
 constexpr double kMinWaves = 2.0;
 constexpr double kMaxWaves = 6.0;
-constexpr double kMinEstimateS = 8.0;           // of a task's run time
-constexpr double kMinRemainingS = 5.0;          // of a running task
-constexpr double kUnresolvedStartS = 0.5;       // while dependencies are being looked up
-constexpr double kBootCostPerS = 0.003;         // share of the price
+constexpr double kMinEstimateS = 8.0;           // lower bound for a task's estimated run time
+constexpr double kMinRemainingS = 5.0;          // lower bound for what remains of a running task
+constexpr double kUnresolvedStartS = 0.5;       // assumed start delay while dependencies are being looked up
+constexpr double kBootCostPerS = 0.003;         // share of the price added per second of boot time
 constexpr double kMinShortageTasks = 0.5;       // smaller ones are ignored
 constexpr double kSlotsWithoutCpuRequest = 100; // per machine
 constexpr double kRoundingTolerance = 1e-6;
 
 constexpr double kInfinite = std::numeric_limits<double>::infinity();
 
-// A requested or booting machine, with the resources left by jobs planned earlier.
+// A requested or booting machine, with the resources that jobs planned earlier leave free.
 struct BootingMachine {
   Resources free;
   MachineKind kind;
@@ -48,23 +48,25 @@
   auto operator<=>(const MachineGroupKey &) const = default;
 };
 
+// The resources that one job still needs, and when.
 struct Demand {
   JobIndex job_index;
   PlacementJob job;
   double starts_in_s = 0; // 0: it can start now
   double estimate_s = 0;  // run time of a task
   double target_s = 0;    // completion target, from when the job could start
-  double left_s = 0;      // until the target
+  double time_left_s = 0; // until the target
   bool low_priority = false;
-  // Needs all its slots at the same time. Set only for gangs that have waited long: the looser estimate costs less and
-  // usually suffices.
+  // All tasks must run at the same time. Set only for gangs that have waited long; for others the estimate assumes
+  // that tasks may run one after the other, which costs less and usually suffices.
   bool simultaneous = false;
   bool same_zone = false;    // simultaneous, and all tasks in one zone
   double waves = 1;          // tasks that a slot runs one after the other
-  double unserved_tasks = 0; // without planned capacity
+  double unserved_tasks = 0; // no capacity is planned for these yet
 };
 
-struct Choice {
+// The cheapest way found so far to meet a demand.
+struct MachineChoice {
   MachineKind kind;
   int machines = 0;
   double cost = kInfinite;
@@ -83,30 +85,31 @@
   double max_boot_s() const;
 
   void plan_job(JobIndex job_index);
-  std::optional<PlacementJob> placement_for(JobIndex job_index) const;
+  std::optional<PlacementJob> placement_job_for(JobIndex job_index) const;
   Demand demand_for(JobIndex job_index, PlacementJob job) const;
   bool allowed_on(const Demand &demand, const MachineKind &kind) const;
   void assign_to_booting(Demand &demand, BootingMachine &machine) const;
 
   double tasks_per_machine(const Demand &demand, const MachineType &type) const;
   double cheapest_task_price(const Demand &demand) const;
-  Choice cheapest_choice(const Demand &demand) const;
-  void consider_type(const Demand &demand, int type, double cheapest, Choice &best) const;
-  double horizon_s(const Demand &demand, const MachineType &type, double task_price, double cheapest) const;
+  MachineChoice cheapest_choice(const Demand &demand) const;
+  void consider_type(const Demand &demand, int type_index, double cheapest_price, MachineChoice &best) const;
+  double horizon_s(const Demand &demand, const MachineType &type, double task_price, double cheapest_price) const;
   double shortage(const Demand &demand, int zone, double horizon_s) const;
   double booting_slots_in_zone(const Demand &demand, int zone) const;
-  double served_by_running(const Demand &demand, int zone, double horizon_s) const;
-  double served_by(const Demand &demand, const PlacementMachine &machine, double count, double busy_cpu_s, int zone,
-                   double horizon_s) const;
+  double tasks_served_by_running(const Demand &demand, int zone, double horizon_s) const;
+  double tasks_served_by(const Demand &demand, const PlacementMachine &machine, double count, double busy_cpu_s,
+                         int zone, double horizon_s) const;
 
   void add_work_to_running(const Demand &demand);
-  void add_request(Demand &demand, const Choice &choice);
+  void add_request(Demand &demand, const MachineChoice &choice);
 
   const AutoscalingContext &context_;
   const ScaleOut &scale_out_;
   std::vector<BootingMachine> booting_;
   std::vector<PlacementMachine> running_;
-  // By position in `running_`; for jobs above low priority. Those of low priority use the sums in `groups_`.
+  // Work left on each machine, by position in `running_`. Used for jobs above low priority; the others use the sums in
+  // `groups_`.
   std::vector<double> busy_cpu_s_;
   std::map<MachineGroupKey, MachineGroup> groups_;
   std::vector<double> starts_in_s_; // by job index
@@ -151,9 +154,9 @@
     auto &group =
         groups_[{machine.type, machine.zone, machine.spot, machine.reserved_for_large, machine.nominated_for}];
     group.machine = machine;
-    group.machine.id = {}; // `avoided_machines` must not match the representative
+    group.machine.index = {}; // `avoided_machines` must not match the representative
     ++group.count;
-    for (const auto &allocation : context_.workers[machine.id].allocations) {
+    for (const auto &allocation : context_.workers[machine.index].allocations) {
       if (!allocation.job.valid() || allocation.completed()) continue;
       const double ran_s = allocation.running_since >= 0 ? context_.runtime.now() - allocation.running_since : 0;
       const double remaining_s = std::max(kMinRemainingS, context_.jobs[allocation.job].spec.estimate_s - ran_s);
@@ -173,7 +176,7 @@
   return order;
 }
 
-// Estimates when each job can start (0: now), from its critical path.
+// Estimates in how many seconds each job can start (0: now), from its critical path.
 std::vector<double> PlanBuilder::start_delays() const {
   const Dependencies &dependencies = context_.dependencies;
   auto path = dependencies.critical_path([&](JobIndex job_index) {
@@ -196,39 +199,39 @@
 }
 
 void PlanBuilder::plan_job(JobIndex job_index) {
-  auto placement = placement_for(job_index);
-  if (!placement) return;
+  auto placement_job = placement_job_for(job_index);
+  if (!placement_job) return;
   const PlacementQueue &queue = context_.scheduler.queue();
   if (!queue.deferrable(job_index) || queue.starved(job_index))
-    plan_.waiting_cpus += placement->pending * placement->need.cpus;
-  Demand demand = demand_for(job_index, std::move(*placement));
-  // A demand for one zone uses booting machines only after a zone is chosen (`add_request`).
+    plan_.waiting_cpus += placement_job->pending * placement_job->need.cpus;
+  Demand demand = demand_for(job_index, std::move(*placement_job));
+  // A demand for a single zone is assigned booting machines once its zone is chosen (`add_request`).
   for (auto &machine : booting_)
     if (!demand.same_zone && allowed_on(demand, machine.kind)) assign_to_booting(demand, machine);
   if (demand.unserved_tasks < 1) return;
-  const Choice choice = cheapest_choice(demand);
+  const MachineChoice choice = cheapest_choice(demand);
   add_work_to_running(demand);
   if (choice.machines > 0) add_request(demand, choice);
 }
 
 // Returns no value if no machines are to be requested for the job.
-std::optional<PlacementJob> PlanBuilder::placement_for(JobIndex job_index) const {
+std::optional<PlacementJob> PlanBuilder::placement_job_for(JobIndex job_index) const {
   const Job &job = context_.jobs[job_index];
-  PlacementJob placement = context_.scheduler.queue().placement_job(job_index);
-  // Requests machines while the last dependencies still run.
+  PlacementJob placement_job = context_.scheduler.queue().placement_job(job_index);
+  // Machines are requested while the last dependencies still run, so that they have booted when the job can start.
   const double starts_in_s = starts_in_s_[job_index.position()];
   const bool starts_soon = starts_in_s > 0 && starts_in_s <= max_boot_s_;
-  if (placement.limit == 0 && starts_soon && !job.cancelled && !job.ending && job.team >= 0)
-    placement.limit = placement.pending;
-  if (placement.limit == 0) return std::nullopt;
-  if (!context_.failure_attribution.suspected(job_index)) return placement;
+  if (placement_job.limit == 0 && starts_soon && !job.cancelled && !job.ending && job.team >= 0)
+    placement_job.limit = placement_job.pending;
+  if (placement_job.limit == 0) return std::nullopt;
+  if (!context_.failure_attribution.suspected(job_index)) return placement_job;
   // A suspected job gets new machines only if no running machine could retry it.
-  placement.avoided_machines.clear();
-  const bool can_be_tried =
-      std::any_of(running_.begin(), running_.end(), [&placement](const PlacementMachine &machine) {
-        return allowed(placement, machine) && placement.need.fits(machine.size);
+  placement_job.avoided_machines.clear();
+  const bool can_be_retried =
+      std::any_of(running_.begin(), running_.end(), [&placement_job](const PlacementMachine &machine) {
+        return allowed(placement_job, machine) && placement_job.need.fits(machine.size);
       });
-  return can_be_tried ? std::nullopt : std::optional(std::move(placement));
+  return can_be_retried ? std::nullopt : std::optional(std::move(placement_job));
 }
 
 Demand PlanBuilder::demand_for(JobIndex job_index, PlacementJob job) const {
@@ -239,12 +242,12 @@
   demand.estimate_s = std::max(kMinEstimateS, spec.estimate_s);
   demand.target_s = context_.objectives.achievable_target(spec, context_.dependencies.deadline(job_index),
                                                           context_.scheduler.queue().age_s(job_index));
-  demand.left_s = demand.target_s - job.wait_s;
+  demand.time_left_s = demand.target_s - job.wait_s;
   demand.low_priority = job.urgency == Urgency::Low;
   demand.simultaneous = job.gang && job.wait_s > context_.operators.tunables().reserve_after_s;
   demand.same_zone = demand.simultaneous && job.one_zone;
   if (demand.low_priority && !demand.simultaneous)
-    demand.waves = std::clamp(kWaveTimeShare * demand.left_s / demand.estimate_s, kMinWaves, kMaxWaves);
+    demand.waves = std::clamp(kWaveTimeShare * demand.time_left_s / demand.estimate_s, kMinWaves, kMaxWaves);
   demand.unserved_tasks = job.pending;
   demand.job = std::move(job);
   return demand;
@@ -285,19 +288,20 @@
   return cheapest;
 }
 
-Choice PlanBuilder::cheapest_choice(const Demand &demand) const {
-  Choice best;
-  const double cheapest = cheapest_task_price(demand);
+MachineChoice PlanBuilder::cheapest_choice(const Demand &demand) const {
+  MachineChoice best;
+  const double cheapest_price = cheapest_task_price(demand);
   const auto &types = context_.catalog.types();
   for (std::size_t i = 0; i < types.size(); ++i) {
     const MachineType &type = types[i];
     if (!demand.job.types[i] || !demand.job.need.fits(type.size) || demand.starts_in_s > type.boot_s) continue;
-    consider_type(demand, static_cast<int>(i), cheapest, best);
+    consider_type(demand, static_cast<int>(i), cheapest_price, best);
   }
   return best;
 }
 
-void PlanBuilder::consider_type(const Demand &demand, int type_index, double cheapest, Choice &best) const {
+void PlanBuilder::consider_type(const Demand &demand, int type_index, double cheapest_price,
+                                MachineChoice &best) const {
   const MachineType &type = context_.catalog.type(type_index);
   const double tasks = tasks_per_machine(demand, type);
   for (const auto &zone_name : type.zones) {
@@ -308,9 +312,9 @@
       const MachineKind kind{type_index, zone, spot};
       if (scale_out_.lacks_capacity(kind) || scale_out_.in_flight(kind)) continue;
       const double price = spot ? type.spot_price : type.price;
-      const double missing = shortage(demand, zone, horizon_s(demand, type, price / tasks, cheapest));
-      if (missing < kMinShortageTasks) continue;
-      const int machines = static_cast<int>(std::ceil(std::ceil(missing / demand.waves) / tasks));
+      const double missing_tasks = shortage(demand, zone, horizon_s(demand, type, price / tasks, cheapest_price));
+      if (missing_tasks < kMinShortageTasks) continue;
+      const int machines = static_cast<int>(std::ceil(std::ceil(missing_tasks / demand.waves) / tasks));
       const double cost = price * machines * (1 + kBootCostPerS * type.boot_s);
       if (cost < best.cost) best = {kind, machines, cost};
     }
@@ -319,17 +323,18 @@
 
 // Returns how long the job may queue for running machines before this type is requested. Low-priority jobs get
 // expensive types only to meet a target that queueing would miss, or if they would otherwise be very late.
-double PlanBuilder::horizon_s(const Demand &demand, const MachineType &type, double task_price, double cheapest) const {
+double PlanBuilder::horizon_s(const Demand &demand, const MachineType &type, double task_price,
+                              double cheapest_price) const {
   const double horizon_s = type.boot_s + (demand.low_priority ? demand.estimate_s : 0.0);
-  if (!demand.low_priority || task_price <= kExpensiveRatio * cheapest) return horizon_s;
-  const bool can_meet = kQueueSlackShare * demand.left_s > horizon_s;
-  const double patience_s = can_meet ? demand.left_s : kVeryLateFactor * demand.target_s - demand.job.wait_s;
+  if (!demand.low_priority || task_price <= kExpensiveRatio * cheapest_price) return horizon_s;
+  const bool can_meet = kQueueSlackShare * demand.time_left_s > horizon_s;
+  const double patience_s = can_meet ? demand.time_left_s : kVeryLateFactor * demand.target_s - demand.job.wait_s;
   return std::max(horizon_s, kQueueSlackShare * patience_s);
 }
 
-// Returns how many tasks the present machines can't serve within the horizon.
+// Returns for how many tasks the present machines have no capacity within the horizon.
 double PlanBuilder::shortage(const Demand &demand, int zone, double horizon_s) const {
-  const double served = served_by_running(demand, zone, horizon_s);
+  const double served = tasks_served_by_running(demand, zone, horizon_s);
   const double booting_slots = demand.same_zone ? booting_slots_in_zone(demand, zone) : 0;
   return demand.unserved_tasks - booting_slots - (demand.low_priority ? served : std::floor(served));
 }
@@ -346,20 +351,21 @@
   return slots;
 }
 
-double PlanBuilder::served_by_running(const Demand &demand, int zone, double horizon_s) const {
+double PlanBuilder::tasks_served_by_running(const Demand &demand, int zone, double horizon_s) const {
   double tasks = 0;
   if (demand.low_priority) {
     for (const auto &[key, group] : groups_)
-      tasks += served_by(demand, group.machine, group.count, group.busy_cpu_s, zone, horizon_s);
+      tasks += tasks_served_by(demand, group.machine, group.count, group.busy_cpu_s, zone, horizon_s);
     return tasks;
   }
   for (std::size_t i = 0; i < running_.size(); ++i)
-    tasks += served_by(demand, running_[i], 1, busy_cpu_s_[i], zone, horizon_s);
+    tasks += tasks_served_by(demand, running_[i], 1, busy_cpu_s_[i], zone, horizon_s);
   return tasks;
 }
 
-double PlanBuilder::served_by(const Demand &demand, const PlacementMachine &machine, double count, double busy_cpu_s,
-                              int zone, double horizon_s) const {
+// Returns how many of the tasks can run on `count` such machines within the horizon, after `busy_cpu_s` of other work.
+double PlanBuilder::tasks_served_by(const Demand &demand, const PlacementMachine &machine, double count,
+                                    double busy_cpu_s, int zone, double horizon_s) const {
   const PlacementJob &job = demand.job;
   if (!allowed(job, machine) || !job.need.fits(machine.size)) return 0;
   if (machine.reserved_for_large && job.small) return 0;
@@ -390,7 +396,7 @@
     if (can_run(running_[i])) busy_cpu_s_[i] += cpu_s_per_cpu * running_[i].size.cpus;
 }
 
-void PlanBuilder::add_request(Demand &demand, const Choice &choice) {
+void PlanBuilder::add_request(Demand &demand, const MachineChoice &choice) {
   auto &requests = plan_.requests;
   auto request = std::find_if(requests.begin(), requests.end(),
                               [&choice](const CapacityRequest &other) { return other.kind == choice.kind; });
--- a/src/core/autoscaling/catalog_loader.cpp
+++ b/src/core/autoscaling/catalog_loader.cpp
@@ -21,7 +21,7 @@
 
 void CatalogLoader::probe() {
   if (loading_ || !context_.catalog.known() || context_.runtime.now() < next_probe_) return;
-  next_probe_ = context_.runtime.now() + kProbeIntervalS * (0.8 + 0.4 * context_.runtime.random());
+  next_probe_ = context_.runtime.now() + kProbeIntervalS * (0.8 + 0.4 * context_.runtime.random()); // with jitter
   load();
 }
 
@@ -60,6 +60,7 @@
   const bool first_load = !context_.catalog.known();
   context_.catalog.update(reply.types);
   if (!first_load || context_.leadership.role() != Role::Follower) return;
+  // Stores the types unless another node has done so.
   context_.runtime.store(StoreCommit{{{kTypesKey, 0}}, {{kTypesKey, wire::to_json(context_.catalog.types()), 0}}},
                          kWriteDeadlineS, [](const wire::StoreReply &) {});
 }
--- a/src/core/autoscaling/scale_in.cpp
+++ b/src/core/autoscaling/scale_in.cpp
@@ -10,19 +10,19 @@
 constexpr double kCallDeadlineS = 5.0;
 constexpr double kRemovalRetentionS = 600.0;
 constexpr double kUnknownTypeBootS = 60.0;
-constexpr double kBootTimeoutFactor = 2.0; // multiple of the type's boot time
+constexpr double kBootTimeoutFactor = 2.0; // in boot times of the type
 constexpr double kBootTimeoutMarginS = 10.0;
 constexpr double kMassLossTimeoutS = 30.0; // beyond the lease, while more machines are lost than available
 constexpr double kReclaimMarginS = 1.0;
 constexpr double kDownlinkLossTimeoutS = 15.0; // beyond the lease
-constexpr int kMassDownlinkLosses = 3;         // minimum that points at the network
-constexpr double kReservedHoldBoots = 1.5;     // for types reserved for large tasks
+constexpr int kMassDownlinkLosses = 3;         // fewer don't point at the network
+constexpr double kReservedIdleBoots = 1.5;     // in boot times, for types reserved for large tasks
 constexpr double kReservedWithinS = 300.0;
 constexpr double kReservedWithinForDrainS = 600.0;
-constexpr double kDrainingHoldS = 3.0;
+constexpr double kMaxDrainingIdleS = 3.0;
 constexpr double kChargeMarginS = 2.0;
-constexpr double kNeverS = 1e9;                  // quarantined machines are kept
-constexpr double kDrainTargetUtilization = 0.85; // of the fleet that remains after a drain
+constexpr double kNeverS = 1e9;                  // keeps quarantined machines
+constexpr double kDrainTargetUtilization = 0.85; // of the CPUs that remain after a drain
 } // namespace
 
 void ScaleIn::return_machines() {
@@ -89,25 +89,27 @@
          now - machine.heartbeat.last_accepted_at > context_.settings.heartbeat_interval_s * 1.5 + 1;
 }
 
-// Ignores idle time during outages, so that machines aren't returned in bulk when one ends.
+// Ignores idle time during which this node couldn't place tasks, so that machines aren't returned in bulk after an
+// outage.
 bool ScaleIn::idle_too_long(const Machine &machine, double boot_s) const {
   if (!machine.available() || !machine.allocations.empty() || machine.idle_since < 0) return false;
   const double now = context_.runtime.now();
-  const bool charged = now - machine.launched_at >= kMinimumChargeS - kChargeMarginS;
-  if (!charged && !machine.admin_state) return false;
-  return now - std::max(machine.idle_since, scheduling_paused_until_) > idle_hold_s(machine, boot_s);
+  const bool minimum_charged = now - machine.launched_at >= kMinimumChargeS - kChargeMarginS;
+  if (!minimum_charged && !machine.admin_state) return false;
+  return now - std::max(machine.idle_since, scheduling_paused_until_) > max_idle_s(machine, boot_s);
 }
 
-double ScaleIn::idle_hold_s(const Machine &machine, double boot_s) const {
+// Returns how long a machine may stay idle before it is returned.
+double ScaleIn::max_idle_s(const Machine &machine, double boot_s) const {
   if (machine.admin_state) return *machine.admin_state == wire::MachineAdminState::Drain ? 0 : kNeverS;
   const bool reserved =
       !machine.spot && context_.scheduler.large_task_reservations().find(machine.type, kReservedWithinS);
-  double hold_s = boot_s * (reserved ? kReservedHoldBoots : context_.operators.tunables().idle_boots);
+  double idle_s = boot_s * (reserved ? kReservedIdleBoots : context_.operators.tunables().idle_boots);
   if (!reserved && machine.type >= 0 && machine.size.cpus > 0) { // the more expensive, the shorter
     const double price = InstanceTypeCatalog::cpu_price(context_.catalog.type(machine.type), machine.spot);
-    hold_s *= std::min(1.0, context_.catalog.cheapest_cpu_price() / price);
+    idle_s *= std::min(1.0, context_.catalog.cheapest_cpu_price() / price);
   }
-  return machine.draining() ? std::min(hold_s, kDrainingHoldS) : hold_s;
+  return machine.draining() ? std::min(idle_s, kMaxDrainingIdleS) : idle_s;
 }
 
 // Waits until the lease has expired, so that the machine's tasks have ended, and longer if many machines are affected,
@@ -145,8 +147,8 @@
       total_cpus -= allocation.need.cpus;
     }
     const double price = InstanceTypeCatalog::cpu_price(context_.catalog.type(machine.type), machine.spot);
-    const bool charged = context_.runtime.now() - machine.launched_at >= kMinimumChargeS;
-    if (charged && price >= kExpensiveRatio * cheapest_cpu_price)
+    const bool minimum_charged = context_.runtime.now() - machine.launched_at >= kMinimumChargeS;
+    if (minimum_charged && price >= kExpensiveRatio * cheapest_cpu_price)
       candidates.push_back({price, machine.used.cpus / std::max(0.01, machine.size.cpus), machine_index, &machine});
     else
       context_.workers.set_draining(machine_index, false);
--- a/src/core/autoscaling/scale_out.cpp
+++ b/src/core/autoscaling/scale_out.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr int kMaxMachinesPerCall = 50; // limit of the cloud's API
-constexpr double kReservedCalls = 1.0;  // for listing and returning machines
+constexpr double kReservedCalls = 1.0;  // left for listing and returning machines
 constexpr double kNoCapacityPauseS = 12.0;
 constexpr double kCallDeadlineS = 3.0;
 constexpr int kCallAttempts = 3;
--- a/src/core/scheduling/fleet_snapshot.cpp
+++ b/src/core/scheduling/fleet_snapshot.cpp
@@ -6,7 +6,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kTypeReservationS = 600.0;
+constexpr double kTypeReservationS = 600.0; // after the last large job was accepted
 } // namespace
 
 std::vector<PlacementMachine> FleetSnapshot::schedulable_machines(const IncludeUnreachable &include_unreachable) const {
@@ -27,7 +27,7 @@
   PlacementMachine result = placement_machine(machine_index, *machine, context_.catalog.cheapest_cpu_price());
   // Keeps the last decision of `release_surplus_reserved`.
   if (const auto *nomination = nominations_.find(machine_index))
-    result.reserved_for_large &= !nomination->open_to_small;
+    result.reserved_for_large &= !nomination->open_to_small_tasks;
   return result;
 }
 
@@ -47,7 +47,7 @@
   const auto &type = context_.catalog.type(machine.type);
   const double cpu_price = InstanceTypeCatalog::cpu_price(type, machine.spot);
   PlacementMachine result;
-  result.id = machine_index;
+  result.index = machine_index;
   result.size = machine.size;
   result.free = machine.size;
   result.free.add(machine.used, -1);
@@ -59,7 +59,7 @@
   for (const auto &[image, image_gb] : machine.images)
     result.images.push_back(image);
   const auto *nomination = nominations_.find(machine_index);
-  if (nomination && context_.runtime.now() < nomination->until)
+  if (nomination && context_.runtime.now() < nomination->expires_at)
     result.nominated_for = context_.jobs.index(nomination->job_id);
   const auto *reservation = machine.spot ? nullptr : reservations_.find(machine.type, kTypeReservationS);
   if (!reservation) return result;
@@ -83,12 +83,12 @@
                      [this](const Allocation &allocation) { return allocation.completed() || is_small(allocation); });
 }
 
-// Of the reserved machines without large tasks, keeps only the one with the most free CPUs reserved for each type, so
-// that the others don't stand idle.
+// Keeps one machine of each type reserved among those that run no large task: the one with the most free CPUs. The
+// others must not stand idle.
 void FleetSnapshot::release_surplus_reserved(std::vector<PlacementMachine> &machines) const {
   std::unordered_map<int, PlacementMachine *> reserved; // by type
   for (auto &machine : machines) {
-    if (!machine.reserved_for_large || machine.nominated_for.valid() || !runs_only_small_tasks(machine.id)) continue;
+    if (!machine.reserved_for_large || machine.nominated_for.valid() || !runs_only_small_tasks(machine.index)) continue;
     const auto [it, first_of_type] = reserved.try_emplace(machine.type, &machine);
     if (first_of_type) continue;
     PlacementMachine &other = *it->second;
--- a/src/core/scheduling/large_task_reservations.cpp
+++ b/src/core/scheduling/large_task_reservations.cpp
@@ -4,13 +4,13 @@
 
 namespace loftrouter::core {
 
-const LargeTaskReservations::Reservation *LargeTaskReservations::find(int type, double within_s) const {
+const LargeTaskReservations::Reservation *LargeTaskReservations::find(int type, double max_age_s) const {
   const auto it = reservations_.find(type);
   if (it == reservations_.end()) return nullptr;
-  return context_.runtime.now() - it->second.last_wanted_at < within_s ? &it->second : nullptr;
+  return context_.runtime.now() - it->second.last_wanted_at < max_age_s ? &it->second : nullptr;
 }
 
-// Reserves a type for a job that can't use spot machines, fits no other type, and doesn't fit twice on one machine.
+// Reserves a type if the job can't use spot machines and its tasks are large.
 void LargeTaskReservations::on(const JobAccepted &event) {
   const Job &job = context_.jobs[event.job];
   const JobSpec &spec = job.spec;
@@ -27,15 +27,15 @@
 }
 
 int LargeTaskReservations::only_fitting_type(const JobSpec &spec) const {
-  int only = -1;
+  int fitting_type = -1;
   const auto &types = context_.catalog.types();
   for (std::size_t i = 0; i < types.size(); ++i) {
     if (!spec.need.fits(types[i].size)) continue;
     if (spec.types && std::find(spec.types->begin(), spec.types->end(), types[i].name) == spec.types->end()) continue;
-    if (only >= 0) return -1;
-    only = static_cast<int>(i);
+    if (fitting_type >= 0) return -1;
+    fitting_type = static_cast<int>(i);
   }
-  return only;
+  return fitting_type;
 }
 
 } // namespace loftrouter::core
--- a/src/core/scheduling/placement.cpp
+++ b/src/core/scheduling/placement.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr double kMaxTasks = 1e6; // per plan; keeps the conversion to an integer in range
+constexpr double kMaxTasks = 1e6; // per job and round; keeps the conversion to an integer in range
 constexpr double kRoundingTolerance = 1e-9;
 
 bool holds_image(const PlacementMachine &machine, int image) {
@@ -29,10 +29,10 @@
   if (!machine.spot && machine.price_premium > job.max_price_premium) return false;
   if (machine.nominated_for.valid() && machine.nominated_for != job.index) return false;
   const auto &avoided = job.avoided_machines;
-  return std::find(avoided.begin(), avoided.end(), machine.id) == avoided.end();
+  return std::find(avoided.begin(), avoided.end(), machine.index) == avoided.end();
 }
 
-bool has_room(const PlacementJob &job, const PlacementMachine &machine) {
+bool fits_free_resources(const PlacementJob &job, const PlacementMachine &machine) {
   if (!job.need.fits(machine.free)) return false;
   return !machine.reserved_for_large || !job.small || job.need.fits(machine.small_task_headroom);
 }
@@ -58,7 +58,7 @@
 struct Plan {
   std::vector<int> machines; // positions, one for each task
   double score = 0;          // sum over the tasks
-  double first_score = 0;    // of the first task; the highest
+  double first_score = 0;    // of the first task, which gets the highest
   bool complete = false;     // places all pending tasks
 };
 
@@ -68,9 +68,9 @@
   std::size_t job = 0;
   Plan plan;
   double value = 0;
-  double bound = 0;            // on the value of any later plan
+  double bound = 0;            // upper bound on the value of any later plan
   std::size_t computed_at = 0; // commit number
-  std::size_t verified_at = 0; // last commit number at which it was optimal
+  std::size_t verified_at = 0; // last commit number at which it was known to be optimal
   bool outdated = false;       // another machine may be better now
 
   double best_possible_value(std::size_t commit) const { return verified_at == commit ? value : bound; }
@@ -79,7 +79,8 @@
 class Round {
 public:
   Round(std::vector<PlacementMachine> machines, const std::vector<const PlacementJob *> &jobs,
-        std::vector<Resources> team_headroom, const PlacementOptions &options, std::vector<Reservation> *reserved);
+        std::vector<Resources> team_headroom, const PlacementOptions &options,
+        std::vector<MachineReservation> *reserved);
   std::vector<Assignment> run();
 
 private:
@@ -89,8 +90,10 @@
   std::size_t &changed_at(int position) { return changed_at_[static_cast<std::size_t>(position)]; }
   // Returns null if no team limits apply.
   Resources *team_headroom(const PlacementJob &job);
-  bool waited_too_long(const PlacementJob &job) const { return !job.started && job.wait_s > options_.reserve_after_s; }
-  int rank(std::size_t job) const;
+  bool waited_too_long(const PlacementJob &job) const {
+    return !job.cannot_reserve && job.wait_s > options_.reserve_after_s;
+  }
+  int rank(std::size_t job_position) const;
   void place_rank(Positions::const_iterator begin, Positions::const_iterator end);
 
   std::uint32_t max_tasks(const PlacementJob &job);
@@ -100,7 +103,7 @@
 
   void compute_plan(CachedPlan &cached);
   bool still_optimal(const CachedPlan &cached);
-  std::size_t best_position(const std::vector<CachedPlan> &cached_plans) const;
+  std::size_t most_valuable(const std::vector<CachedPlan> &cached_plans) const;
   void commit(const CachedPlan &cached);
   void assign(const PlacementJob &job, std::size_t job_position, int machine_position);
   void update_cached_plans(std::vector<CachedPlan> &cached_plans, const PlacementJob &placed);
@@ -112,17 +115,18 @@
   const std::vector<const PlacementJob *> &jobs_;
   std::vector<Resources> team_headroom_;
   const PlacementOptions &options_;
-  std::vector<Reservation> *reserved_;
+  std::vector<MachineReservation> *reserved_;
   Resources least_need_;                // minimum over all jobs, for each resource
-  std::vector<int> open_machines_;      // ascending; all that fit `least_need_`, to skip full machines
+  std::vector<int> usable_machines_;    // ascending positions; without those too full for `least_need_`
   std::vector<int> zones_;              // without duplicates
-  std::vector<std::size_t> changed_at_; // by machine position: last commit number
+  std::vector<std::size_t> changed_at_; // by machine position: number of the last commit that changed it
   std::size_t commit_number_ = 1;
   std::vector<Assignment> assignments_;
 };
 
 Round::Round(std::vector<PlacementMachine> machines, const std::vector<const PlacementJob *> &jobs,
-             std::vector<Resources> team_headroom, const PlacementOptions &options, std::vector<Reservation> *reserved)
+             std::vector<Resources> team_headroom, const PlacementOptions &options,
+             std::vector<MachineReservation> *reserved)
     : machines_(std::move(machines)), jobs_(jobs), team_headroom_(std::move(team_headroom)), options_(options),
       reserved_(reserved), changed_at_(machines_.size(), 0) {
   constexpr double infinite = std::numeric_limits<double>::infinity();
@@ -133,7 +137,7 @@
                    std::min(least_need_.memory, job->need.memory)};
   }
   for (int i = 0; i < static_cast<int>(machines_.size()); ++i) {
-    if (least_need_.fits(machine(i).free)) open_machines_.push_back(i);
+    if (least_need_.fits(machine(i).free)) usable_machines_.push_back(i);
     if (std::find(zones_.begin(), zones_.end(), machine(i).zone) == zones_.end()) zones_.push_back(machine(i).zone);
   }
 }
@@ -143,8 +147,9 @@
   return team < team_headroom_.size() ? &team_headroom_[team] : nullptr;
 }
 
-int Round::rank(std::size_t job) const {
-  const PlacementJob &ranked = *jobs_[job];
+// Ranks jobs that have waited too long first, then by priority, then by guaranteed quota.
+int Round::rank(std::size_t job_position) const {
+  const PlacementJob &ranked = *jobs_[job_position];
   if (ranked.delegated_here) return -1;
   return (waited_too_long(ranked) ? 100 : 0) + static_cast<int>(ranked.urgency) * 2 + (ranked.guaranteed ? 1 : 0);
 }
@@ -176,7 +181,7 @@
       cached_plans.push_back(std::move(cached));
   }
   while (!cached_plans.empty()) {
-    const auto best = cached_plans.begin() + static_cast<std::ptrdiff_t>(best_position(cached_plans));
+    const auto best = cached_plans.begin() + static_cast<std::ptrdiff_t>(most_valuable(cached_plans));
     const PlacementJob &job = *jobs_[best->job];
     if (best->verified_at != commit_number_) {
       if (still_optimal(*best))
@@ -222,7 +227,7 @@
   return plan;
 }
 
-// Uses the zone of the tasks already placed, otherwise the one that takes most tasks.
+// Uses the zone of the tasks already placed; if there are none, the zone that takes the most tasks.
 Plan Round::one_zone_plan(const PlacementJob &job, std::uint32_t tasks) {
   int used_zone = -1;
   for (std::size_t zone = 0; zone < job.placed_by_zone.size(); ++zone)
@@ -237,17 +242,18 @@
   return best;
 }
 
-// Gives each task the machine with the highest score, on a tie the lower position. A placement changes the score of its
-// machine only, so a heap suffices. `only_zone`: -1 for any.
+// Gives each task the machine with the highest score; on a tie, the one with the lower position. Placing a task changes
+// only its own machine's score, so a heap suffices. `only_zone`: -1 for any.
 Plan Round::greedy_plan(const PlacementJob &job, std::uint32_t tasks, int only_zone) {
   Plan plan;
   const bool spread = job.max_per_zone >= 0;
   std::vector<int> placed_by_zone;
   if (spread) placed_by_zone = job.placed_by_zone;
   std::vector<std::pair<double, int>> heap; // score, -position
-  for (int position : open_machines_) {
+  for (int position : usable_machines_) {
     const PlacementMachine &candidate = machine(position);
-    if (has_room(job, candidate) && (only_zone < 0 || candidate.zone == only_zone) && allowed(job, candidate))
+    if (fits_free_resources(job, candidate) && (only_zone < 0 || candidate.zone == only_zone) &&
+        allowed(job, candidate))
       heap.emplace_back(placement_score(job, candidate, options_), -position);
   }
   std::make_heap(heap.begin(), heap.end());
@@ -263,7 +269,7 @@
     if (plan.machines.empty()) plan.first_score = score;
     plan.machines.push_back(-negative_position);
     plan.score += score;
-    if (!has_room(job, best)) continue;
+    if (!fits_free_resources(job, best)) continue;
     heap.emplace_back(placement_score(job, best, options_), negative_position);
     std::push_heap(heap.begin(), heap.end());
   }
@@ -285,11 +291,11 @@
   cached.verified_at = commit_number_;
   cached.outdated = false;
   if (cached.plan.machines.empty()) return;
-  const double age = options_.age_weight * job.wait_s + (job.in_time ? options_.in_time_bonus : 0);
+  const double job_bonus = options_.age_weight * job.wait_s + (job.in_time ? options_.in_time_bonus : 0);
   cached.value = cached.plan.score / static_cast<double>(cached.plan.machines.size()) +
-                 (cached.plan.complete ? options_.full_plan_bonus : 0) + age;
-  // A later plan with fewer tasks loses the bonus, but its mean score may rise to the first task's.
-  cached.bound = std::max(cached.value, cached.plan.first_score + age);
+                 (cached.plan.complete ? options_.full_plan_bonus : 0) + job_bonus;
+  // A later plan with fewer tasks loses the full-plan bonus, but its mean score may rise to the first task's.
+  cached.bound = std::max(cached.value, cached.plan.first_score + job_bonus);
 }
 
 bool Round::still_optimal(const CachedPlan &cached) {
@@ -300,7 +306,7 @@
                      [&](int position) { return changed_at(position) <= cached.computed_at; });
 }
 
-std::size_t Round::best_position(const std::vector<CachedPlan> &cached_plans) const {
+std::size_t Round::most_valuable(const std::vector<CachedPlan> &cached_plans) const {
   std::size_t best = 0;
   for (std::size_t i = 1; i < cached_plans.size(); ++i)
     if (cached_plans[i].best_possible_value(commit_number_) > cached_plans[best].best_possible_value(commit_number_))
@@ -312,7 +318,7 @@
   ++commit_number_;
   for (int position : cached.plan.machines)
     assign(*jobs_[cached.job], cached.job, position);
-  std::erase_if(open_machines_, [this](int position) { return !least_need_.fits(machine(position).free); });
+  std::erase_if(usable_machines_, [this](int position) { return !least_need_.fits(machine(position).free); });
 }
 
 void Round::assign(const PlacementJob &job, std::size_t job_position, int machine_position) {
@@ -330,9 +336,9 @@
 void Round::update_cached_plans(std::vector<CachedPlan> &cached_plans, const PlacementJob &placed) {
   if (machines_.size() == 1) // drops jobs that no longer fit
     std::erase_if(cached_plans,
-                  [this](const CachedPlan &cached) { return !has_room(*jobs_[cached.job], machines_[0]); });
+                  [this](const CachedPlan &cached) { return !fits_free_resources(*jobs_[cached.job], machines_[0]); });
   if (placed.image < 0) return;
-  // The cached image makes the machine better for other jobs that use it.
+  // Machines that now hold the image have become better for other jobs that use it.
   for (auto &cached : cached_plans) {
     if (jobs_[cached.job]->image != placed.image) continue;
     cached.outdated = true;
@@ -366,7 +372,7 @@
       --tasks;
     }
     reserved_machine.free = {};
-    if (reserved_) reserved_->push_back({job.index, reserved_machine.id});
+    if (reserved_) reserved_->push_back({job.index, reserved_machine.index});
   }
 }
 
@@ -374,13 +380,13 @@
 
 std::vector<Assignment> place_round(std::vector<PlacementMachine> machines,
                                     const std::vector<const PlacementJob *> &jobs, std::vector<Resources> team_headroom,
-                                    const PlacementOptions &options, std::vector<Reservation> *reserved) {
+                                    const PlacementOptions &options, std::vector<MachineReservation> *reserved) {
   return Round(std::move(machines), jobs, std::move(team_headroom), options, reserved).run();
 }
 
 std::vector<Assignment> place_round(std::vector<PlacementMachine> machines, const std::vector<PlacementJob> &jobs,
                                     std::vector<Resources> team_headroom, const PlacementOptions &options,
-                                    std::vector<Reservation> *reserved) {
+                                    std::vector<MachineReservation> *reserved) {
   std::vector<const PlacementJob *> job_pointers;
   job_pointers.reserve(jobs.size());
   for (const auto &job : jobs)
--- a/src/core/scheduling/placement_queue.cpp
+++ b/src/core/scheduling/placement_queue.cpp
@@ -9,7 +9,7 @@
 namespace {
 constexpr double kStarvedAfterS = 60.0;
 constexpr int kUnknownZone = 1'000'000; // matches no machine
-constexpr double kMaxMissedRounds = 4;  // then the job counts as new
+constexpr double kMaxMissedRounds = 4;  // a job that missed more starts a new wait
 } // namespace
 
 double PlacementQueue::age_s(JobIndex job_index) const {
@@ -87,8 +87,7 @@
   result.urgency = context_.dependencies.urgency(job_index);
   result.delegated_here = job.delegated_here.has_value();
   result.wait_s = std::max(0.0, age_s(job_index));
-  // Suspected jobs and those of other cells get no reservation.
-  result.started = job.placed + job.done > 0 || suspected || result.delegated_here;
+  result.cannot_reserve = job.placed + job.done > 0 || suspected || result.delegated_here;
   result.in_time = would_finish_in_time(job, job_index, result);
   result.image = job.image;
   result.image_gb = spec.image_gb;
@@ -109,16 +108,16 @@
   return gang && job.placed > 0 && job.gang_closed; // the previous attempt must end first
 }
 
-bool PlacementQueue::would_finish_in_time(const Job &job, JobIndex job_index, const PlacementJob &placement) const {
+bool PlacementQueue::would_finish_in_time(const Job &job, JobIndex job_index, const PlacementJob &placement_job) const {
   const auto deadline = context_.dependencies.deadline(job_index);
   if (!context_.objectives.completion_target(job.spec, deadline)) return false;
-  const double waves = 1 + placement.pending * placement.need.cpus / std::max(1.0, available_cpus_);
-  return placement.wait_s + job.spec.estimate_s * waves <=
+  const double waves = 1 + placement_job.pending * placement_job.need.cpus / std::max(1.0, available_cpus_);
+  return placement_job.wait_s + job.spec.estimate_s * waves <=
          context_.objectives.achievable_target(job.spec, deadline, age_s(job_index));
 }
 
-// Guards against price limits and reservations keeping a job from free resources indefinitely. Scale out ignores this,
-// as only capacity that exists anyway is free of charge.
+// Guards against price limits and reservations keeping a job from free resources indefinitely. Not used by the capacity
+// planner: an expensive machine may be used if it is up anyway, but isn't requested for such a job.
 PlacementJob PlacementQueue::job_relaxed_if_starved(JobIndex job_index) const {
   PlacementJob result = placement_job(job_index);
   if (!starved(job_index)) return result;
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -7,9 +7,9 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kImageFetchWeight = 2.0; // lost CPU seconds per CPU second of image fetch saved
+constexpr double kImageFetchWeight = 2.0; // lost CPU seconds that a saved CPU second of image fetch outweighs
 constexpr double kNominationS = 15.0;
-constexpr double kUnconfirmedRunS = 0.1; // of a task not reported as running yet
+constexpr double kUnconfirmedRunS = 0.1; // assumed run time of a task not reported as running yet
 } // namespace
 
 // A machine on which victims could be stopped for a job.
@@ -21,14 +21,15 @@
   };
   std::size_t machine = 0; // position in the snapshot
   Resources free;
-  std::vector<Victim> victims;          // possible ones, the least work lost first
+  std::vector<Victim> victims;          // all that may be stopped, the least work lost first
   bool victims_exit_immediately = true; // none saves a checkpoint
-  std::uint32_t slots = 0;              // for the job's tasks, once the chosen victims are gone
-  std::size_t victim_count = 0;         // chosen, from the front
-  std::size_t examined_count = 0;       // would make room for one more task
+  std::uint32_t slots = 0;              // tasks of the job that fit once the chosen victims are gone
+  std::size_t victim_count = 0;         // chosen victims, from the front
+  std::size_t examined_count = 0;       // victims to stop for one more task, from the front
   double cost = 0;                      // of that task: lost CPU seconds, less the image fetch saved
 
-  bool make_room(const Resources &need) {
+  // Examines further victims until a task fits. Returns false if it doesn't fit even without all of them.
+  bool free_resources_for(const Resources &need) {
     while (!need.fits(free)) {
       if (examined_count == victims.size()) return false;
       cost += victims[examined_count].lost_cpu_s;
@@ -37,7 +38,8 @@
     }
     return true;
   }
-  double lost_cpu_s(double total) const {
+  // Adds the work that the chosen victims lose to `total`.
+  double add_lost_cpu_s(double total) const {
     for (std::size_t i = 0; i < victim_count; ++i)
       total += victims[i].lost_cpu_s;
     return total;
@@ -49,7 +51,7 @@
   Candidate candidate;
   candidate.machine = position;
   candidate.free = machine.free;
-  const auto &allocations = context_.workers[machine.id].allocations;
+  const auto &allocations = context_.workers[machine.index].allocations;
   for (std::size_t i = 0; i < allocations.size(); ++i) {
     const Allocation &allocation = allocations[i];
     if (allocation.completed()) continue;
@@ -77,7 +79,7 @@
   return candidate;
 }
 
-// Makes room for as many of the job's tasks as possible, for a gang all or none. `zone`: -1 for any.
+// Chooses victims for as many of the job's tasks as possible, for a gang all or none. `zone`: -1 for any.
 Preemption::Candidates Preemption::cheapest_candidates(const PlacementJob &job,
                                                        const std::vector<PlacementMachine> &machines, int zone) const {
   Candidates candidates;
@@ -85,7 +87,7 @@
     const PlacementMachine &machine = machines[i];
     if ((zone >= 0 && machine.zone != zone) || !allowed(job, machine) || !job.need.fits(machine.size)) continue;
     Candidate candidate = candidate_for(job, machine, i);
-    if (candidate.make_room(job.need)) candidates.push_back(std::move(candidate));
+    if (candidate.free_resources_for(job.need)) candidates.push_back(std::move(candidate));
   }
   std::vector<std::pair<double, std::size_t>> heap; // -cost, position in `candidates`
   for (std::size_t i = 0; i < candidates.size(); ++i)
@@ -99,7 +101,7 @@
     candidate.victim_count = candidate.examined_count;
     candidate.free.add(job.need, -1);
     candidate.cost = 0;
-    if (candidate.make_room(job.need)) {
+    if (candidate.free_resources_for(job.need)) {
       heap.back().first = -candidate.cost;
       std::push_heap(heap.begin(), heap.end());
     } else {
@@ -125,7 +127,7 @@
     Candidates candidates = cheapest_candidates(job, machines, zone);
     double cost = 0;
     for (const auto &candidate : candidates)
-      cost = candidate.lost_cpu_s(cost);
+      cost = candidate.add_lost_cpu_s(cost);
     if (candidates.empty() || (!best.empty() && cost >= best_cost)) continue;
     best = std::move(candidates);
     best_cost = cost;
@@ -134,7 +136,7 @@
 }
 
 // Jobs of low priority and those of other cells never preempt.
-void Preemption::make_room(std::vector<JobIndex> unplaced) {
+void Preemption::preempt_for(std::vector<JobIndex> unplaced) {
   std::erase_if(unplaced, [this](JobIndex job_index) {
     return context_.dependencies.urgency(job_index) == Urgency::Low || context_.jobs[job_index].delegated_here;
   });
@@ -144,38 +146,39 @@
   });
   auto machines = snapshot_.schedulable_machines();
   for (JobIndex job_index : unplaced)
-    make_room_for(job_index, machines);
+    preempt_for_job(job_index, machines);
 }
 
-void Preemption::make_room_for(JobIndex job_index, std::vector<PlacementMachine> &machines) {
+void Preemption::preempt_for_job(JobIndex job_index, std::vector<PlacementMachine> &machines) {
   const Job &job = context_.jobs[job_index];
-  const PlacementJob placement = queue_.placement_job(job_index);
-  const Candidates candidates = best_candidates(placement, machines);
+  const PlacementJob placement_job = queue_.placement_job(job_index);
+  const Candidates candidates = best_candidates(placement_job, machines);
   if (candidates.empty()) return;
-  const bool start_immediately = can_start_immediately(placement, candidates);
+  const bool start_immediately = can_start_immediately(placement_job, candidates);
   std::uint32_t next_task = 0;
   for (const auto &candidate : candidates) {
     PlacementMachine &machine = machines[candidate.machine];
     if (candidate.victim_count > 0)
       context_.runtime.log(LogLevel::Info, "preemption_started",
                            {{"job", job.spec.id},
-                            {"machine", context_.workers[machine.id].name},
+                            {"machine", context_.workers[machine.index].name},
                             {"places", candidate.slots},
                             {"tasks_stopped", candidate.victim_count}});
     // Small tasks must not refill the machine while the victims stop.
-    if (!start_immediately) nominations_.nominate(machine.id, job.spec.id, context_.runtime.now() + kNominationS);
+    if (!start_immediately) nominations_.nominate(machine.index, job.spec.id, context_.runtime.now() + kNominationS);
     machine.nominated_for = job_index;
     machine.free = {}; // unavailable to the next job
-    stop_victims(candidate, machine.id, job.spec.id);
+    stop_victims(candidate, machine.index, job.spec.id);
     for (std::uint32_t i = 0; start_immediately && i < candidate.slots; ++i) {
       next_task = next_pending_task(job, next_task);
-      if (next_task < job.spec.tasks) placer_.place(job_index, next_task, machine.id);
+      if (next_task < job.spec.tasks) placer_.place(job_index, next_task, machine.index);
     }
   }
 }
 
-// Victims without checkpoints exit immediately, so one response can stop them and start their successors. A team with a
-// limit must wait, as victims count against quotas until they are gone.
+// Returns whether the job's tasks can be placed before the victims are gone. Victims without checkpoints exit
+// immediately, so one response can stop them and start their successors. A team with a limit must wait, as victims
+// count against quotas until they are gone.
 bool Preemption::can_start_immediately(const PlacementJob &job, const Candidates &candidates) const {
   const Team &team = context_.quotas.here(job.team);
   if (job.max_per_zone >= 0 || team.cpus_max > 0 || team.gpus_max > 0) return false;
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -9,11 +9,11 @@
 namespace {
 constexpr double kRoundIntervalS = 0.25;
 constexpr double kFirstRoundDelayS = 0.5; // after the start of a term
-constexpr double kReservationS = 1.0;     // renewed by each full round
+constexpr double kReservationS = 1.0;     // renewed in each full round
 constexpr double kPrerecordIntervalS = 0.25;
-constexpr double kPrerecordCpuShare = 0.15; // of the fleet's CPUs
-constexpr std::uint32_t kMinPrerecordedTasks = 4;
-constexpr double kMaxPrerecordedTasks = 1e6;
+constexpr double kPrerecordCpuShare = 0.15;       // of the fleet's CPUs
+constexpr std::uint32_t kMinPrerecordedTasks = 4; // per job
+constexpr double kMaxPrerecordedTasks = 1e6;      // per job; keeps the conversion to an integer in range
 constexpr double kRoundingTolerance = 1e-6;
 } // namespace
 
@@ -51,7 +51,7 @@
 }
 
 void Scheduler::mark_changes_seen() {
-  room_freed_ = false;
+  task_exited_ = false;
   arrivals_seen_ = context_.jobs.arrivals();
 }
 
@@ -65,49 +65,50 @@
   double cpus = 0;
   for (const auto &machine : machines) {
     cpus += machine.size.cpus;
-    machine_indices.push_back(machine.id);
-    nominations_.set_open_to_small(machine.id, !machine.reserved_for_large);
+    machine_indices.push_back(machine.index);
+    nominations_.set_open_to_small_tasks(machine.index, !machine.reserved_for_large);
   }
   queue_.set_available_cpus(cpus);
   const std::vector<JobIndex> jobs = queue_.waiting_jobs();
   fill_queue(jobs);
   if (last_round_queue_.empty()) return;
-  std::vector<const PlacementJob *> placements;
+  std::vector<const PlacementJob *> placement_jobs;
   for (const auto &queued : last_round_queue_)
-    placements.push_back(&queued.placement);
-  std::vector<Reservation> reserved;
-  const auto plan = place_round(std::move(machines), placements, context_.quotas.room(), options(), &reserved);
+    placement_jobs.push_back(&queued.placement_job);
+  std::vector<MachineReservation> reserved;
+  const auto plan = place_round(std::move(machines), placement_jobs, context_.quotas.room(), options(), &reserved);
   const auto placed = placer_.place_all(plan, jobs, machine_indices);
   // Guards against rounds for single machines filling a reserved machine between two full rounds.
   for (const auto &reservation : reserved)
     nominations_.nominate(reservation.machine, context_.jobs[reservation.job].spec.id,
                           context_.runtime.now() + kReservationS);
   mark_changes_seen();
-  auto jobs_without_place = unplaced(jobs, placed);
-  if (!jobs_without_place.empty()) preemption_.make_room(std::move(jobs_without_place));
+  auto unplaced = unplaced_jobs(jobs, placed);
+  if (!unplaced.empty()) preemption_.preempt_for(std::move(unplaced));
 }
 
 void Scheduler::fill_queue(const std::vector<JobIndex> &jobs) {
-  std::vector<Resources> wanted(context_.settings.teams.size());
+  std::vector<Resources> wanted_by_team(context_.settings.teams.size());
   for (JobIndex job_index : jobs) {
     const Job &job = context_.jobs[job_index];
     queue_.note_waiting(job_index, kRoundIntervalS);
     QueuedJob queued{queue_.job_relaxed_if_starved(job_index), job.serial};
     const Team &team = context_.quotas.here(job.team);
-    Resources &team_wanted = wanted[static_cast<std::size_t>(job.team)];
+    Resources &team_wanted = wanted_by_team[static_cast<std::size_t>(job.team)];
     team_wanted.add(job.spec.need, job.spec.tasks - job.done);
     const bool has_guarantee = team.cpus > 0 || team.gpus > 0;
-    queued.placement.guaranteed = has_guarantee && team_wanted.cpus <= team.cpus + kRoundingTolerance &&
-                                  team_wanted.gpus <= team.gpus + kRoundingTolerance;
+    queued.placement_job.guaranteed = has_guarantee && team_wanted.cpus <= team.cpus + kRoundingTolerance &&
+                                      team_wanted.gpus <= team.gpus + kRoundingTolerance;
     last_round_queue_.push_back(std::move(queued));
   }
 }
 
-std::vector<JobIndex> Scheduler::unplaced(const std::vector<JobIndex> &jobs,
-                                          const std::vector<std::uint32_t> &placed) const {
+std::vector<JobIndex> Scheduler::unplaced_jobs(const std::vector<JobIndex> &jobs,
+                                               const std::vector<std::uint32_t> &placed) const {
   std::vector<JobIndex> result;
   for (std::size_t i = 0; i < jobs.size(); ++i)
-    if (last_round_queue_[i].placement.limit > 0 && placed[i] == 0 && !context_.failure_attribution.suspected(jobs[i]))
+    if (last_round_queue_[i].placement_job.limit > 0 && placed[i] == 0 &&
+        !context_.failure_attribution.suspected(jobs[i]))
       result.push_back(jobs[i]);
   return result;
 }
@@ -118,38 +119,39 @@
   if (!context_.leadership.active() || !context_.quotas.ready() || last_round_queue_.empty()) return;
   const auto machine_snapshot = snapshot_.schedulable_machine(machine_index);
   if (!machine_snapshot) return;
-  std::vector<const PlacementJob *> placements;
+  std::vector<const PlacementJob *> placement_jobs;
   std::vector<JobIndex> jobs;
   for (auto &queued : last_round_queue_) {
-    if (!has_room(queued.placement, *machine_snapshot) || !refresh(queued)) continue;
-    placements.push_back(&queued.placement);
-    jobs.push_back(queued.placement.index);
+    if (!fits_free_resources(queued.placement_job, *machine_snapshot) || !refresh(queued)) continue;
+    placement_jobs.push_back(&queued.placement_job);
+    jobs.push_back(queued.placement_job.index);
   }
-  if (placements.empty()) return;
-  placer_.place_all(place_round({*machine_snapshot}, placements, context_.quotas.room(), options()), jobs,
+  if (placement_jobs.empty()) return;
+  placer_.place_all(place_round({*machine_snapshot}, placement_jobs, context_.quotas.room(), options()), jobs,
                     {machine_index});
 }
 
-// Returns false if none of the job's tasks may be placed now.
+// Updates a queue entry from the last full round. Returns false if none of the job's tasks may be placed now.
 bool Scheduler::refresh(QueuedJob &queued) const {
-  PlacementJob &placement = queued.placement;
-  const JobIndex job_index = placement.index;
+  PlacementJob &placement_job = queued.placement_job;
+  const JobIndex job_index = placement_job.index;
   const Job *job = context_.jobs.find(job_index);
   if (!job || job->serial != queued.serial || job->cancelled || job->ending || job->paused) return false;
   if (context_.ledger.budget_exhausted(job->team)) return false;
-  const bool depends_on_other_tasks = placement.gang || placement.one_zone || placement.max_per_zone >= 0;
+  const bool depends_on_other_tasks = placement_job.gang || placement_job.one_zone || placement_job.max_per_zone >= 0;
   if (depends_on_other_tasks || context_.failure_attribution.has_failed(job_index)) {
-    const bool guaranteed = placement.guaranteed;
-    placement = queue_.job_relaxed_if_starved(job_index);
-    placement.guaranteed = guaranteed;
+    const bool guaranteed = placement_job.guaranteed;
+    placement_job = queue_.job_relaxed_if_starved(job_index);
+    placement_job.guaranteed = guaranteed;
   } else {
-    placement.pending = job->pending();
-    placement.limit = job->pending();
+    placement_job.pending = job->pending();
+    placement_job.limit = job->pending();
   }
-  return placement.limit > 0;
+  return placement_job.limit > 0;
 }
 
-// Has tasks recorded as started ahead of their placement: as many as the fleet may start within seconds.
+// Has tasks recorded as started before they are placed, so that they can start without waiting for the record: as many
+// as the fleet may start within seconds.
 void Scheduler::prerecord_tasks() {
   next_prerecord_ = context_.runtime.now() + kPrerecordIntervalS;
   std::vector<std::tuple<int, bool, double, JobIndex>> order; // -priority, late, submission, job
@@ -163,9 +165,9 @@
   double left_cpus = kPrerecordCpuShare * queue_.available_cpus();
   for (const auto &[negative_priority, late, submit_wall, job_index] : order) {
     const Job &job = context_.jobs[job_index];
-    const double fitting = std::max(0.0, left_cpus / std::max(0.01, job.spec.need.cpus));
+    const double fitting_tasks = std::max(0.0, left_cpus / std::max(0.01, job.spec.need.cpus));
     const auto wanted =
-        std::max(kMinPrerecordedTasks, static_cast<std::uint32_t>(std::min(kMaxPrerecordedTasks, fitting)));
+        std::max(kMinPrerecordedTasks, static_cast<std::uint32_t>(std::min(kMaxPrerecordedTasks, fitting_tasks)));
     const std::uint32_t prerecorded = std::min(job.pending(), wanted);
     left_cpus -= prerecorded * job.spec.need.cpus;
     context_.state_writer.set_prerecorded_tasks(job_index, prerecorded);
--- a/src/core/scheduling/task_placer.cpp
+++ b/src/core/scheduling/task_placer.cpp
@@ -3,7 +3,7 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr int kAttemptCounterBits = 20; // the term is above them
+constexpr int kAttemptCounterBits = 20; // lowest bits of an attempt number; the term is in the bits above
 } // namespace
 
 std::uint32_t next_pending_task(const Job &job, std::uint32_t task_index) {
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -23,7 +23,7 @@
   PlacementCase test_case;
   for (int i = 0, n = 1 + pick(max_machines); i < n; ++i) {
     PlacementMachine machine;
-    machine.id = MachineIndex(static_cast<std::size_t>(i));
+    machine.index = MachineIndex(static_cast<std::size_t>(i));
     machine.type = pick(2);
     machine.size = machine.type ? Resources{32, 4, 128} : Resources{4, 0, 16};
     machine.free = {machine.size.cpus - pick(4), machine.size.gpus, machine.size.memory - pick(8)};
@@ -50,7 +50,7 @@
     job.wait_s = pick(200);
     job.image = pick(3);
     job.in_time = pick(2);
-    job.started = pick(2);
+    job.cannot_reserve = pick(2);
     job.small = pick(2);
     job.team = pick(2);
     if (pick(5) == 0)
@@ -73,36 +73,33 @@
     std::vector<int> best_machines;
     for (std::size_t job_position = 0; job_position < jobs.size(); ++job_position) {
       if (!unplaced[job_position]) continue;
+      const PlacementJob &job = jobs[job_position];
       auto trial_machines = machines;
       std::vector<int> plan;
       double score_sum = 0;
-      for (std::uint32_t task = 0; task < jobs[job_position].pending; ++task) {
+      for (std::uint32_t task = 0; task < job.pending; ++task) {
         int best_machine = -1;
         double best_score = -1e18;
         for (int machine_position = 0; machine_position < static_cast<int>(trial_machines.size()); ++machine_position) {
           auto &machine = trial_machines[static_cast<std::size_t>(machine_position)];
-          if (!allowed(jobs[job_position], machine) || !jobs[job_position].need.fits(machine.free)) continue;
-          if (machine.reserved_for_large && jobs[job_position].small &&
-              !jobs[job_position].need.fits(machine.small_task_headroom))
-            continue;
-          double score = placement_score(jobs[job_position], machine, options);
+          if (!allowed(job, machine) || !job.need.fits(machine.free)) continue;
+          if (machine.reserved_for_large && job.small && !job.need.fits(machine.small_task_headroom)) continue;
+          double score = placement_score(job, machine, options);
           if (score > best_score) {
             best_score = score;
             best_machine = machine_position;
           }
         }
         if (best_machine < 0) break;
-        trial_machines[static_cast<std::size_t>(best_machine)].free.add(jobs[job_position].need, -1);
-        if (jobs[job_position].small)
-          trial_machines[static_cast<std::size_t>(best_machine)].small_task_headroom.add(jobs[job_position].need, -1);
+        trial_machines[static_cast<std::size_t>(best_machine)].free.add(job.need, -1);
+        if (job.small) trial_machines[static_cast<std::size_t>(best_machine)].small_task_headroom.add(job.need, -1);
         plan.push_back(best_machine);
         score_sum += best_score;
       }
-      if (plan.empty() || (jobs[job_position].gang && plan.size() < jobs[job_position].pending)) continue;
+      if (plan.empty() || (job.gang && plan.size() < job.pending)) continue;
       double value = score_sum / static_cast<double>(plan.size()) +
-                     (plan.size() == jobs[job_position].pending ? options.full_plan_bonus : 0) +
-                     options.age_weight * jobs[job_position].wait_s +
-                     (jobs[job_position].in_time ? options.in_time_bonus : 0);
+                     (plan.size() == job.pending ? options.full_plan_bonus : 0) + options.age_weight * job.wait_s +
+                     (job.in_time ? options.in_time_bonus : 0);
       if (best_job < 0 || value > best_value) {
         best_job = static_cast<int>(job_position);
         best_value = value;
@@ -111,12 +108,12 @@
     }
     if (best_job < 0) return assignments;
     unplaced[static_cast<std::size_t>(best_job)] = 0;
+    const PlacementJob &placed_job = jobs[static_cast<std::size_t>(best_job)];
     for (int machine_position : best_machines) {
       auto &machine = machines[static_cast<std::size_t>(machine_position)];
-      machine.free.add(jobs[static_cast<std::size_t>(best_job)].need, -1);
-      if (jobs[static_cast<std::size_t>(best_job)].small)
-        machine.small_task_headroom.add(jobs[static_cast<std::size_t>(best_job)].need, -1);
-      int image = jobs[static_cast<std::size_t>(best_job)].image;
+      machine.free.add(placed_job.need, -1);
+      if (placed_job.small) machine.small_task_headroom.add(placed_job.need, -1);
+      int image = placed_job.image;
       if (std::find(machine.images.begin(), machine.images.end(), image) == machine.images.end())
         machine.images.push_back(image);
       assignments.emplace_back(best_job, machine_position);
