--- a/include/loftrouter/accounts/period.hpp
+++ b/include/loftrouter/accounts/period.hpp
@@ -10,7 +10,7 @@
 
 // Divides time into consecutive periods. Wall-clock times are seconds since 1970 UTC.
 struct PeriodSchedule {
-  int starts_min = 0;  // start of a period: minute of the local day, 0 to 1439
+  int starts_min = 0;  // time of day at which a period starts: minute of the local day, 0 to 1439
   int offset_min = 0;  // local time minus UTC, in minutes, -840 to 840
   bool weekly = false; // weeks starting on Monday; otherwise days
   bool operator==(const PeriodSchedule &) const = default;
--- a/include/loftrouter/accounts/usage.hpp
+++ b/include/loftrouter/accounts/usage.hpp
@@ -22,7 +22,7 @@
 enum Column : std::uint8_t {
   Useful,     // run time of attempts that completed
   Fetch,      // from sending the start until running or waiting for the gang
-  Wait,       // waiting for the other tasks of a gang
+  Wait,       // waiting for the other tasks of the gang
   Lost,       // run time of attempts that did not complete: failed, stopped, or lost with their machine
   Unresolved, // in progress at the last record of a former leader; the outcome is unknown
   Uncertain,  // upper bound of the time held after a former leader's last record
@@ -55,7 +55,7 @@
   bool operator==(const Row &) const = default;
 
   [[nodiscard]] bool all_zero() const { return *this == Row{}; }
-  // Total allocation time, including the uncertain part.
+  // Total time of all allocations, including the uncertain part.
   [[nodiscard]] std::int64_t held() const {
     return values[Useful] + values[Fetch] + values[Wait] + values[Lost] + values[Unresolved] + values[Uncertain];
   }
--- a/include/loftrouter/core/configuration/applied_configuration.hpp
+++ b/include/loftrouter/core/configuration/applied_configuration.hpp
@@ -1,6 +1,6 @@
 // Publishes the configuration revision up to which this node has applied all records, as `config-applied/<node>`.
 //
-// Owns that record. It is written only after the revision has been applied, at a limited rate.
+// Owns that record. Writes it only after the revision has been applied, at a limited rate.
 #pragma once
 
 #include "loftrouter/core/configuration/configuration.hpp"
--- a/include/loftrouter/core/configuration/operator_settings.hpp
+++ b/include/loftrouter/core/configuration/operator_settings.hpp
@@ -1,8 +1,8 @@
 // Operators' tunables, budgets, cell rules and machine admin states, read from this node's copy of the configuration.
 //
 // Owns the values in force. A record that cannot be read is logged and changes nothing. Budgets and machine admin
-// states are stored as single records and, as far as they fit, in the documents of earlier versions; `entries` decides
-// which of the two applies (docs/configuration.md, "Side by side").
+// states are stored as one record each and, as far as they fit, in the documents that earlier versions read and write;
+// `entries` decides which of the two applies (docs/configuration.md, "Side by side").
 #pragma once
 
 #include <optional>
--- a/include/loftrouter/core/core.hpp
+++ b/include/loftrouter/core/core.hpp
@@ -1,5 +1,5 @@
-// The core: dispatches commands to its modules and delivers the events that they publish. `apply` does no I/O and reads
-// no clock; it is a function of the state, a batch of commands and the time.
+// The core: dispatches commands to its modules and delivers the events that they publish. It does no I/O and reads no
+// clock: the effects of a batch depend only on the state, the commands and the time passed in.
 //
 // Each module owns its state. A module calls only modules declared before it in `Core` and informs others through
 // events (docs/architecture.md).
@@ -44,7 +44,7 @@
   void on(AdminCommand &&cmd) { administration_api_.take(std::move(cmd)); }
   void on(StoreReplyCommand &&);
   void on(CloudReplyCommand &&cmd) { runtime_.complete(cmd); }
-  void respond(std::optional<AcceptedHeartbeat> heartbeat);
+  void place_and_respond(std::optional<AcceptedHeartbeat> heartbeat);
   void deliver_events();
   bool consistent() const;
 
--- a/include/loftrouter/core/quotas/quota_changes.hpp
+++ b/include/loftrouter/core/quotas/quota_changes.hpp
@@ -21,7 +21,7 @@
 public:
   struct Outcome {
     int status = 503; // HTTP
-    std::string text; // error message
+    std::string text; // error message; empty on success
   };
   using Callback = std::function<void(const Outcome &)>;
 
@@ -31,7 +31,8 @@
         state_limits_(state_limits) {}
 
   void request(const wire::QuotaChange &change, Callback done);
-  // Commits the change unless one with this number was committed before. Called in the owner's cell only.
+  // Commits the change; a change with the same number that was committed before is not applied again. Called in the
+  // owner's cell only.
   void commit_once(const wire::QuotaChange &change, std::uint64_t number, Callback done);
   // Commits a record whose caps have changed and passes the result to `done`. Called in the owner's cell only.
   void commit(const std::string &team, const wire::QuotaRecord &record, std::uint64_t revision,
@@ -46,7 +47,7 @@
     Callback done;
     double deadline; // s, monotonic
   };
-  // Applies the change to the record, or returns why it is rejected.
+  // Applies the change to `record`. Returns an error if it is invalid, nothing otherwise.
   std::optional<Outcome> apply(const wire::QuotaChange &change, std::uint64_t number, wire::QuotaRecord &record) const;
   void forward(const wire::QuotaChange &change, Callback done);
   void remove_forwarded(const std::string &key);
--- a/include/loftrouter/core/quotas/quota_shares.hpp
+++ b/include/loftrouter/core/quotas/quota_shares.hpp
@@ -1,6 +1,7 @@
-// Divides a team's limit among cells. While the division changes, caps are lowered before others are raised, so that
-// the cells together never exceed the limit (docs/safety.md, "Quotas that change"). Pure functions on a quota record:
-// `caps` are what cells may use, `held` what they may still be using until they acknowledge a lower cap.
+// Divides a team's limit among cells, with pure functions on a quota record. `caps` are the amounts that cells may use,
+// `held` those that they may still be using until they acknowledge a lower cap. When shares change, caps are lowered
+// and acknowledged before others are raised, so that the cells together never exceed the limit (docs/safety.md, "Quotas
+// that change").
 #pragma once
 
 #include <optional>
--- a/include/loftrouter/core/quotas/quotas.hpp
+++ b/include/loftrouter/core/quotas/quotas.hpp
@@ -1,8 +1,8 @@
 // Team quotas in this cell and over all cells, from the settings file and the operators' records.
 //
-// Owns the limits in force in this cell. They never exceed those of the settings file (rule `quota`). The leader
-// applies no limit older than one that an earlier leader has acknowledged (`ready`). Tasks beyond a lowered limit are
-// stopped with time to save a checkpoint. See docs/safety.md, "Quotas that change".
+// Owns the limits in force in this cell. They never exceed those of the settings file (rule `quota`). A leader never
+// applies a limit older than one that an earlier leader has acknowledged (`ready`). Tasks beyond a lowered limit are
+// stopped after a grace period, with time to save a checkpoint. See docs/safety.md, "Quotas that change".
 #pragma once
 
 #include <optional>
@@ -22,7 +22,7 @@
   Quotas(Runtime &runtime, Events &events, const Settings &settings, const Configuration &configuration,
          const Leadership &leadership, const JobTable &jobs, WorkerRegistry &workers);
 
-  // Guarantee and limit of a team; 0: none.
+  // Guarantee and limit of a team in this cell and over all cells; 0: none.
   const Team &local_quota(int team) const { return local_[static_cast<std::size_t>(team)]; }
   const Team &total_quota(int team) const { return total_[static_cast<std::size_t>(team)]; }
   // The largest share of any cell, in CPUs; 0: no limit.
@@ -30,8 +30,9 @@
   // Returns whether this leader may place tasks: it has listed all records since its election.
   bool ready() const { return !settings_.configuration || configuration_.listed_since(elected_at_); }
 
-  // What each team may still use in this cell; negative: no limit. Unaccounted and delegated tasks count as used.
+  // The resources that each team may still use in this cell, by team; negative: no limit.
   std::vector<Resources> headroom() const;
+  // The resources in use, by team. Unaccounted and delegated tasks count too.
   std::vector<Resources> used() const;
   // The team's quota record; nothing if there is none or it cannot be read.
   std::optional<wire::QuotaRecord> record(const std::string &team) const;
--- a/include/loftrouter/core/runtime/commands.hpp
+++ b/include/loftrouter/core/runtime/commands.hpp
@@ -1,4 +1,4 @@
-// The inputs of the core. They are applied in batches, in the order of arrival.
+// Commands: the inputs of the core, applied in batches in the order of arrival.
 #pragma once
 
 #include <cstdint>
--- a/include/loftrouter/core/runtime/forwarded_requests.hpp
+++ b/include/loftrouter/core/runtime/forwarded_requests.hpp
@@ -1,7 +1,7 @@
-// Requests forwarded to another controller that await a response.
+// Requests that were forwarded to another controller and await its response.
 //
-// Owns the pending requests. Matches each response to its request at most once, and never after the request expired.
-// Otherwise a worker could receive the response to another worker's heartbeat, and a task could run twice
+// Owns the pending requests. Matches each response to its request at most once, and never after the request has
+// expired: otherwise a worker could receive the response to another worker's heartbeat, and a task could run twice
 // (`ran_twice`).
 #pragma once
 
@@ -17,8 +17,8 @@
 
 namespace loftrouter::core {
 
-// A bounded set of pending requests, keyed by a number that this process never reuses. `Context` is data that the owner
-// attaches to a request. Times are seconds on the monotonic clock.
+// A bounded set of pending requests, keyed by a number that this process never reuses. `Context` is data that the
+// caller attaches to a request. Times are seconds on the monotonic clock.
 template <class Context> class ForwardedRequests {
 public:
   struct Pending {
--- a/include/loftrouter/core/runtime/log.hpp
+++ b/include/loftrouter/core/runtime/log.hpp
@@ -28,7 +28,7 @@
 
 struct LogLine {
   LogLevel level;
-  std::string event; // snake case: a noun, then a verb in the past tense
+  std::string event; // snake case, a noun and a past participle: `machine_lost`
   std::vector<LogField> fields;
 };
 
--- a/include/loftrouter/core/runtime/ranges.hpp
+++ b/include/loftrouter/core/runtime/ranges.hpp
@@ -1,4 +1,4 @@
-// Sets of task numbers as half-open ranges, sorted, neither overlapping nor adjacent, and their approximation by fewer
+// Sets of task indices as sorted, half-open ranges that neither overlap nor touch, and their approximation by fewer
 // ranges for records of bounded size.
 #pragma once
 
@@ -9,15 +9,15 @@
 
 namespace loftrouter::core {
 
-// Returns the numbers below `count` for which `contains(number)` is true.
+// Returns the indices below `count` for which `contains(index)` is true.
 template <class Contains> [[nodiscard]] Ranges make_ranges(std::uint32_t count, Contains contains) {
   Ranges ranges;
-  for (std::uint32_t number = 0; number < count; ++number) {
-    if (!contains(number)) continue;
-    if (!ranges.empty() && ranges.back().second == number)
-      ranges.back().second = number + 1;
+  for (std::uint32_t index = 0; index < count; ++index) {
+    if (!contains(index)) continue;
+    if (!ranges.empty() && ranges.back().second == index)
+      ranges.back().second = index + 1;
     else
-      ranges.emplace_back(number, number + 1);
+      ranges.emplace_back(index, index + 1);
   }
   return ranges;
 }
--- a/include/loftrouter/core/runtime/runtime.hpp
+++ b/include/loftrouter/core/runtime/runtime.hpp
@@ -30,7 +30,7 @@
 
   // ---- batches ----
 
-  // Starts a batch and discards effects of the previous one.
+  // Starts a batch and discards the effects of the previous one.
   void begin_batch(Now now);
   // Returns and clears the effects of the batch so far.
   [[nodiscard]] Effects take_effects() { return std::exchange(effects_, {}); }
@@ -38,7 +38,7 @@
   // ---- time and random numbers ----
 
   [[nodiscard]] double now() const { return now_.mono; }
-  [[nodiscard]] double wall() const { return now_.wall; }
+  [[nodiscard]] double wall() const { return now_.wall; } // since 1970
   [[nodiscard]] double uptime_s() const { return now_.mono - started_at_; }
   // Returns a number in [0, 1). Not for secrets.
   [[nodiscard]] double random();
@@ -56,7 +56,7 @@
   void complete(const StoreReplyCommand &cmd);
   void complete(const CloudReplyCommand &cmd);
 
-  // Times of the last response that came from the service itself; far in the past if there was none.
+  // Times of the last response from the service itself, not from a proxy; far in the past if there was none.
   [[nodiscard]] double state_service_answered_at() const { return state_service_answered_at_; }
   [[nodiscard]] double state_service_answered_at_wall() const { return state_service_answered_at_wall_; }
   [[nodiscard]] double provider_answered_at() const { return provider_answered_at_; }
@@ -77,9 +77,9 @@
   // Responds with 503.
   void refuse(RequestId request, std::string_view reason, int retry_after_s = 1);
 
-  // Returns a request id for a user's request that another replica has forwarded. The response is sent on `link` with
-  // that replica's `number`. Returns nothing if too many are pending.
   static constexpr std::size_t kMaxProxiedRequests = 512;
+  // Returns a request id for a user's request that another replica has forwarded, or nothing if too many are pending.
+  // The response is sent on `link` with that replica's `number`.
   [[nodiscard]] std::optional<RequestId> proxy_request(std::uint64_t link, std::uint64_t number);
   [[nodiscard]] static bool is_proxied(RequestId request) { return request >= kFirstProxiedRequest; }
 
--- a/include/loftrouter/core/runtime/state_service_limits.hpp
+++ b/include/loftrouter/core/runtime/state_service_limits.hpp
@@ -1,10 +1,11 @@
 // Divides the state service's rate limits among the replicas: reads and writes for user requests, and the leader's own
 // writes. Renewals of the leader's lease are not counted.
 //
-// Owns three token buckets and the limits that are believed to be in force. Replicas exchange their usage. Each may use
-// an equal share at any time, and what the others leave of the rate for users; a replica without a recent report counts
-// as using its whole share. The leader's writes get a reserved rate and what users leave. If the sum exceeded the limit
-// for long, the state service would reject the leader's writes too. Short bursts beyond the limit are retried.
+// Owns three token buckets and the limits that are believed to be in force. Replicas exchange their usage. Each replica
+// may always use an equal share of the rate for users, and beyond it what the others leave unused; a replica without a
+// recent report counts as using its whole share. The leader's writes get a reserved rate and what users leave unused.
+// If the sum exceeded the limit for long, the state service would reject the leader's writes too; requests rejected in
+// a short burst are retried.
 #pragma once
 
 #include <cstddef>
@@ -24,16 +25,16 @@
     double writes_per_s = 0;
   };
 
-  // Characters kept free in a new open record, for marking it as cancelled later.
+  // Characters to keep free in a new open record, so that it can be marked as cancelled later.
   static constexpr std::size_t kCancellationMarkRoom = 64;
 
   explicit StateServiceLimits(const Settings &settings);
 
-  // Takes tokens for a user's read or write and returns whether there were enough. `reads`: mean cost of the request.
+  // Takes tokens for a user's read or write and returns whether there were enough. `reads`: mean reads per request.
   [[nodiscard]] bool take_read(double now, double reads = 1) { return reads_.take(now, reads); }
   [[nodiscard]] bool take_write(double now) { return writes_.take(now); }
 
-  // The writes that the leader may make now, and the accounting of those it has made.
+  // Returns how many writes the leader may make now; it then takes tokens for those that it makes.
   [[nodiscard]] double leader_writes_available(double now) { return leader_writes_.level(now); }
   void take_leader_writes(double now, double writes) { leader_writes_.take(now, writes); }
 
@@ -47,7 +48,7 @@
   // are taken to be in force. Returns whether this call has lowered the limits.
   [[nodiscard]] bool request_rejected(double now);
 
-  // Redistributes the limits, `dt_s` seconds after the last call. `others`: usage of the other replicas; nothing for
+  // Redistributes the rates, `dt_s` seconds after the last call. `others`: usage of the other replicas; nothing for
   // one without a recent report.
   void rebalance(double now, double dt_s, const std::vector<std::optional<Usage>> &others);
 
--- a/include/loftrouter/core/runtime/token_bucket.hpp
+++ b/include/loftrouter/core/runtime/token_bucket.hpp
@@ -1,11 +1,12 @@
-// A token bucket. It reads no clock: the caller passes the time.
+// Rate limiting with a token bucket. It reads no clock: the caller passes the time.
 #pragma once
 
 #include <algorithm>
 
 namespace loftrouter::core {
 
-// Limits a rate and allows bursts up to a bound. Times are seconds on the monotonic clock. A new bucket is full.
+// A token bucket: limits a rate and allows bursts of up to `burst` tokens. Times are seconds on the monotonic clock. A
+// new bucket is full.
 class TokenBucket {
 public:
   TokenBucket() = default;
--- a/include/loftrouter/model/settings.hpp
+++ b/include/loftrouter/model/settings.hpp
@@ -8,16 +8,17 @@
 
 namespace loftrouter {
 
-// A team with its guaranteed quota and its limit (`_max`), in CPUs and GPUs. 0: none.
+// A team with its guaranteed quota and its limit (`_max`), in CPUs and GPUs; 0: none.
 struct Team {
   std::string name;
   double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;
 };
 // A service-level objective for the jobs of a class.
 struct Objective {
-  std::string kind, job_class;
-  double within_s = 0;
-  double share = 0; // fraction of the jobs that have to meet it
+  std::string kind; // `finished`: completed within `within_s`; `wait`: started within it
+  std::string job_class;
+  double within_s = 0; // since the submission
+  double share = 0;    // fraction of the jobs that have to meet it
   double times = 1;
 };
 // Another controller replica of this cell.
--- a/src/core/configuration/configuration.cpp
+++ b/src/core/configuration/configuration.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 constexpr double kPollIntervalS = 5.0;  // of the documents, with the feature disabled
-constexpr double kListIntervalS = 30.0; // guards against changes that a watch has missed
+constexpr double kListIntervalS = 30.0; // bounds how long a change that a watch has missed goes unnoticed
 constexpr double kListRetryS = 0.3;
-constexpr double kListTimeoutS = 2.0; // per page
-constexpr double kWatchHoldS = 4.0;   // short, so that a broken watch is noticed
+constexpr double kListPageTimeoutS = 2.0;
+constexpr double kWatchHoldS = 4.0; // short, so that a broken watch is noticed
 constexpr double kWatchTimeoutMarginS = 1.5;
 constexpr double kWatchRetryS = 0.5;
 constexpr std::string_view kDocumentPrefix = "conf/";
@@ -35,7 +35,7 @@
   const std::string prefix(settings_.configuration ? wire::kConfigPrefix : kDocumentPrefix);
   // Large pages keep the number of requests small: a list of thousands of records starts over when a page fails.
   runtime_.store(
-      StoreList{prefix, from, StoreList::kMaxPage}, kListTimeoutS, [this, from](const wire::StoreReply &reply) {
+      StoreList{prefix, from, StoreList::kMaxPage}, kListPageTimeoutS, [this, from](const wire::StoreReply &reply) {
         if (reply.status != 200) {
           list_pending_ = false;
           if (settings_.configuration) next_list_at_ = runtime_.now() + kListRetryS;
@@ -45,7 +45,7 @@
         if (from.empty()) watch_from_ = reply.revision;
         for (const auto &entry : reply.entries) {
           const auto *known = find(entry.key);
-          const bool unchanged = known && known->revision == entry.mod_revision; // saves a second copy of the value
+          const bool unchanged = known && known->revision == entry.mod_revision; // no second copy of the value is kept
           listed_[entry.key] = {unchanged ? std::nullopt : std::optional(entry.value), entry.mod_revision};
         }
         if (reply.more && !reply.entries.empty()) return request_page(reply.entries.back().key);
@@ -73,7 +73,7 @@
 void Configuration::start_watch() {
   watch_pending_ = true;
   runtime_.store(StoreWatch{std::string(wire::kConfigPrefix), watch_from_, kWatchHoldS},
-                 kWatchHoldS + kWatchTimeoutMarginS, [this, sent = runtime_.now()](const wire::StoreReply &reply) {
+                 kWatchHoldS + kWatchTimeoutMarginS, [this, sent_at = runtime_.now()](const wire::StoreReply &reply) {
                    watch_pending_ = false;
                    if (reply.status == 410 || reply.status == 0) { // history compacted, or no response
                      next_list_at_ = 0;
@@ -85,10 +85,10 @@
                    }
                    for (const auto &entry : reply.events)
                      apply(entry.key, entry.value, entry.mod_revision);
-                   // A pending list has set the revision of its first page: later changes are watched again after it.
-                   // Otherwise a record newer than the list's pages would be taken for removed.
+                   // A pending list has set `watch_from_` to the revision of its first page. Moving it forward would
+                   // make a record that is newer than the list's pages look removed.
                    if (!list_pending_) watch_from_ = std::max(watch_from_, reply.revision);
-                   current_at_ = std::max(current_at_, sent);
+                   current_at_ = std::max(current_at_, sent_at);
                    if (!list_pending_) start_watch();
                  });
 }
--- a/src/core/configuration/operator_settings.cpp
+++ b/src/core/configuration/operator_settings.cpp
@@ -74,14 +74,13 @@
 void OperatorSettings::read_machine_admin_states() {
   const auto *document = configuration_.find(kMachineAdminStatesKey);
   machine_admin_states_.clear();
-  for (const auto &[machine, machine_admin_state] :
+  for (const auto &[machine, value] :
        entries(wire::kConfigMachine, document ? document->value : wire::Json(), document ? document->revision : 0))
-    if (const auto read = wire::machine_admin_state_from_json(machine_admin_state))
-      machine_admin_states_[machine] = *read;
+    if (const auto read = wire::machine_admin_state_from_json(value)) machine_admin_states_[machine] = *read;
   events_.publish(MachineAdminStatesChanged{});
 }
 
-// Reads a single record: the first list of a node may publish thousands of changes.
+// Reads one machine's state instead of all: a node's first list may publish thousands of changes.
 void OperatorSettings::read_machine_admin_state(const std::string &machine) {
   const auto *document = configuration_.find(kMachineAdminStatesKey);
   const auto *record = configuration_.find(std::string(wire::kConfigMachine) + machine);
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -4,6 +4,10 @@
 
 namespace loftrouter::core {
 
+namespace {
+constexpr double kMaxStateServiceSilenceS = 3.0; // without a response for this long, it counts as unreachable
+}
+
 Core::Core(Settings settings, std::uint64_t seed)
     : settings_(with_cell_teams(std::move(settings))), runtime_(seed), objectives_(settings_),
       catalog_(settings_.zones), configuration_(runtime_, events_, settings_),
@@ -79,7 +83,8 @@
   return runtime_.take_effects();
 }
 
-// Modules handle an event in this order: the log, modules that make decisions, modules that report, the job table.
+// Delivers each event to its subscribers in a fixed order: the log, modules that make decisions, modules that report,
+// and last the job table, which may reuse the job's index afterwards.
 void Core::deliver_events() {
   events_.deliver([this](const auto &event) {
     auto dispatch = [&event](auto &...subscribers) {
@@ -96,8 +101,8 @@
 }
 
 void Core::on(TickCommand &&) {
-  auto step = [this](auto &&fn) {
-    fn();
+  auto step = [this](auto &&run_step) {
+    run_step();
     deliver_events(); // the next step sees the events of this one
   };
   step([this] { runtime_.run_scheduled(); });
@@ -134,24 +139,25 @@
   assert(consistent());
 }
 
-// For assertions: the job table and the worker registry agree. Each placed task has exactly one allocation.
+// Returns whether the job table and the worker registry agree, for an assertion: each placed task has exactly one
+// allocation.
 bool Core::consistent() const {
-  bool agree = true;
+  bool tables_agree = true;
   std::vector<std::uint32_t> allocations(jobs_.index_limit(), 0);
   workers_.each([&](MachineIndex machine_index, const Machine &machine) {
-    agree &= workers_.consistent(machine_index);
+    tables_agree &= workers_.consistent(machine_index);
     for (const auto &allocation : machine.allocations)
       if (allocation.job.valid() && !allocation.completed()) ++allocations[allocation.job.position()];
   });
   jobs_.each([&](JobIndex job_index, const Job &job) {
-    agree &= jobs_.consistent(job_index) && allocations[job_index.position()] == job.placed;
+    tables_agree &= jobs_.consistent(job_index) && allocations[job_index.position()] == job.placed;
   });
-  return agree;
+  return tables_agree;
 }
 
 void Core::on(HealthCheckCommand &&cmd) {
-  if (catalog_.known() && (runtime_.now() - runtime_.state_service_answered_at() < 3.0 || replicas_.common_outage() ||
-                           job_api_.can_answer()))
+  if (catalog_.known() && (runtime_.now() - runtime_.state_service_answered_at() < kMaxStateServiceSilenceS ||
+                           replicas_.common_outage() || job_api_.can_answer()))
     runtime_.reply(cmd.req, 200, "");
   else
     runtime_.refuse(cmd.req, catalog_.known() ? "state service unreachable" : "starting up");
@@ -164,12 +170,12 @@
 }
 
 void Core::on(HeartbeatCommand &&cmd) {
-  respond(heartbeats_.handle(std::move(cmd)));
+  place_and_respond(heartbeats_.handle(std::move(cmd)));
 }
 
-// Events of the heartbeat are delivered before tasks are placed on its machine: the heartbeat may have freed resources
-// or got the machine quarantined.
-void Core::respond(std::optional<AcceptedHeartbeat> heartbeat) {
+// Places tasks on the heartbeat's machine and responds. The heartbeat's events are delivered first: it may have freed
+// resources or caused the machine's quarantine.
+void Core::place_and_respond(std::optional<AcceptedHeartbeat> heartbeat) {
   if (!heartbeat) return;
   deliver_events();
   scheduler_.place_on(heartbeat->machine);
@@ -186,7 +192,7 @@
   case Kind::Commands:
     return heartbeats_.handle_response(message);
   case Kind::Heartbeat:
-    return respond(heartbeats_.handle_forwarded(cmd));
+    return place_and_respond(heartbeats_.handle_forwarded(cmd));
   case Kind::CellRequest:
     return federation_.take_passed(cmd);
   case Kind::CellResponse:
--- a/src/core/quotas/quota_changes.cpp
+++ b/src/core/quotas/quota_changes.cpp
@@ -124,8 +124,8 @@
   const auto change = found ? wire::forwarded_from_json(found->value) : std::nullopt;
   if (!change || change->status == 0 || change->node != settings_.node) return;
   std::uint64_t number = 0;
-  const auto rest = std::string_view(event.key).substr(wire::kConfigChange.size());
-  std::from_chars(rest.data(), rest.data() + rest.size(), number);
+  const auto digits = std::string_view(event.key).substr(wire::kConfigChange.size());
+  std::from_chars(digits.data(), digits.data() + digits.size(), number);
   if (const auto it = pending_.find(number); it != pending_.end()) {
     const auto done = std::move(it->second.done);
     pending_.erase(it);
--- a/src/core/quotas/quota_shares.cpp
+++ b/src/core/quotas/quota_shares.cpp
@@ -16,7 +16,8 @@
 constexpr double kTolerance = 1e-6; // CPUs, GPUs
 constexpr std::array kFields{&Amounts::cpus, &Amounts::gpus};
 
-// FNV-1a with a finalizer, because names often differ in their last characters only. All cells must compute the same.
+// FNV-1a with a finalizer, because names often differ in their last characters only. All cells must compute the same
+// hash, so the function cannot be changed.
 std::uint64_t hash(const std::string &text) {
   std::uint64_t value = 0xcbf29ce484222325ULL;
   for (unsigned char character : text)
@@ -35,8 +36,8 @@
 }
 
 Amounts even_share(const Amounts &limit, std::size_t cells) {
-  const auto parts = static_cast<double>(std::max<std::size_t>(1, cells));
-  return {limit.cpus / parts, limit.gpus / parts};
+  const auto count = static_cast<double>(std::max<std::size_t>(1, cells));
+  return {limit.cpus / count, limit.gpus / count};
 }
 
 AmountsByCell target_shares(const Amounts &limit, const AmountsByCell &shares, const std::vector<std::string> &names) {
@@ -100,13 +101,13 @@
     double free = record.limits.most.*field;
     for (const auto &[name, held] : record.held)
       free -= held.*field;
-    if (std::isnan(free)) free = Amounts::kUnlimited; // limit and held amounts are unlimited
+    if (std::isnan(free)) free = Amounts::kUnlimited; // infinity minus infinity: limit and held amounts are unlimited
     for (const auto &name : names) {
-      // While the held amount exceeds the cap, the cell has not acknowledged the cap yet, which must not rise.
+      // A cap that the cell has not acknowledged yet (it holds more) must not be raised.
       double &cap = record.caps[name].*field, &held = record.held[name].*field;
       const double increase = std::isinf(held) ? 0 : std::min(targets.at(name).*field - held, free);
-      const bool settled = cap == held;
-      if (!settled || !(increase > kTolerance)) continue;
+      const bool acknowledged = cap == held;
+      if (!acknowledged || !(increase > kTolerance)) continue;
       cap = held = held + increase;
       free -= increase;
       changed = true;
--- a/src/core/quotas/quotas.cpp
+++ b/src/core/quotas/quotas.cpp
@@ -17,7 +17,8 @@
   return limit > 0 ? limit : Amounts::kUnlimited;
 }
 
-// Converts to the form of `Team`, where 0 means no limit: a limit of 0 becomes one too small for any task.
+// Converts a limit to the representation of `Team`, where 0 means no limit: infinity becomes 0, and 0 becomes the
+// smallest positive number, which is too small for any task.
 double none_if_unlimited(double limit) {
   return std::isfinite(limit) ? std::max(limit, std::numeric_limits<double>::min()) : 0;
 }
@@ -138,7 +139,8 @@
 
 // ---- lowered limits ----
 
-// Releases tasks beyond the limit that were placed but not sent: their start would violate a limit already in force.
+// Releases tasks beyond the limit whose start command has not been sent yet: sending it would violate a limit already
+// in force.
 void Quotas::release_unsent_excess(int team) {
   if (!exceeds(used()[static_cast<std::size_t>(team)], local_quota(team))) return;
   std::vector<JobIndex> jobs;
@@ -169,8 +171,8 @@
   }
 }
 
-// Stops tasks of the newest jobs first: single tasks of an array, all tasks of a gang. Tasks that are already stopping
-// count as stopped.
+// Stops tasks until the rest is within the limit, newest jobs first: single tasks of an array, all tasks of a gang.
+// Tasks that are already stopping count as stopped.
 void Quotas::stop_excess(int team) {
   const Team &limit = local_quota(team);
   Resources remaining = used()[static_cast<std::size_t>(team)];
@@ -181,14 +183,14 @@
     std::size_t allocation;
     auto order() const { return std::tuple(submitted, job, placed_at, machine, allocation); }
   };
-  const bool cpus = limit.cpus_max > 0 && remaining.cpus > limit.cpus_max,
-             gpus = limit.gpus_max > 0 && remaining.gpus > limit.gpus_max;
+  const bool over_cpus = limit.cpus_max > 0 && remaining.cpus > limit.cpus_max,
+             over_gpus = limit.gpus_max > 0 && remaining.gpus > limit.gpus_max;
   std::vector<Candidate> candidates;
   workers_.each([&](MachineIndex machine_index, const Machine &machine) {
     for (std::size_t index = 0; index < machine.allocations.size(); ++index) {
       const Allocation &allocation = machine.allocations[index];
       if (!allocation.job.valid() || allocation.completed() || jobs_[allocation.job].team != team) continue;
-      if (!(cpus && allocation.need.cpus > 0) && !(gpus && allocation.need.gpus > 0))
+      if (!(over_cpus && allocation.need.cpus > 0) && !(over_gpus && allocation.need.gpus > 0))
         continue; // stopping it would not reduce the excess
       if (allocation.stop_requested())
         remaining.add(allocation.need, -1);
@@ -200,8 +202,8 @@
   std::sort(candidates.begin(), candidates.end(),
             [](const Candidate &left, const Candidate &right) { return left.order() > right.order(); });
   JobIndex current_gang;
-  std::vector<std::pair<MachineIndex, std::size_t>> stops;
-  std::vector<JobIndex> jobs;
+  std::vector<std::pair<MachineIndex, std::size_t>> task_stops; // machine and position of the allocation
+  std::vector<JobIndex> gang_stops;
   for (const auto &candidate : candidates) {
     const Job &job = jobs_[candidate.job];
     const bool is_gang = job.spec.shape == Shape::Gang;
@@ -209,18 +211,19 @@
     current_gang = is_gang ? candidate.job : JobIndex();
     remaining.add(job.spec.need, -1);
     if (!is_gang)
-      stops.emplace_back(candidate.machine, candidate.allocation);
-    else if (std::find(jobs.begin(), jobs.end(), candidate.job) == jobs.end())
-      jobs.push_back(candidate.job);
+      task_stops.emplace_back(candidate.machine, candidate.allocation);
+    else if (std::find(gang_stops.begin(), gang_stops.end(), candidate.job) == gang_stops.end())
+      gang_stops.push_back(candidate.job);
   }
-  std::sort(stops.rbegin(), stops.rend()); // from the end: an allocation that is released at once shifts later ones
-  for (auto [machine, allocation] : stops)
+  // In descending order: releasing an allocation shifts the later ones of its machine.
+  std::sort(task_stops.rbegin(), task_stops.rend());
+  for (auto [machine, allocation] : task_stops)
     workers_.stop(machine, allocation, jobs_[workers_[machine].allocations[allocation].job].spec.save_s + 1);
-  for (JobIndex job_index : jobs)
+  for (JobIndex job_index : gang_stops)
     workers_.stop_job(job_index, jobs_[job_index].spec.save_s + 1);
-  if (!stops.empty() || !jobs.empty())
+  if (!task_stops.empty() || !gang_stops.empty())
     runtime_.log(LogLevel::Info, "over_quota_tasks_stopped",
-                 {{"team", limit.name}, {"tasks", stops.size()}, {"gangs", jobs.size()}});
+                 {{"team", limit.name}, {"tasks", task_stops.size()}, {"gangs", gang_stops.size()}});
 }
 
 } // namespace loftrouter::core
--- a/src/core/runtime/ranges.cpp
+++ b/src/core/runtime/ranges.cpp
@@ -8,18 +8,18 @@
 Ranges widen(Ranges ranges, std::size_t max_ranges) {
   if (ranges.size() <= max_ranges || max_ranges == 0) return ranges;
   std::vector<std::uint32_t> gaps;
-  for (std::size_t i = 1; i < ranges.size(); ++i)
-    gaps.push_back(ranges[i].first - ranges[i - 1].second);
+  for (std::size_t next = 1; next < ranges.size(); ++next)
+    gaps.push_back(ranges[next].first - ranges[next - 1].second);
   const std::size_t to_close = ranges.size() - max_ranges;
   const auto widest_closed = gaps.begin() + static_cast<std::ptrdiff_t>(to_close - 1);
   std::nth_element(gaps.begin(), widest_closed, gaps.end());
   const std::uint32_t max_gap = *widest_closed;
   Ranges widened{ranges[0]};
-  for (std::size_t i = 1; i < ranges.size(); ++i) {
-    if (ranges[i].first - widened.back().second <= max_gap)
-      widened.back().second = ranges[i].second;
+  for (std::size_t next = 1; next < ranges.size(); ++next) {
+    if (ranges[next].first - widened.back().second <= max_gap)
+      widened.back().second = ranges[next].second;
     else
-      widened.push_back(ranges[i]);
+      widened.push_back(ranges[next]);
   }
   return widened;
 }
--- a/src/core/runtime/state_service_limits.cpp
+++ b/src/core/runtime/state_service_limits.cpp
@@ -11,10 +11,10 @@
 constexpr double kTotalWriteShare = 0.95;
 
 // The announced limits are taken to be in force after this many rejections within the window. Rejections closer
-// together than the distance count as one.
+// together than the minimum distance count as one.
 constexpr std::size_t kRejectionsToLower = 3;
 constexpr double kRejectionWindowS = 15;
-constexpr double kRejectionDistanceS = 0.5;
+constexpr double kMinRejectionDistanceS = 0.5;
 
 constexpr double kUsageSmoothing = 0.5; // weight of the newest measurement
 
@@ -54,7 +54,7 @@
   const bool lower_announced = announced_requests < requests_per_s_ || announced_writes < writes_per_s_;
   if (!lower_announced) return false;
   std::erase_if(rejected_at_, [now](double rejected_at) { return now - rejected_at > kRejectionWindowS; });
-  if (rejected_at_.empty() || now - rejected_at_.back() > kRejectionDistanceS) rejected_at_.push_back(now);
+  if (rejected_at_.empty() || now - rejected_at_.back() > kMinRejectionDistanceS) rejected_at_.push_back(now);
   if (rejected_at_.size() < kRejectionsToLower) return false;
   requests_per_s_ = announced_requests;
   writes_per_s_ = announced_writes;
--- a/tests/accounts_test.cpp
+++ b/tests/accounts_test.cpp
@@ -1,4 +1,4 @@
-// Usage accounting: exact sums, bounds on charged usage under failures, and enforcement of budgets.
+// Usage accounting: exact sums, bounds on charged usage under failures, enforcement of budgets.
 #include <gtest/gtest.h>
 
 #include "loftrouter/accounts/period.hpp"
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The accounting records of a world: the usage of ended jobs and the sums.
+// The accounting records that a simulated cluster has stored: the usage of ended jobs, and sums.
 class RecordedAccounts {
 public:
   struct JobUsage {
@@ -53,7 +53,7 @@
   }
 };
 
-// Sets accounting days that begin at 22:14, 40 s into the simulated time.
+// Makes accounting days begin at 22:14, which is 40 s after the start of the simulation.
 void set_day_start(World &world) {
   world.put_record(
       "conf/budgets",
@@ -140,18 +140,18 @@
   EXPECT_GT(starts, 10);
   EXPECT_LT(starts, 150);
   const double held = world.held_s(red);
-  auto queued = world.look_up(0, red);
+  auto red_view = world.look_up(0, red);
   world.run(101);
-  EXPECT_EQ(queued->body["status"], "queued") << queued->body;
-  const auto reason = queued->body.value("reason", "");
+  EXPECT_EQ(red_view->body["status"], "queued") << red_view->body;
+  const auto reason = red_view->body.value("reason", "");
   EXPECT_NE(reason.find("held: team red has used its 0.05 CPU hours of this day"), std::string::npos) << reason;
   const bool stopped = when_spent == "stop";
   EXPECT_TRUE(!stopped || reason.find("stopped because team red had used its budget") != std::string::npos) << reason;
   world.crash(world.leader(), 5);
   world.run(250);
-  EXPECT_EQ(world.starts_of(red), starts) << "started after the failover";
+  EXPECT_EQ(world.starts_of(red), starts) << "a task was started after the failover";
   EXPECT_EQ(world.held_s(red), held);
-  EXPECT_EQ(world.finished_jobs, 1); // of blue
+  EXPECT_EQ(world.finished_jobs, 1); // team blue's
   auto statement = world.admin(1, "GET", "/admin/v1/statement?team=red");
   world.run(251);
   auto raised = world.admin(1, "PUT", "/admin/v1/budgets", R"({"teams":{"red":{"cpu_hours":5}}})");
@@ -165,28 +165,29 @@
 
 INSTANTIATE_TEST_SUITE_P(Accounts, ExhaustedBudget, ::testing::Values("finish", "stop"));
 
-// A progress record beyond the state service's value size could never be written again.
+// A progress record that exceeds the state service's value size could never be written again.
 TEST(Accounts, ProgressRecordsStayWithinTheValueSize) {
   WorldOptions options;
   options.accounts = true;
   options.value_kb = 1.2;
   World world(5, options);
   set_day_start(world);
-  for (int i = 0; i < 60; ++i)
-    world.at(2 + 0.1 * i, [&world, i] {
-      auto job = world.job(Shape::Array, i % 3 ? 2 : 90, 1, 5, i % 2 ? "red" : "blue");
-      if (i % 3 == 0) job.priority = i % 2 ? Priority::Low : Priority::High; // preemption scatters the started tasks
+  for (int number = 0; number < 60; ++number)
+    world.at(2 + 0.1 * number, [&world, number] {
+      auto job = world.job(Shape::Array, number % 3 ? 2 : 90, 1, 5, number % 2 ? "red" : "blue");
+      if (number % 3 == 0)
+        job.priority = number % 2 ? Priority::Low : Priority::High; // preemption scatters the started tasks
       world.submit(job);
     });
-  for (int i = 1; i < 4; ++i)
-    world.at(20 * i, [&world] { world.crash(world.leader(), 3); });
+  for (int crash = 1; crash < 4; ++crash)
+    world.at(20 * crash, [&world] { world.crash(world.leader(), 3); });
   world.run(1500);
   EXPECT_TRUE(world.broken.empty()) << all(world).substr(0, 500);
   EXPECT_TRUE(world.all_over()) << world.finished_jobs;
   EXPECT_GT(world.records("progress/").size(), 3u);
 }
 
-// The period's sums stay in the progress records, and jobs continue.
+// If a period record cannot be read, its sums stay in the progress records and jobs continue.
 TEST(Accounts, UnreadablePeriodRecordIsNotOverwritten) {
   WorldOptions options;
   options.accounts = true;
@@ -202,7 +203,7 @@
 }
 
 namespace {
-void expect_rejected(const char *body, int status, const char *problem) {
+void expect_rejected(const char *body, int status, const char *message_part) {
   WorldOptions options;
   options.accounts = true;
   World world(12, options);
@@ -210,7 +211,7 @@
   const auto answer = world.admin(0, "PUT", "/admin/v1/budgets", body);
   world.run(25);
   EXPECT_EQ(answer->status, status) << body;
-  EXPECT_NE(answer->body.dump().find(problem), std::string::npos) << answer->body;
+  EXPECT_NE(answer->body.dump().find(message_part), std::string::npos) << answer->body;
 }
 } // namespace
 
@@ -221,7 +222,7 @@
   EXPECT_FALSE(wire::to_json(budgets)["teams"]["red"].contains("cpu_hours"));
 }
 
-TEST(Accounts, InvalidBudgetsAreRejectedWithTheField) {
+TEST(Accounts, RejectionOfInvalidBudgetNamesTheField) {
   expect_rejected(R"({"teams":{"red":{"cpu_hours":-1}}})", 400, "teams.red");
   expect_rejected(R"({"starts":"8 pm"})", 400, "starts");
   expect_rejected(R"({"utc_offset":"IST"})", 400, "utc_offset");
@@ -231,8 +232,8 @@
 
 class AccountsSeeds : public ::testing::TestWithParam<int> {};
 
-// Under random failures, failovers and the end of a period: teams are charged at least what their tasks have held, only
-// uncertain usage may be charged twice, and the sums of teams equal those of their jobs exactly.
+// Under random failures, failovers and the end of a period: jobs are charged at least the time that their tasks have
+// held, only uncertain usage may be charged twice, and the sums of each team equal those of its jobs exactly.
 TEST_P(AccountsSeeds, ChargeAllHeldTimeAndAddUp) {
   const auto seed = static_cast<std::uint64_t>(GetParam());
   auto options = troubled(seed);
@@ -241,9 +242,9 @@
   set_day_start(world);
   mixed_load(world, 30);
   make_trouble(world, seed);
-  for (double t = 400; t <= 3000 && (t == 400 || world.open_records() > 0); t += 200)
-    world.run(t);
-  world.run(world.now() + 10); // until delayed writes are done
+  for (double until = 400; until <= 3000 && (until == 400 || world.open_records() > 0); until += 200)
+    world.run(until);
+  world.run(world.now() + 10); // until delayed writes are committed
   EXPECT_TRUE(world.broken.empty()) << all(world);
   const RecordedAccounts recorded(world);
   EXPECT_GT(recorded.ended_jobs.size(), 20u);
@@ -262,7 +263,7 @@
     EXPECT_EQ(recorded.by_team.at(team), sums) << "seed " << seed << " team " << team;
   }
   EXPECT_EQ(recorded.by_period.size(), 2u);
-  EXPECT_EQ(world.records("accounts/").size(), 1u) << "expected one record, of the day that has ended";
+  EXPECT_EQ(world.records("accounts/").size(), 1u) << "only the day that has ended should have a record";
 }
 
 INSTANTIATE_TEST_SUITE_P(Accounts, AccountsSeeds, ::testing::Range(1, 1 + seeds(8)));
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -1,6 +1,6 @@
-// Configuration changes at run time: division of a team's limit among cells, against a model of the cells; records
-// beside the documents of earlier versions; lowered limits under failovers, lost watches and partitions in simulated
-// worlds. See docs/safety.md, "Quotas that change".
+// Configuration changes at run time: division of a team's limit among cells, tested against a model of the cells;
+// records and the documents of earlier versions; lowered limits under failovers, lost watches and partitions in
+// simulated clusters. See docs/safety.md, "Quotas that change".
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -36,13 +36,14 @@
   }
 
   void step() {
-    if (draw() < 0.08) change_limit();
+    if (random_fraction() < 0.08) change_limit();
     for (auto &[name, cell] : cells_) {
       const double cap = cell.record.version ? cell.record.caps[name].cpus : cell.cap;
       cell.cap = cap;
-      if (draw() < 0.7) cell.used = std::max(cell.used, std::floor(cap * draw())); // starts up to the cap
-      if (draw() < 0.3) cell.used = std::floor(cell.used * draw());                // ends
-      if (draw() < 0.4) send(name);
+      if (random_fraction() < 0.7)
+        cell.used = std::max(cell.used, std::floor(cap * random_fraction()));             // starts up to the cap
+      if (random_fraction() < 0.3) cell.used = std::floor(cell.used * random_fraction()); // ends
+      if (random_fraction() < 0.4) send(name);
     }
     deliver();
     step_owner();
@@ -80,23 +81,24 @@
     wire::QuotaRecord record;
     int delay_steps;
   };
-  double draw() { return std::uniform_real_distribution<double>(0, 1)(rng_); }
+  double random_fraction() { return std::uniform_real_distribution<double>(0, 1)(rng_); }
 
   void change_limit() {
     if (undisturbed_) return;
     if (record_.version == 0) record_.limits.most = platform_limit_;
-    record_.limits.most.cpus = std::floor(platform_limit_.cpus * draw());
+    record_.limits.most.cpus = std::floor(platform_limit_.cpus * random_fraction());
     record_.shares.clear();
-    if (draw() < 0.5)
-      record_.shares[kCells[0]] = {std::floor(record_.limits.most.cpus * draw()), wire::Amounts::kUnlimited};
+    if (random_fraction() < 0.5)
+      record_.shares[kCells[0]] = {std::floor(record_.limits.most.cpus * random_fraction()), wire::Amounts::kUnlimited};
     cells::lower_caps(record_, kCells, cells::even_share(platform_limit_, kCells.size()));
     cells::raise_caps(record_, kCells);
     ++record_.version;
   }
   void send(const std::string &name) {
-    if (record_.version == 0 || (!undisturbed_ && draw() < 0.3)) return;
-    for (int copies = !undisturbed_ && draw() < 0.2 ? 2 : 1; copies > 0; --copies)
-      messages_.push_back({name, record_, undisturbed_ ? 0 : static_cast<int>(draw() * draw() * 40)});
+    if (record_.version == 0 || (!undisturbed_ && random_fraction() < 0.3)) return;
+    for (int copies = !undisturbed_ && random_fraction() < 0.2 ? 2 : 1; copies > 0; --copies)
+      messages_.push_back(
+          {name, record_, undisturbed_ ? 0 : static_cast<int>(random_fraction() * random_fraction() * 40)});
   }
   void deliver() {
     for (auto &message : messages_) {
@@ -134,23 +136,23 @@
   for (std::uint64_t seed = 1; seed <= static_cast<std::uint64_t>(seeds(150)); ++seed) {
     CellsModel model(seed, 90);
     double max_held = model.limit(); // decreases towards a lowered limit
-    for (int i = 0; i < 300; ++i) {
+    for (int step = 0; step < 300; ++step) {
       model.step();
       const bool has_record = model.record().version > 0;
       const double held = has_record ? sum_held(model.record()) : 90;
       max_held = std::max(model.limit(), std::min(max_held, held));
-      ASSERT_LE(model.max_usage(), held + 1e-6) << "seed " << seed << " step " << i;
-      ASSERT_LE(held, max_held + 1e-6) << "seed " << seed << " step " << i
+      ASSERT_LE(model.max_usage(), held + 1e-6) << "seed " << seed << " step " << step;
+      ASSERT_LE(held, max_held + 1e-6) << "seed " << seed << " step " << step
                                        << ": held rose while it was above the limit";
     }
     model.stop_disturbances();
-    for (int i = 0; i < 200 && model.record().version > 0 && !model.converged(); ++i)
+    for (int step = 0; step < 200 && model.record().version > 0 && !model.converged(); ++step)
       model.step();
     EXPECT_TRUE(model.record().version == 0 || model.converged()) << "seed " << seed;
   }
 }
 
-TEST(ConfigShares, SharesAreValidatedAndOwnersAreSpread) {
+TEST(ConfigShares, SharesAreValidatedAndOwnersSpreadOverCells) {
   const auto targets =
       cells::target_shares({90, wire::Amounts::kUnlimited}, {{"south", {60, wire::Amounts::kUnlimited}}}, kCells);
   EXPECT_EQ(targets.at("south").cpus, 60);
@@ -160,13 +162,13 @@
   EXPECT_TRUE(cells::validate_shares({90, 0}, {{"north", {50, 0}}, {"south", {50, 0}}}, kCells));
   EXPECT_FALSE(cells::validate_shares({90, 0}, {{"north", {50, 0}}, {"south", {40, 0}}}, kCells));
   std::map<std::string, int> owned;
-  for (int t = 0; t < 230; ++t)
-    ++owned[cells::owner_cell("team" + std::to_string(t), kCells)];
+  for (int number = 0; number < 230; ++number)
+    ++owned[cells::owner_cell("team" + std::to_string(number), kCells)];
   for (const auto &name : kCells)
     EXPECT_GT(owned[name], 50) << name;
 }
 
-TEST(ConfigRecords, RoundTripAndRejectMalformedRecords) {
+TEST(ConfigRecords, RoundTripAndMalformedRecordsAreRejected) {
   wire::QuotaRecord record;
   record.version = 7;
   record.limits = {{4, 0}, {90, wire::Amounts::kUnlimited}};
@@ -210,7 +212,7 @@
   return put_quota(world, world, node, team, body);
 }
 
-json get(World &world, int node, const std::string &target) {
+json admin_get(World &world, int node, const std::string &target) {
   const auto answer = world.admin(node, "GET", target);
   const double until = world.now() + 3;
   while (answer->status == 0 && world.now() < until)
@@ -242,28 +244,28 @@
 TEST(Config, LoweredLimitPreventsStartsAndStopsTasksWithTimeToSave) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     World world(seed, configuration_options());
-    TeamUsage used(world, "blue"); // limited to 12 CPUs by the settings file
-    for (int i = 0; i < 6; ++i)
-      world.at(5 + i, [&world] {
+    TeamUsage usage(world, "blue"); // limited to 12 CPUs by the settings file
+    for (int second = 5; second < 11; ++second)
+      world.at(second, [&world] {
         auto job = world.job(Shape::Array, 6, 1, 100, "blue");
         job.checkpoint_s = 5;
         job.save_s = 2;
         world.submit(job);
       });
     world.run(60);
-    ASSERT_GT(used.cpus, 8) << "too little load for this test";
+    ASSERT_GT(usage.cpus, 8) << "the load is too low for this test";
     ASSERT_EQ(put_quota(world, 1, "blue", R"({"cpus_max": 4})"), 200);
-    world.run(world.now() + 1); // until the leader's watch has delivered it
-    used.max_after_start = 0;
+    world.run(world.now() + 1); // until the leader's watch has delivered the change
+    usage.max_after_start = 0;
     world.run(world.now() + 20);
-    EXPECT_LE(used.max_after_start, 4) << "start beyond the lowered limit";
-    EXPECT_GT(used.cpus, 4) << "stopped before the grace period";
+    EXPECT_LE(usage.max_after_start, 4) << "a task was started beyond the lowered limit";
+    EXPECT_GT(usage.cpus, 4) << "tasks were stopped before the end of the grace period";
     world.run(world.now() + 30);
-    EXPECT_LE(used.cpus, 4);
+    EXPECT_LE(usage.cpus, 4);
     EXPECT_GT(world.saves, 0);
     ASSERT_EQ(put_quota(world, 2, "blue", R"({"cpus_max": null})"), 200);
     world.run(world.now() + 60);
-    EXPECT_GT(used.cpus, 8) << "after raising the limit";
+    EXPECT_GT(usage.cpus, 8) << "no tasks were started after the limit was raised";
     EXPECT_TRUE(world.broken.empty()) << test::all(world);
   }
 }
@@ -272,9 +274,9 @@
   for (int step = 0; step < 8; ++step)
     for (bool lose_watches : {false, true}) {
       World world(static_cast<std::uint64_t>(step) + 1, configuration_options());
-      TeamUsage used(world, "blue");
-      for (int i = 0; i < 8; ++i)
-        world.at(5 + i, [&world] { world.submit(world.job(Shape::Array, 6, 1, 15, "blue")); });
+      TeamUsage usage(world, "blue");
+      for (int second = 5; second < 13; ++second)
+        world.at(second, [&world] { world.submit(world.job(Shape::Array, 6, 1, 15, "blue")); });
       world.run(40);
       const int leader = world.leader();
       ASSERT_GE(leader, 0);
@@ -283,9 +285,9 @@
       world.run(world.now() + 0.2 * step);
       world.crash(leader, 2);
       world.run(world.now() + 0.5); // until the old leader's commands have arrived
-      used.max_after_start = 0;
+      usage.max_after_start = 0;
       world.run(world.now() + 60);
-      EXPECT_LE(used.max_after_start, 3) << "step " << step << (lose_watches ? ", watches lost" : "");
+      EXPECT_LE(usage.max_after_start, 3) << "step " << step << (lose_watches ? ", watches lost" : "");
       EXPECT_TRUE(world.broken.empty()) << test::all(world);
     }
 }
@@ -298,19 +300,19 @@
     ASSERT_EQ(put_quota(world, 0, "red", R"({"cpus_max": 77})"), 200);
     world.run(world.now() + (lose_watches ? 10 : 1));
     for (int node = 0; node < 3; ++node)
-      EXPECT_EQ(get(world, node, "/admin/v1/quotas")["teams"]["red"]["cpus_max"], 77) << node;
+      EXPECT_EQ(admin_get(world, node, "/admin/v1/quotas")["teams"]["red"]["cpus_max"], 77) << node;
     world.run(world.now() + 5);
-    const auto status = get(world, 1, "/admin/v1/configuration");
+    const auto status = admin_get(world, 1, "/admin/v1/configuration");
     ASSERT_EQ(status["records"].size(), 1U) << status;
     EXPECT_EQ(status["records"][0]["in_force_since"].size(), 3U) << status;
-    EXPECT_EQ(get(world, 2, "/admin/v1/configuration/history/quota/red")["changes"].size(), 1U);
+    EXPECT_EQ(admin_get(world, 2, "/admin/v1/configuration/history/quota/red")["changes"].size(), 1U);
   }
 }
 
 TEST(Config, InvalidChangesAreRejected) {
   World world(6, configuration_options());
   world.run(10);
-  EXPECT_EQ(put_quota(world, 0, "blue", R"({"cpus_max": 13})"), 422) << "more than the settings file allows";
+  EXPECT_EQ(put_quota(world, 0, "blue", R"({"cpus_max": 13})"), 422) << "limit above that of the settings file";
   EXPECT_EQ(put_quota(world, 0, "blue", R"({"cpus_max": 3, "cpus": 4})"), 422) << "guarantee above the limit";
   EXPECT_EQ(put_quota(world, 0, "nobody", R"({"cpus_max": 3})"), 422);
   EXPECT_EQ(put_quota(world, 0, "blue", R"({"shares": {"elsewhere": {"cpus": 1}}})"), 422);
@@ -331,18 +333,19 @@
   std::vector<WorldOptions> options(2, configuration_options());
   Federation federation(3, options);
   std::string id;
-  federation[0].at(5, [&] {
+  federation[0].at(5, [&] { // 8 CPUs; the limit over both cells is 12, each share 6
     id = federation[0].submit(federation[0].job(Shape::Gang, 4, 2, 10, "blue"));
-  }); // 8 CPUs; limit 12, shares 6
+  });
   federation.run(30);
-  const auto seen = federation[0].look_up(federation[0].leader(), id);
+  const auto pending = federation[0].look_up(federation[0].leader(), id);
   federation.run(31);
-  EXPECT_NE(seen->body.value("reason", "").find("no cell has a larger share than 6"), std::string::npos) << seen->body;
+  EXPECT_NE(pending->body.value("reason", "").find("no cell has a larger share than 6"), std::string::npos)
+      << pending->body;
   EXPECT_EQ(put_quota(federation, federation[0], 0, "blue", R"({"cpus_max": 7})"), 200);
   federation.run(federation.now() + 5);
   const auto refused = federation[0].submit_at(0, federation[0].job(Shape::Gang, 4, 2, 10, "blue"));
   federation.run(federation.now() + 2);
-  EXPECT_EQ(refused->status, 422) << "exceeds the limit over all cells";
+  EXPECT_EQ(refused->status, 422) << "the gang needs 8 CPUs; the limit over all cells is 7";
 }
 
 // Random changes under lost, duplicated and delayed messages, partitions and restarts: usage over all cells never
@@ -351,38 +354,39 @@
   for (std::uint64_t seed = 1; seed <= static_cast<std::uint64_t>(seeds(2)); ++seed) {
     Federation federation(seed, std::vector<WorldOptions>(3, configuration_options()), seed % 3 == 0 ? 0.0 : 0.03);
     std::mt19937_64 rng(seed);
-    auto draw = [&rng](int below) { return std::uniform_int_distribution<int>(0, below - 1)(rng); };
-    for (int c = 0; c < 3; ++c)
-      for (int i = 0; i < 10; ++i)
-        federation[c].at(5 + 8 * i,
-                         [&federation, c] { federation[c].submit(federation[c].job(Shape::Array, 8, 1, 10, "blue")); });
-    int answered = 0;
-    for (int i = 0; i < 12; ++i) {
-      federation.run(15 + 7 * i);
-      const int cell = draw(3), node = draw(3);
-      if (draw(4) == 0) federation[draw(3)].crash(draw(3), 2);
-      if (draw(4) == 0) federation.cut(draw(3), draw(3), 10);
-      json change = {{"cpus_max", 1 + draw(12)}};
-      if (draw(3) == 0) change["shares"] = {{Federation::name(draw(3)), {{"cpus", 1}}}};
-      answered += put_quota(federation, federation[cell], node, "blue", change.dump(), 3) == 200;
+    auto random_below = [&rng](int below) { return std::uniform_int_distribution<int>(0, below - 1)(rng); };
+    for (int cell = 0; cell < 3; ++cell)
+      for (int job = 0; job < 10; ++job)
+        federation[cell].at(5 + 8 * job, [&federation, cell] {
+          federation[cell].submit(federation[cell].job(Shape::Array, 8, 1, 10, "blue"));
+        });
+    int accepted = 0;
+    for (int round = 0; round < 12; ++round) {
+      federation.run(15 + 7 * round);
+      const int cell = random_below(3), node = random_below(3);
+      if (random_below(4) == 0) federation[random_below(3)].crash(random_below(3), 2);
+      if (random_below(4) == 0) federation.cut(random_below(3), random_below(3), 10);
+      json change = {{"cpus_max", 1 + random_below(12)}};
+      if (random_below(3) == 0) change["shares"] = {{Federation::name(random_below(3)), {{"cpus", 1}}}};
+      accepted += put_quota(federation, federation[cell], node, "blue", change.dump(), 3) == 200;
     }
-    EXPECT_GT(answered, 0) << "seed " << seed;
+    EXPECT_GT(accepted, 0) << "seed " << seed;
     federation.run(150);
-    int last = 0;
-    for (int tries = 0; tries < 10 && last != 200; ++tries) {
+    int final_status = 0;
+    for (int attempt = 0; attempt < 10 && final_status != 200; ++attempt) {
       const auto answer = federation[1].admin(0, "PUT", "/admin/v1/quotas/blue", R"({"cpus_max": 9, "shares": null})");
       federation.run(federation.now() + 9);
-      last = answer->status;
+      final_status = answer->status;
     }
-    EXPECT_EQ(last, 200) << "seed " << seed;
+    EXPECT_EQ(final_status, 200) << "seed " << seed;
     federation.run(federation.now() + 60);
-    for (int c = 0; c < 3; ++c)
+    for (int cell = 0; cell < 3; ++cell)
       for (int node = 0; node < 3; ++node) {
-        const auto answer = federation[c].admin(node, "GET", "/admin/v1/quotas");
+        const auto answer = federation[cell].admin(node, "GET", "/admin/v1/quotas");
         federation.run(federation.now() + 0.1);
         const auto blue = answer->body["teams"]["blue"];
-        EXPECT_EQ(blue["cpus_max"], 9) << "seed " << seed << " cell " << c << " node " << node << blue;
-        EXPECT_EQ(blue["here"]["cpus_max"], 3) << "seed " << seed << " cell " << c << " node " << node << blue;
+        EXPECT_EQ(blue["cpus_max"], 9) << "seed " << seed << " cell " << cell << " node " << node << blue;
+        EXPECT_EQ(blue["here"]["cpus_max"], 3) << "seed " << seed << " cell " << cell << " node " << node << blue;
       }
     EXPECT_TRUE(federation.broken().empty()) << "seed " << seed << "\n" << federation.broken().front();
   }
@@ -406,9 +410,9 @@
     federation.run(federation.now() + 0.2);
     return answer->body["teams"]["blue"]["here"]["cpus_max"].get<double>();
   };
-  EXPECT_EQ(local_limit(owner), 2) << "lowered immediately";
-  EXPECT_EQ(local_limit(partitioned), 4) << "keeps its share";
-  EXPECT_EQ(local_limit(other), 6) << "raised only by what the owner has given up";
+  EXPECT_EQ(local_limit(owner), 2) << "the owner lowers its own share immediately";
+  EXPECT_EQ(local_limit(partitioned), 4) << "a partitioned cell keeps its share";
+  EXPECT_EQ(local_limit(other), 6) << "raised by no more than the owner has given up";
   federation.run(95); // 15 s after the partition
   EXPECT_EQ(local_limit(partitioned), 2);
   EXPECT_EQ(local_limit(other), 8);
@@ -417,36 +421,36 @@
 
 // ---- records and the documents of earlier versions ----
 
-TEST(ConfigDocuments, DocumentsStayBelowEightKilobytesWithManyTeamsAndMachines) {
+TEST(ConfigDocuments, StayWithinEightKilobytesWithManyTeamsAndMachines) {
   auto options = configuration_options();
   options.teams.clear();
-  for (int t = 0; t < 230; ++t)
-    options.teams.push_back({"team" + std::to_string(t), 0, 0, 0, 0});
+  for (int number = 0; number < 230; ++number)
+    options.teams.push_back({"team" + std::to_string(number), 0, 0, 0, 0});
   options.page = 200;
   options.state_rps = options.state_write_rps = 5000;
   World world(7, options);
   world.run(10);
   for (int first = 0; first < 230; first += 23) {
     json teams;
-    for (int t = first; t < first + 23; ++t)
-      teams["team" + std::to_string(t)] = {{"cpu_hours", 1000 + t}};
+    for (int number = first; number < first + 23; ++number)
+      teams["team" + std::to_string(number)] = {{"cpu_hours", 1000 + number}};
     const auto answer = world.admin(0, "PUT", "/admin/v1/budgets", json{{"teams", teams}}.dump());
     world.run(world.now() + 3);
     ASSERT_EQ(answer->status, 200) << answer->body;
   }
-  for (int m = 0; m < 880; ++m) // records that are not mirrored in the full document
-    world.put_record("config/machine/box-" + std::to_string(m), {{"value", "drain"}, {"in_document", false}});
-  for (int m = 880; m < 1000; ++m) {
-    const auto answer = world.admin(m % 3, "POST", "/admin/v1/machines/box-" + std::to_string(m) + "/drain");
+  for (int number = 0; number < 880; ++number) // records that are not mirrored in the full document
+    world.put_record("config/machine/box-" + std::to_string(number), {{"value", "drain"}, {"in_document", false}});
+  for (int number = 880; number < 1000; ++number) {
+    const auto answer = world.admin(number % 3, "POST", "/admin/v1/machines/box-" + std::to_string(number) + "/drain");
     world.run(world.now() + 0.15);
-    ASSERT_EQ(answer->status, 200) << m << " " << answer->body;
+    ASSERT_EQ(answer->status, 200) << number << " " << answer->body;
   }
   world.run(world.now() + 2);
   for (int node = 0; node < 3; ++node) {
-    const auto budgets = get(world, node, "/admin/v1/budgets")["teams"];
+    const auto budgets = admin_get(world, node, "/admin/v1/budgets")["teams"];
     ASSERT_EQ(budgets.size(), 230U) << node;
     EXPECT_EQ(budgets["team229"]["cpu_hours"], 1229);
-    EXPECT_EQ(get(world, node, "/admin/v1/settings")["machines"].size(), 1000U) << node;
+    EXPECT_EQ(admin_get(world, node, "/admin/v1/settings")["machines"].size(), 1000U) << node;
   }
   // The documents stay within the bounds of earlier versions.
   for (const auto &document : world.records("conf/"))
@@ -476,20 +480,21 @@
   world.put_record("conf/machines", {{"box-2", "quarantine"}, {"box-3", "drain"}});
   world.run(world.now() + 8);
   for (int node = 0; node < 3; ++node) {
-    const auto teams = get(world, node, "/admin/v1/budgets")["teams"];
+    const auto teams = admin_get(world, node, "/admin/v1/budgets")["teams"];
     EXPECT_EQ(teams, json({{"red", {{"cpu_hours", 9.0}, {"warn_share", 0.8}, {"when_spent", "finish"}}}})) << node;
-    EXPECT_EQ(get(world, node, "/admin/v1/settings")["machines"], json({{"box-2", "quarantine"}, {"box-3", "drain"}}));
+    EXPECT_EQ(admin_get(world, node, "/admin/v1/settings")["machines"],
+              json({{"box-2", "quarantine"}, {"box-3", "drain"}}));
   }
   change("PUT", "/admin/v1/budgets", R"({"teams": {"red": null, "blue": {"cpu_hours": 7}}})");
   change("POST", "/admin/v1/machines/box-2/release");
   EXPECT_EQ(world.records("conf/budgets").at(0).value["teams"].size(), 1U) << "records are mirrored in the document";
-  EXPECT_EQ(get(world, 1, "/admin/v1/budgets")["teams"]["blue"]["cpu_hours"], 7);
-  EXPECT_EQ(get(world, 2, "/admin/v1/settings")["machines"], json({{"box-3", "drain"}}));
+  EXPECT_EQ(admin_get(world, 1, "/admin/v1/budgets")["teams"]["blue"]["cpu_hours"], 7);
+  EXPECT_EQ(admin_get(world, 2, "/admin/v1/settings")["machines"], json({{"box-3", "drain"}}));
 }
 
-// ---- thousands of machines ----
+// ---- limits on records and responses ----
 
-constexpr std::size_t kMaxAnswerBytes = 64 * 1024;
+constexpr std::size_t kMaxResponseBytes = 64 * 1024;
 
 std::string machine_name(int number) {
   char name[16];
@@ -501,9 +506,9 @@
 template <class Add> void read_pages(World &world, int node, const std::string &target, Add add) {
   std::string from;
   do {
-    const auto page = get(world, node, target + (from.empty() ? "" : "?from=" + from));
+    const auto page = admin_get(world, node, target + (from.empty() ? "" : "?from=" + from));
     ASSERT_TRUE(page.is_object()) << target << " after " << from;
-    ASSERT_LE(page.dump(2).size(), kMaxAnswerBytes) << target << " after " << from;
+    ASSERT_LE(page.dump(2).size(), kMaxResponseBytes) << target << " after " << from;
     add(page);
     from = page["next"].is_string() ? page["next"].get<std::string>() : "";
   } while (!from.empty());
@@ -515,25 +520,26 @@
   return machines.size();
 }
 
-// An operator's script that sends one request per machine, several concurrently, and retries until each returns 200.
+// Model of an operator's script: sends one request per machine, several concurrently, and retries until each returns
+// 200.
 class MachineScript {
 public:
   MachineScript(World &world, const std::string &action, int machines) : world_(world), action_(action) {
-    for (int m = 0; m < machines; ++m)
-      waiting_.push_back(machine_name(m));
+    for (int number = 0; number < machines; ++number)
+      waiting_.push_back(machine_name(number));
   }
-  // Runs until at most `max_left` machines are left or the time is over.
+  // Runs until at most `max_left` machines are left or `within_s` has passed.
   void run(std::size_t max_left, double within_s) {
     const double until = world_.now() + within_s;
     while (waiting_.size() + pending_.size() > max_left && world_.now() < until) {
       while (!waiting_.empty() && pending_.size() < kMaxConcurrent)
         send_next();
       world_.run(world_.now() + 0.05);
-      handle_answers();
+      handle_responses();
     }
   }
   std::size_t left() const { return waiting_.size() + pending_.size(); }
-  std::size_t largest_answer() const { return largest_answer_; }
+  std::size_t largest_response() const { return largest_response_; }
 
 private:
   static constexpr std::size_t kMaxConcurrent = 6;
@@ -551,11 +557,11 @@
     pending_.push_back(
         {machine, world_.now(), world_.admin(next_node_, "POST", "/admin/v1/machines/" + machine + action_)});
   }
-  void handle_answers() {
+  void handle_responses() {
     std::erase_if(pending_, [this](const Request &request) {
       const int status = request.answer->status;
       if (status == 0 && world_.now() - request.sent_at < kTimeoutS) return false;
-      largest_answer_ = std::max(largest_answer_, request.answer->body.dump(2).size());
+      largest_response_ = std::max(largest_response_, request.answer->body.dump(2).size());
       if (status != 200) waiting_.push_back(request.machine);
       return true;
     });
@@ -566,12 +572,12 @@
   std::deque<std::string> waiting_;
   std::vector<Request> pending_;
   int next_node_ = 0;
-  std::size_t largest_answer_ = 0;
+  std::size_t largest_response_ = 0;
 };
 
 WorldOptions thousands_of_machines() {
   auto options = configuration_options();
-  options.page = 1000; // as the state service lists
+  options.page = 1000; // maximum page size of the state service
   options.state_write_rps = 60;
   return options;
 }
@@ -586,11 +592,11 @@
   world.crash(world.leader(), 3);
   quarantine.run(0, 300);
   ASSERT_EQ(quarantine.left(), 0U);
-  RecordProperty("orders_took_s", static_cast<int>(world.now() - 10));
-  EXPECT_LE(quarantine.largest_answer(), kMaxAnswerBytes);
+  RecordProperty("quarantine_took_s", static_cast<int>(world.now() - 10));
+  EXPECT_LE(quarantine.largest_response(), kMaxResponseBytes);
   EXPECT_EQ(world.records("config/machine/").size(), static_cast<std::size_t>(kMachines));
   const auto document = world.records("conf/machines").at(0).value;
-  EXPECT_EQ(document.size(), 100U) << "more than earlier versions read";
+  EXPECT_EQ(document.size(), 100U) << "earlier versions read at most 100 machines";
   EXPECT_LE(document.dump().size(), 8U * 1024);
 
   // After a failover the new leader starts no task on a quarantined machine.
@@ -631,11 +637,11 @@
   constexpr int kMax = static_cast<int>(wire::kMaxConfigRecords);
   static_assert(kMax >= 11'000);
   World world(10, thousands_of_machines());
-  for (int m = 0; m < kMax - 1; ++m)
-    world.put_record("config/machine/" + machine_name(m), {{"value", "drain"}, {"in_document", false}});
+  for (int number = 0; number < kMax - 1; ++number)
+    world.put_record("config/machine/" + machine_name(number), {{"value", "drain"}, {"in_document", false}});
   world.run(40); // past the first and a periodic list
-  auto set_state = [&world](int m, const std::string &action) {
-    const auto answer = world.admin(1, "POST", "/admin/v1/machines/" + machine_name(m) + action);
+  auto set_state = [&world](int number, const std::string &action) {
+    const auto answer = world.admin(1, "POST", "/admin/v1/machines/" + machine_name(number) + action);
     world.run(world.now() + 1);
     return answer->status;
   };
@@ -651,7 +657,7 @@
   EXPECT_TRUE(world.broken.empty()) << test::all(world);
 }
 
-TEST(ConfigLimits, ListingContinuationIsValidated) {
+TEST(ConfigLimits, ListContinuationIsValidated) {
   const auto status_of = [](const std::string &target) {
     const auto read = wire::read_admin_request("GET", target, "");
     const auto *error = std::get_if<wire::AdminError>(&read);
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -1,4 +1,4 @@
-// Formatting of log lines: values are escaped, so that each event is one line that can be parsed.
+// Formatting of log lines as text and as JSON.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -7,7 +7,7 @@
 
 using namespace loftrouter::core;
 
-// Field values come from outside: an unescaped line break would forge a line.
+// Field values may come from users and workers: an unescaped line break would let them forge a log line.
 TEST(Log, EscapesFieldValues) {
   const LogLine line{LogLevel::Info,
                      "machine_lost",
@@ -19,7 +19,7 @@
   EXPECT_EQ(parsed["tasks"], 3);
 }
 
-TEST(Log, JsonIsValidForAllValues) {
+TEST(Log, InvalidUtf8AndInfinityGiveValidJson) {
   const LogLine line{
       LogLevel::Info, "x", {{"bytes", "\xff\xfe"}, {"infinite", 1.0 / 0.0}, {"none", ""}, {"yes", true}}};
   const auto parsed = nlohmann::json::parse("{" + log_json(line) + "}", nullptr, false);
--- a/tests/state_service_limits_test.cpp
+++ b/tests/state_service_limits_test.cpp
@@ -1,4 +1,4 @@
-// Division of the state service's limits among replicas, and the switch to announced lower limits.
+// Division of the state service's rate limits among replicas, and the switch to announced lower limits.
 #include <gtest/gtest.h>
 
 #include "loftrouter/core/runtime/state_service_limits.hpp"
@@ -30,11 +30,11 @@
 TEST(StateServiceLimits, RejectionsHaveNoEffectWithoutAnnouncedLimits) {
   const Settings settings = with_announced_writes(15);
   StateServiceLimits limits(settings);
-  for (int i = 0; i < 9; ++i)
-    EXPECT_FALSE(limits.request_rejected(10 + i));
+  for (int now = 10; now < 19; ++now)
+    EXPECT_FALSE(limits.request_rejected(now));
 }
 
-TEST(StateServiceLimits, SilentReplicaKeepsItsShare) {
+TEST(StateServiceLimits, ShareOfSilentReplicaIsNotUsedByOthers) {
   Settings settings;
   settings.state_write_rps = 10;
   settings.replicas = {{"b", "a", ""}};
