--- a/src/core/quotas/quota_changes.cpp
+++ b/src/core/quotas/quota_changes.cpp
@@ -54,23 +54,20 @@
   if (team < 0) return Outcome{422, "there is no such team"};
   if (change.version && *change.version != record.version)
     return Outcome{409, fmt::format("its version is {}; look at it and ask again", record.version)};
-  const auto platform_limits = quotas_.platform_limits(team);
-  if (record.version == 0) record.limits = platform_limits;
+  const auto platform = quotas_.platform_limits(team);
+  if (record.version == 0) record.limits = platform;
   auto &limits = record.limits;
   if (change.guaranteed_cpus) limits.guaranteed.cpus = *change.guaranteed_cpus;
   if (change.guaranteed_gpus) limits.guaranteed.gpus = *change.guaranteed_gpus;
-  if (change.max_cpus)
-    limits.most.cpus = std::isfinite(*change.max_cpus) ? *change.max_cpus : platform_limits.most.cpus;
-  if (change.max_gpus)
-    limits.most.gpus = std::isfinite(*change.max_gpus) ? *change.max_gpus : platform_limits.most.gpus;
+  if (change.max_cpus) limits.most.cpus = std::isfinite(*change.max_cpus) ? *change.max_cpus : platform.most.cpus;
+  if (change.max_gpus) limits.most.gpus = std::isfinite(*change.max_gpus) ? *change.max_gpus : platform.most.gpus;
   if (change.shares) record.shares = *change.shares;
-  if (exceeds(limits.most, platform_limits.most))
-    return Outcome{422, "that is more than the settings file allows the team"};
+  if (exceeds(limits.most, platform.most)) return Outcome{422, "that is more than the settings file allows the team"};
   if (exceeds(limits.guaranteed, limits.most)) return Outcome{422, "its guarantee is more than its limit"};
   if (const auto problem = cells::validate_shares(limits.most, record.shares, quotas_.cells()))
     return Outcome{422, *problem};
   if (quotas_.cells().size() > 1) {
-    cells::lower_caps(record, quotas_.cells(), cells::even_share(platform_limits.most, quotas_.cells().size()));
+    cells::lower_caps(record, quotas_.cells(), cells::even_share(platform.most, quotas_.cells().size()));
     cells::raise_caps(record, quotas_.cells());
   }
   ++record.version;
@@ -127,8 +124,8 @@
   const auto change = found ? wire::forwarded_from_json(found->value) : std::nullopt;
   if (!change || change->status == 0 || change->node != settings_.node) return;
   std::uint64_t number = 0;
-  const auto rest = std::string_view(event.key).substr(wire::kConfigChange.size());
-  std::from_chars(rest.data(), rest.data() + rest.size(), number);
+  const auto digits = std::string_view(event.key).substr(wire::kConfigChange.size());
+  std::from_chars(digits.data(), digits.data() + digits.size(), number);
   if (const auto it = pending_.find(number); it != pending_.end()) {
     const auto done = std::move(it->second.done);
     pending_.erase(it);
