--- a/include/loftrouter/core/runtime/events.hpp
+++ b/include/loftrouter/core/runtime/events.hpp
@@ -89,7 +89,7 @@
   JobIndex job;
   std::uint32_t index;
   MachineIndex machine;
-  double startup_s; // since the allocation
+  double startup_time_s; // since the allocation
 };
 // A worker has reported that an attempt exited, by itself or after a stop command.
 struct TaskExited {
--- a/src/core/api/event_log.cpp
+++ b/src/core/api/event_log.cpp
@@ -53,7 +53,7 @@
                {{"job", jobs_[event.job].spec.id},
                 {"task", event.index},
                 {"machine", workers_[event.machine].name},
-                {"after_s", event.startup_s}});
+                {"after_s", event.startup_time_s}});
 }
 
 void EventLog::on(const TaskExited &event) {
