--- a/include/loftrouter/core/core.hpp
+++ b/include/loftrouter/core/core.hpp
@@ -37,7 +37,7 @@
   void on(HealthCheckCommand &&);
   void on(HeartbeatCommand &&);
   void on(PeerMessageCommand &&);
-  void on(CellMessageCommand &&cmd) { federation_.take(std::move(cmd)); }
+  void on(CellMessageCommand &&cmd) { federation_.handle_message(std::move(cmd)); }
   void on(SubmitCommand &&cmd) { job_api_.take(std::move(cmd)); }
   void on(LookupCommand &&cmd) { job_api_.take(std::move(cmd)); }
   void on(CancelCommand &&cmd) { job_api_.take(std::move(cmd)); }
--- a/include/loftrouter/core/federation/cell_federation.hpp
+++ b/include/loftrouter/core/federation/cell_federation.hpp
@@ -1,11 +1,11 @@
-// Work lent to other cells, and theirs that runs here. docs/cells.md says why it is made so; docs/safety.md, "Work lent
-// to another cell", why no rule breaks.
+// Delegates waiting work to other cells and runs work that they delegate. See docs/cells.md, and docs/safety.md,
+// "Work delegated to another cell".
 //
-// Owns the loans (of this cell's jobs to others) and the debts (of others' jobs here) while this node leads, what other
-// cells have told of themselves, and how they are reached. Promises that a lent task is free at home only when the
-// hand-over says so (cells/handover.hpp), and that a borrowed one is started and kept alive only while its home has
-// confirmed it. If that were wrong, a task could run in two cells (ran_twice), or on after its cancellation
-// (ran_cancelled). What it decides about lending never delays a round: frames go out with a batch like all others.
+// While this node leads, owns the outbound and inbound delegations and what is known of other cells: their capacity and
+// the way to their leaders. Tasks start locally, or are delegated anew, only when delegation_protocol.hpp says that the
+// remote cell has released them; inbound tasks start and keep running only under a valid delegation lease. Guards
+// against tasks that run in two cells (ran_twice) or after their cancellation (ran_cancelled). Never delays a
+// scheduling round: messages are sent with the batch.
 #pragma once
 
 #include <deque>
@@ -27,15 +27,15 @@
 
 namespace loftrouter::core {
 
-// This cell's settings with a team for each other cell, so that borrowed work has its own queue and account.
+// Adds a team for each other cell, so that inbound work has its own queue and accounts.
 Settings with_cell_teams(Settings settings);
 
 class CellFederation {
 public:
-  struct State { // of another cell, for people
+  struct CellStatus { // of another cell, for the admin API
     std::string name;
-    double heard_s; // negative: never
-    bool delegates; // its settings leave room for a grant
+    double last_heard_age_s; // negative: never heard
+    bool delegates;          // false: the settings leave no time for a delegation lease
     std::uint64_t delegated_out_tasks = 0, delegated_in_tasks = 0;
     std::size_t delegations = 0, delegations_in = 0;
   };
@@ -46,24 +46,25 @@
                  UsageLedger &ledger, StateWriter &state_writer, WorkerRegistry &workers, Replicas &replicas,
                  const Quotas &quotas, const Autoscaler &autoscaler, const JobObjectives &objectives);
 
-  bool on() const { return !settings_.cells.name.empty(); }
-  void expire(); // before anything else of a batch: what is not confirmed any more stops
+  bool enabled() const { return !settings_.cells.name.empty(); }
+  // Stops inbound tasks whose delegation lease has expired. Called before anything else of a batch.
+  void expire_delegations();
   void tick();
-  void take(CellMessageCommand &&cmd);
-  void take_passed(const PeerMessageCommand &cmd);  // on the leader: a frame that came to a sibling
-  void take_back(const wire::PeerMessage &message); // on that sibling: the answer
-  // The worker holds borrowed work of which this leader does not know yet whether it is confirmed.
-  bool unsure_of(const Heartbeat &heartbeat) const;
-  bool may_leave(const JobSpec &spec) const; // by the operators' settings
-  // Frames about quotas are for another part, which sends its own the same way.
-  using TakeQuota = std::function<void(int cell, wire::CellMessage &&message)>;
-  void take_quotas(TakeQuota take) { take_quota_ = std::move(take); }
-  wire::CellMessage message(wire::CellMessage::Kind kind, int cell) const;
-  bool tell_quota(int cell, wire::CellMessage message); // false: that cell is not reached now, or does not know them
-  int count() const { return static_cast<int>(cells_.size()); } // other cells
-  const std::string &name(int cell) const { return cells_[static_cast<std::size_t>(cell)].name; }
-  int by_name(const std::string &cell) const; // -1: none
-  std::vector<State> states() const;
+  void handle_message(CellMessageCommand &&cmd);
+  void handle_forwarded_request(const PeerMessageCommand &cmd); // on the leader: a request that reached a standby
+  void relay_forwarded_reply(const wire::PeerMessage &message); // on that standby: the leader's reply
+  // Returns whether the worker runs inbound tasks whose lease this leader hasn't had confirmed yet.
+  bool has_unconfirmed_delegation(const Heartbeat &heartbeat) const;
+  bool may_delegate(const JobSpec &spec) const; // by the operators' settings
+  using QuotaHandler = std::function<void(int cell, wire::CellMessage &&message)>;
+  void set_quota_handler(QuotaHandler handler) { quota_handler_ = std::move(handler); }
+  wire::CellMessage make_message(wire::CellMessage::Kind kind, int cell) const;
+  // Returns false if that cell isn't reachable now or doesn't support quota messages.
+  bool send_quota_message(int cell, wire::CellMessage message);
+  int cell_count() const { return static_cast<int>(cells_.size()); } // without this cell
+  const std::string &cell_name(int cell) const { return cells_[static_cast<std::size_t>(cell)].name; }
+  int find_cell(const std::string &name) const; // -1: unknown
+  std::vector<CellStatus> cell_statuses() const;
 
   void on(const DelegationRecorded &event);
   void on(const DelegationRemoved &event);
@@ -74,82 +75,88 @@
   void on(const TermEnded &);
 
 private:
-  struct Route { // where an answer goes
+  struct ReplyTarget {
     std::uint64_t link = 0, nonce = 0;
-    bool by_replica = false;
+    bool by_replica = false; // the request was forwarded by a replica of this cell
   };
   struct OutboundDelegation {
     cells::DelegationAtOrigin state;
     int cell;
-    double made_at, next_offer = 0, next_recall = 0, idle_since = -1;
-    std::uint64_t ticket = 0; // the other's promise of room
-    bool taken = false, progressed = false;
-    bool dropped = false; // its end is being recorded; until then the borrower is not told that it is settled
+    double created_at, next_offer = 0, next_recall = 0;
+    double startable_since = -1; // unstarted remotely while this cell could start it; negative: not so
+    std::uint64_t grant_id = 0;  // of the capacity grant
+    bool accepted = false, progressed = false;
+    bool removing = false; // its removal is being recorded; the remote cell isn't acknowledged before
     std::uint32_t running = 0;
-    cells::Terms terms;
+    cells::LeaseTerms terms;
   };
   struct InboundDelegation {
     cells::DelegationAtRemote state;
     int origin;
-    double known_at, next_told = 0, idle_since = -1;
-    bool restored, wanted = false, draining = false, ended = false;
-    std::uint32_t told_done = 0, told_running = 0;
-    std::int64_t told_held = -1;
+    double known_at, next_progress = 0;
+    double stalled_since = -1; // pending tasks lack capacity, or local jobs wait for it; negative: not so
+    bool restored, id_claimed = false, draining = false, ended = false; // id_claimed: by a local user
+    std::uint32_t reported_done = 0, reported_running = 0;
+    std::int64_t reported_usage = -1;
+  };
+  struct PendingRenewal {
+    double requested_at;
+    std::vector<std::uint64_t> generations;
   };
   struct Cell {
     std::string name;
     cells::CellMembership nodes;
-    cells::View view;
+    cells::CellCapacity capacity;
     double heard_at = -1e9, lease_s = 0;
-    std::uint64_t term = 0;                                                          // of its leader, as last heard
-    std::uint64_t question = 0;                                                      // the latest Renew to it
-    std::map<std::uint64_t, std::pair<double, std::vector<std::uint64_t>>> renewals; // asked when, about what
-    double next_summary = 0, next_renew = 0;
-    bool told_no_room = false;
-    bool knows_quotas = false;
+    std::uint64_t term = 0; // latest known of its leader
+    std::uint64_t last_renewal_request = 0;
+    std::map<std::uint64_t, PendingRenewal> pending_renewals; // by request number
+    double next_summary = 0, next_renewal = 0;
+    bool reported_disabled = false;
+    bool supports_quotas = false;
   };
-  struct Wanted { // room asked for
+  struct PendingCapacityRequest {
     JobIndex job;
     int cell;
     std::uint64_t serial;
     std::uint32_t tasks;
-    double until;
+    double expires_at;
   };
-  struct Lot { // machines of one kind, for expected waits
+  struct MachinePool { // machines of one kind, to estimate waits
     MachineKind kind;
     int machines = 0, starting = 0, idle = 0;
     Resources size, free;
-    double cpus = 0, busy = 0, ahead = 0; // CPU seconds
-    bool refused = false;
+    double cpus = 0, busy_cpu_s = 0, queued_cpu_s = 0;
+    bool lacks_capacity = false;
   };
 
   bool send(int cell, wire::CellMessage message);
-  void reply(const Route &to, wire::CellMessage message);
-  void handle(const Route &from, int node, wire::CellMessage &&message);
-  // As home.
-  double grant_s(double lease_s) const; // 0: the settings leave no room for one
-  cells::Terms terms(double lease_s) const;
-  bool may_confirm(const cells::Terms &terms) const;
-  void survey();
-  void decide();
-  std::uint32_t team_allows(JobIndex job_index) const;
-  void want(JobIndex job_index, int cell, const cells::Work &work, std::uint32_t tasks);
-  void delegate(const Wanted &wanted, std::uint64_t ticket, std::uint32_t tasks);
-  void tend_outbound();
-  OutboundDelegation *delegation(std::uint64_t generation, JobIndex &job_index);
-  void drop(JobIndex job_index, OutboundDelegation &delegation);
-  void told(const Route &from, int cell, const wire::CellMessage &message);
-  wire::CellMessage offer(JobIndex job_index, const OutboundDelegation &delegation) const;
-  cells::Work work_of(JobIndex job_index) const;
-  // As borrower.
-  void offered(const Route &from, int cell, wire::CellMessage &&message);
-  double spare_cpus(const cells::Work &work) const;
-  bool may_use(const cells::Work &work, const Lot &lot) const;
-  void tend_inbound();
-  void renew(int origin);
+  void reply(const ReplyTarget &to, wire::CellMessage message);
+  void dispatch(const ReplyTarget &from, int node, wire::CellMessage &&message);
+  // Origin cell.
+  double grant_s(double lease_s) const; // 0: the settings leave no time for a delegation lease
+  cells::LeaseTerms terms(double lease_s) const;
+  bool may_confirm(const cells::LeaseTerms &terms) const;
+  void survey_capacity();
+  void plan_delegations();
+  std::uint32_t tasks_within_quota(JobIndex job_index) const;
+  void request_capacity(JobIndex job_index, int cell, const cells::DelegationCandidate &work, std::uint32_t tasks);
+  void delegate(const PendingCapacityRequest &request, std::uint64_t grant_id, std::uint32_t tasks);
+  void advance_outbound();
+  OutboundDelegation *find_outbound(std::uint64_t generation, JobIndex &job_index);
+  void remove(JobIndex job_index, OutboundDelegation &delegation);
+  void handle_progress(const ReplyTarget &from, int cell, const wire::CellMessage &message);
+  wire::CellMessage make_offer(JobIndex job_index, const OutboundDelegation &delegation) const;
+  cells::DelegationCandidate candidate(JobIndex job_index) const;
+  // Remote cell.
+  void handle_offer(const ReplyTarget &from, int cell, wire::CellMessage &&message);
+  double spare_cpus(const cells::DelegationCandidate &work) const;
+  bool can_run_on(const cells::DelegationCandidate &work, const MachinePool &pool) const;
+  void advance_inbound();
+  void renew_leases(int origin);
   void close(JobIndex job_index, InboundDelegation &inbound);
-  InboundDelegation *inbound(std::uint64_t generation, int origin, JobIndex &job_index);
-  void summarize(wire::CellMessage &message) const;
+  InboundDelegation *find_inbound(std::uint64_t generation, int origin, JobIndex &job_index);
+  void fill_summary(wire::CellMessage &message) const;
 
   Runtime &runtime_;
   Events &events_;
@@ -169,25 +176,25 @@
   const Autoscaler &autoscaler_;
   const JobObjectives &objectives_;
   std::vector<Cell> cells_;
-  std::vector<std::string> node_addresses_;                        // of all cells, by how they are dialled
+  std::vector<std::string> node_addresses_;                        // of all cells, by node number
   std::vector<std::vector<OutboundDelegation>> outbound_;          // by job
   std::unordered_map<std::uint64_t, JobIndex> outbound_jobs_;      // by generation
   std::vector<std::optional<InboundDelegation>> inbound_;          // by job
-  std::vector<JobIndex> inbound_list_;                             // jobs that have one
-  std::map<std::pair<int, std::uint64_t>, JobIndex> inbound_jobs_; // by home and generation
-  std::set<std::uint64_t> taking_;                                 // offers whose record is being written
-  std::vector<Lot> lots_;
-  std::vector<double> waits_; // by job: expected at home
-  double wait_by_urgency_[4] = {}, own_waiting_cpus_ = 0;
-  std::unordered_map<std::uint64_t, Wanted> wanted_;    // by ticket
-  std::unordered_map<std::uint64_t, double> not_again_; // (job serial, cell): not before
-  std::vector<int> eager_;                              // by job: decisions in a row that it should leave
+  std::vector<JobIndex> inbound_list_;                             // jobs in `inbound_`
+  std::map<std::pair<int, std::uint64_t>, JobIndex> inbound_jobs_; // by origin and generation
+  std::set<std::uint64_t> recording_offers_;                       // generations whose record is being written
+  std::vector<MachinePool> machine_pools_;
+  std::vector<double> local_waits_; // s, expected, by job
+  double wait_by_priority_[4] = {}, own_waiting_cpus_ = 0;
+  std::unordered_map<std::uint64_t, PendingCapacityRequest> capacity_requests_; // by grant
+  std::unordered_map<std::uint64_t, double> delegation_backoff_;                // end, by job serial and cell
+  std::vector<int> consecutive_choices_; // by job: plans in a row that chose another cell
   cells::CapacityGrants capacity_grants_;
-  ForwardedRequests<std::uint64_t> passed_; // other cells' questions, to the leader; with their link
-  std::uint64_t numbers_, delegations_made_ = 0;
-  double next_tick_ = 0, next_decision_ = 0;
-  std::string told_wrong_;
-  TakeQuota take_quota_;
+  ForwardedRequests<std::uint64_t> forwarded_requests_; // from other cells, to the leader; with their link
+  std::uint64_t last_request_number_, delegations_made_ = 0;
+  double next_tick_ = 0, next_plan_ = 0;
+  std::string last_refused_route_;
+  QuotaHandler quota_handler_;
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/federation/cell_membership.hpp
+++ b/include/loftrouter/core/federation/cell_membership.hpp
@@ -1,5 +1,5 @@
-// How a leader finds the leader of another cell: through any of its nodes, one at a time; and how seldom it tries when
-// none answers. Pure.
+// Selects the node through which the leader of another cell is contacted, with backoff when no node answers. Performs
+// no I/O and reads no clock.
 #pragma once
 
 #include <string>
@@ -9,32 +9,30 @@
 
 class CellMembership {
 public:
-  // `nodes`: how the cell's nodes are dialled.
+  // `nodes`: indices of the cell's node addresses.
   explicit CellMembership(std::vector<int> nodes) : nodes_(std::move(nodes)), failed_at_(nodes_.size(), -1e9) {}
 
-  // The node to talk to, or -1: not before the pause is over.
-  int target(double now) const { return now < quiet_until_ || nodes_.empty() ? -1 : nodes_[current_]; }
-  // Something was sent that wants an answer.
-  void asked(double now) {
-    if (asked_at_ < 0) asked_at_ = now;
+  // Returns the node to contact, or -1 during backoff.
+  int target(double now) const { return now < backoff_until_ || nodes_.empty() ? -1 : nodes_[current_]; }
+  void request_sent(double now) {
+    if (requested_at_ < 0) requested_at_ = now;
   }
-  // An answer has come by way of `node`; the leader there is `leader`, -1 if that is not said.
-  void answered(int node, int leader, double now);
-  // What has waited too long means another node, and after all of them a pause: doubled each time, with `jitter` (0 to
-  // 1).
+  // Records a response received through `node`; `leader` is the node that leads the cell, -1 if unknown.
+  void response_received(int node, int leader, double now);
+  // Moves on to the next node after a request timeout. Once all nodes have failed, backs off for a time that doubles
+  // each round; `jitter` is from 0 to 1.
   void tick(double now, double jitter);
-  bool reached(double now) const { return now - heard_at_ < kReached; }
-  double heard_at() const { return heard_at_; }
+  bool reachable(double now) const { return now - last_response_at_ < kReachableForS; }
 
-  static constexpr double kFailedFor = 30.0; // s, that a node which did not answer is not gone back to as the leader
-  static constexpr double kPatience = 2.0, kReached = 5.0, kMinPause = 1.0, kMaxPause = 30.0; // s
+  static constexpr double kFailedNodeAvoidanceS = 30.0; // a node that timed out isn't selected as the leader again
+  static constexpr double kResponseTimeoutS = 2.0, kReachableForS = 5.0, kMinBackoffS = 1.0, kMaxBackoffS = 30.0;
 
 private:
-  void move_on(double now, double jitter);
+  void try_next_node(double now, double jitter);
   std::vector<int> nodes_;
   std::vector<double> failed_at_;
-  std::size_t current_ = 0, tried_ = 0;
-  double asked_at_ = -1, heard_at_ = -1e9, quiet_until_ = -1e9, pause_ = kMinPause;
+  std::size_t current_ = 0, failed_attempts_ = 0;
+  double requested_at_ = -1, last_response_at_ = -1e9, backoff_until_ = -1e9, backoff_s_ = kMinBackoffS;
 };
 
 } // namespace loftrouter::cells
--- a/include/loftrouter/core/federation/delegation_plan.hpp
+++ b/include/loftrouter/core/federation/delegation_plan.hpp
@@ -1,6 +1,5 @@
-// Where waiting work goes: a cell is scored as a machine is, by its free share of each resource against the demand of a
-// whole plan, from what it has told of itself. Pure functions of a snapshot; tests compare them with a slow plain
-// model.
+// Chooses the cell to which waiting work is delegated, and tracks capacity grants. Cells are scored from their latest
+// capacity summaries. Performs no I/O; tests compare the choice with a reference implementation.
 #pragma once
 
 #include <optional>
@@ -12,62 +11,67 @@
 
 namespace loftrouter::cells {
 
-struct Work {                     // of one job, that could be lent
-  Resources need;                 // of each task
-  std::vector<std::string> types; // allowed; none: any
-  bool spot = false, whole = false;
+// Pending tasks of one job that may be delegated.
+struct DelegationCandidate {
+  Resources need;                 // per task
+  std::vector<std::string> types; // allowed instance types; empty: any
+  bool spot = false, all_or_nothing = false;
   std::uint32_t tasks = 0;
   double estimate_s = 0, image_gb = 0;
   Priority priority = Priority::Normal;
-  double wait_here_s = 0; // expected until it starts at home
+  double local_wait_s = 0; // expected until a start in the origin cell
 };
-struct View { // of a cell, as last told
+// Capacity of a cell, as of its latest summary.
+struct CellCapacity {
   std::vector<wire::CellKind> kinds;
-  std::vector<double> wait_s; // by urgency
-  double age_s = 1e9;
-  bool open = true; // may be asked now
+  std::vector<double> wait_s; // expected, by priority
+  double age_s = 1e9;         // of the summary
+  bool available = true;      // accepts capacity requests
 };
-struct Rules {
-  double hand_over_s = 2;    // records on both sides and frames between them
-  double margin_s = 5;       // that it has to be better by, and
-  double margin_share = 0.2; // of the wait at home
-  double fresh_s = 10;       // what is older than this counts for nothing, and for the less the older it is
+struct PlanRules {
+  double handover_s = 2;         // to write the records on both sides and exchange the messages
+  double margin_s = 5;           // by which the remote wait must be shorter, plus
+  double margin_share = 0.2;     // of the local wait
+  double max_summary_age_s = 10; // older summaries are ignored; the score falls linearly with age
 };
-struct Choice {
+struct CellChoice {
   int cell = -1;
-  double score = 0, wait_s = 0; // expected there
+  double score = 0, wait_s = 0; // wait_s: expected in that cell
 };
 
-bool allowed(const Work &work, const wire::CellKind &kind);
-// Tasks for which there is room now; an upper bound, as only sums are told.
-std::uint32_t room(const Work &work, const View &cell);
-// F of the cell: over its allowed kinds, free share times the demand of the plan, each share at most 1.
-double score(const Work &work, const View &cell, const Rules &rules);
-// Until the work would start there; nothing: never, as far as known.
-std::optional<double> wait_there(const Work &work, const View &cell, const Rules &rules);
-// The best cell that is better than home by the margin; nothing if there is none.
-std::optional<Choice> choose(const Work &work, const std::vector<View> &cells, const Rules &rules);
+bool can_run_on(const DelegationCandidate &work, const wire::CellKind &kind);
+// Returns an upper bound on the tasks that fit now: summaries hold totals, not single machines.
+std::uint32_t free_slots(const DelegationCandidate &work, const CellCapacity &cell);
+// Sums, over the resources, the free share times the demanded share (at most 1) of the machines that can run the work.
+double capacity_score(const DelegationCandidate &work, const CellCapacity &cell, const PlanRules &rules);
+// Returns the expected time until the work starts in that cell, or nothing if it can't run there or the summary is
+// stale.
+std::optional<double> expected_wait_s(const DelegationCandidate &work, const CellCapacity &cell,
+                                      const PlanRules &rules);
+// Returns the best cell whose expected wait beats the local one by the margin, if any.
+std::optional<CellChoice> choose_cell(const DelegationCandidate &work, const std::vector<CellCapacity> &cells,
+                                      const PlanRules &rules);
 
-// What the borrower promises, so that several cells which see the same room do not fill it several times over.
+// Capacity granted by a remote cell. Keeps several origin cells from filling the same free capacity.
 class CapacityGrants {
 public:
-  // Of `most` tasks, those that fit into `free` CPUs beside what is promised already; kept for a few seconds.
-  std::uint32_t promise(std::uint64_t ticket, double cpus_each, std::uint32_t most, bool whole, double free_cpus,
-                        double now);
-  // An offer has come: its promise is used up. False: there is none (any more).
-  bool take(std::uint64_t ticket, std::uint32_t tasks, double now);
-  double promised_cpus(double now);
-  static constexpr double kKept = 5.0; // s
-  static constexpr std::size_t kMax = 256;
+  // Grants up to `most` tasks that fit into `free_cpus` beside the outstanding grants; returns their number.
+  std::uint32_t grant(std::uint64_t grant_id, double cpus_each, std::uint32_t most, bool all_or_nothing,
+                      double free_cpus, double now);
+  // Consumes the grant of an offer. Returns false if there is none, it has expired or it is too small.
+  bool redeem(std::uint64_t grant_id, std::uint32_t tasks, double now);
+  double granted_cpus(double now);
+  static constexpr double kGrantValidityS = 5.0;
+  static constexpr std::size_t kMaxGrants = 256;
 
 private:
   struct CapacityGrant {
-    std::uint64_t ticket;
+    std::uint64_t grant_id;
     std::uint32_t tasks;
-    double cpus, until;
+    double cpus, expires_at;
   };
   void expire(double now);
-  std::vector<CapacityGrant> capacity_grants_;
+  std::vector<CapacityGrant> grants_;
 };
 
 } // namespace loftrouter::cells
--- a/include/loftrouter/core/federation/delegation_protocol.hpp
+++ b/include/loftrouter/core/federation/delegation_protocol.hpp
@@ -1,10 +1,11 @@
-// The hand-over of work between two cells, alone: one loan as its home and as its borrower see it.
+// State machines of one delegation, at its origin cell and at its remote cell.
 //
-// A loan is work of one job, under a generation that is used once. Its home records it, offers it, and confirms it for
-// a short time whenever the borrower asks on; the borrower records it too, runs it only while it is confirmed, and
-// counts that time from when it *asked*. Home counts from when it *answered*, and adds what the borrower's workers take
-// to let go. So at no moment do both run it, whatever is lost, late, doubled or forgotten by a crash. Pure; searched in
-// full by tests/handover_test.cpp. The argument: docs/safety.md, "Work delegated to another cell".
+// A delegation covers tasks of one job under a generation that is never reused. The origin cell records it, offers it
+// and renews its lease when the remote cell asks. The remote cell records it too, runs it only under a valid lease, and
+// counts the lease from when it *sent* the renewal request. The origin cell counts from when it *answered*, and adds
+// the worker lease of the remote cell. So the two cells never run it at the same time, whatever messages are lost, late
+// or duplicated, and whichever leaders crash. Performs no I/O; tests/handover_test.cpp searches its states
+// exhaustively. The argument is in docs/safety.md, "Work delegated to another cell".
 #pragma once
 
 #include <cstdint>
@@ -15,75 +16,75 @@
 using Generation = std::uint64_t;
 constexpr double kNever = -std::numeric_limits<double>::infinity();
 
-// Seconds that both sides count by.
-struct Terms {
-  double grant_s = 10; // that a confirmation lets work go on, from when it was asked for
-  double lease_s = 10; // of the borrower's workers: that a task runs on at most after its leader has let go of it
-  double margin_s = 1; // steps of clocks and loops
+struct LeaseTerms {
+  double grant_s = 10; // delegation lease, counted from the renewal request
+  double lease_s = 10; // worker lease of the remote cell: how long a task outlives its leader's consent
+  double margin_s = 1; // clock steps and event loop delays
   double drift = 0.002;
-  // From when home last confirmed until nothing runs there any more, by home's clock.
-  double over_after_s() const { return (grant_s + lease_s) * (1 + drift) + margin_s; }
+  // Seconds after the origin's latest renewal, by its clock, at which nothing of the delegation runs remotely.
+  double release_delay_s() const { return (grant_s + lease_s) * (1 + drift) + margin_s; }
 };
 
-// As home sees it. It starts the work itself, or lends it anew, only when `over`.
+// The origin's state. Its tasks may start locally, or be delegated anew, only once it is `released`.
 class DelegationAtOrigin {
 public:
-  // Its record is being written by the leader of this term.
-  DelegationAtOrigin(Generation g, std::uint64_t term) : generation_(g), term_(term) {}
-  // Read from the record of an earlier leader, which may have confirmed it up to now.
-  static DelegationAtOrigin restored(Generation g, std::uint64_t term, double now, const Terms &terms);
+  // Starts in the recording phase; the leader of `term` writes the record.
+  DelegationAtOrigin(Generation generation, std::uint64_t term) : generation_(generation), term_(term) {}
+  // Restores a delegation from the record of an earlier leader, which may have renewed its lease until `now`.
+  static DelegationAtOrigin restored(Generation generation, std::uint64_t term, double now, const LeaseTerms &terms);
 
   Generation generation() const { return generation_; }
-  void recorded(); // the state service has it: from now on it may be offered
-  bool offers() const { return phase_ == Phase::DelegationSource; }
-  // The borrower's leader of this term asks on. False: it has to stop. A loan that is not recorded is never confirmed,
-  // as a next leader would not know of it.
-  bool confirm(double now, std::uint64_t remote_term, const Terms &terms);
-  void close(); // is not confirmed any more
+  void mark_recorded(); // the state service holds the record; the delegation may be offered
+  bool may_offer() const { return phase_ == Phase::Active; }
+  // Renews the lease for the remote leader of `remote_term`. Returns false if that leader must stop the tasks. Never
+  // renews before the record is stored, as the next leader would not know of the lease.
+  bool confirm(double now, std::uint64_t remote_term, const LeaseTerms &terms);
+  void close(); // stops renewals
   bool closing() const { return phase_ == Phase::Closing; }
-  // The borrower's leader of this term, to the leader of `origin_term`: nothing of it runs there, nor will. False: a
-  // later leader there may have been confirmed since - by this leader, or by an earlier one if the word was for that -
-  // which knows nothing of that word and may have started it again.
-  bool ended(std::uint64_t remote_term, std::uint64_t origin_term);
-  bool over(double now) const;
-  bool confirmed() const { return until_ != kNever; }        // ever, as far as known
-  double until() const { return until_; }                    // when the borrower has let go at the latest
-  std::uint64_t remote_term() const { return remote_term_; } // of whom it was last confirmed to
+  // Handles the notice of the remote leader of `remote_term`, addressed to the origin leader of `origin_term`, that
+  // nothing of the delegation runs or will run there. Returns false for a stale notice: a later remote leader, unaware
+  // of it, may have had its lease renewed and restarted tasks.
+  bool mark_ended(std::uint64_t remote_term, std::uint64_t origin_term);
+  bool released(double now) const;
+  bool confirmed() const { return expires_at_ != kNever; }   // at least once, as far as this leader knows
+  double expires_at() const { return expires_at_; }          // the remote cell runs nothing of it after this time
+  std::uint64_t remote_term() const { return remote_term_; } // of the latest confirmed remote leader
 
 private:
-  enum class Phase : std::uint8_t { Recording, DelegationSource, Closing, Over };
+  enum class Phase : std::uint8_t { Recording, Active, Closing, Released };
   Generation generation_;
   std::uint64_t term_;
   Phase phase_ = Phase::Recording;
-  double until_ = kNever;
-  std::uint64_t remote_term_ = 0; // the latest that was confirmed
+  double expires_at_ = kNever;
+  std::uint64_t remote_term_ = 0;
 };
 
-// As the borrower sees it, on the node that leads there.
+// The state at the remote cell's leader.
 class DelegationAtRemote {
 public:
-  // Its record is there; it has not been confirmed to this leader, whose latest question to that home was `asked`.
-  DelegationAtRemote(Generation g, std::uint64_t asked) : generation_(g), asked_before_(asked) {}
+  // `last_earlier_request`: number of the latest renewal request sent before this leader knew the delegation.
+  DelegationAtRemote(Generation generation, std::uint64_t last_earlier_request)
+      : generation_(generation), last_earlier_request_(last_earlier_request) {}
   Generation generation() const { return generation_; }
 
-  // In answer to the question of this number, which named it. One asked before this leader knew of it was about an
-  // earlier hand-over of the same generation, which has ended since: an offer may come twice.
-  void granted(std::uint64_t question, double asked_at, const Terms &terms);
-  void close() { closed_ = true; } // home refused it, or it is given back
+  // Applies the answer to a renewal request. Ignores requests sent before this leader knew the delegation: a duplicated
+  // offer can bring a generation back after it has ended.
+  void apply_grant(std::uint64_t request, double requested_at, const LeaseTerms &terms);
+  void close() { closed_ = true; } // refused by the origin, or returned to it
   bool closed() const { return closed_; }
-  bool granted_once() const { return until_ != kNever; }
-  // May start its tasks, and let its workers go on with them.
-  bool may_run(double now) const { return !closed_ && now < until_; }
-  // Without a confirmation for too long it is closed, for good.
+  bool ever_granted() const { return expires_at_ != kNever; }
+  // Returns whether tasks may start and worker leases may be renewed.
+  bool may_run(double now) const { return !closed_ && now < expires_at_; }
+  // Closes the delegation for good once its lease has expired.
   void tick(double now);
-  double until() const { return until_; }
-  std::uint64_t asked_before() const { return asked_before_; }
+  double expires_at() const { return expires_at_; }
+  std::uint64_t last_earlier_request() const { return last_earlier_request_; }
 
 private:
   Generation generation_;
-  std::uint64_t asked_before_;
+  std::uint64_t last_earlier_request_;
   bool closed_ = false;
-  double until_ = kNever;
+  double expires_at_ = kNever;
 };
 
 } // namespace loftrouter::cells
--- a/include/loftrouter/core/federation/quota_exchange.hpp
+++ b/include/loftrouter/core/federation/quota_exchange.hpp
@@ -1,9 +1,10 @@
-// Quotas between cells, on the leaders: the owner's record goes to the others until they have acknowledged it, changes
-// asked for elsewhere go to the owner, and caps rise once others have fallen.
+// Exchanges quotas between the leaders of cells. The owner cell sends a team's record until the other cells have
+// acknowledged it; changes requested in other cells are forwarded to the owner; caps rise only after others have
+// fallen.
 //
-// Owns what each other cell has acknowledged, and the changes that are being passed on. Promises that a cell takes a
-// record only if its version is higher than its own, and that it acknowledges a cap only when its team can use no more
-// than that there (quota). docs/safety.md, "Quotas that change"; docs/configuration.md.
+// Owns the acknowledgements of the other cells and the state of forwarded changes. A cell applies a record only if its
+// version is higher than its own, and acknowledges a cap only once its team can use no more than that there. Guards the
+// quota rule: docs/safety.md, "Quotas that change"; docs/configuration.md.
 #pragma once
 
 #include <map>
@@ -19,31 +20,31 @@
 public:
   struct Acknowledged { // by another cell
     std::uint64_t version = 0;
-    double wall = 0;     // first said
-    bool within = false; // and its team can use no more than its cap there
+    double wall = 0;         // when first acknowledged
+    bool within_cap = false; // its team can use no more than its cap there
   };
 
   QuotaExchange(Runtime &runtime, const Settings &settings, Configuration &configuration, const Leadership &leadership,
                 const Quotas &quotas, QuotaChanges &changes, StateServiceLimits &state_limits, CellFederation &cells);
 
   void tick();
-  // By each other cell that has, of a team's quota; on the owner's leader alone.
+  // Returns the acknowledgements of a team's record by cell; filled only on the leader of the owner cell.
   const std::map<std::string, Acknowledged> &acknowledged(const std::string &team) const;
   void on(const TermStarted &);
 
 private:
-  struct Sent { // of a record, to a cell
+  struct SentRecord { // latest record sent to a cell
     std::uint64_t version = 0;
-    double next = 0;
+    double next_send = 0;
   };
-  void take(int cell, wire::CellMessage &&message);
-  void take_record(int cell, const wire::CellMessage &message);
-  void take_acknowledgement(int cell, const wire::CellMessage &message);
-  void take_change(int cell, const wire::CellMessage &message);
-  void take_outcome(const wire::CellMessage &message);
-  bool offer(int cell, const std::string &team, const wire::QuotaRecord &record); // true: it was sent
-  void step(const std::string &team, wire::QuotaRecord record, std::uint64_t revision);
-  void pass_changes_on();
+  void handle_message(int cell, wire::CellMessage &&message);
+  void handle_record(int cell, const wire::CellMessage &message);
+  void handle_acknowledgement(int cell, const wire::CellMessage &message);
+  void handle_change(int cell, const wire::CellMessage &message);
+  void handle_outcome(const wire::CellMessage &message);
+  bool send_record(int cell, const std::string &team, const wire::QuotaRecord &record); // returns whether it was sent
+  void advance_record(const std::string &team, wire::QuotaRecord record, std::uint64_t revision);
+  void forward_changes();
   void write_change(const std::string &key, std::optional<wire::Json> value, std::uint64_t revision);
   bool within_cap(const std::string &team, const wire::QuotaRecord &record) const;
 
@@ -57,10 +58,10 @@
   CellFederation &federation_;
   std::vector<Resources> used_;                                             // by team, at this tick
   std::map<std::string, std::map<std::string, Acknowledged>> acknowledged_; // by team and cell
-  std::map<std::pair<std::string, std::string>, Sent> sent_;                // by team and cell
-  std::map<std::string, double> asked_; // changes passed on, by key: not again before
-  std::map<std::string, double> seen_;  // the same: when it was first seen
-  std::set<std::string> committing_;    // teams and changes whose record is being written
+  std::map<std::pair<std::string, std::string>, SentRecord> sent_;          // by team and cell
+  std::map<std::string, double> next_forward_; // earliest next forwarding of a change, by key
+  std::map<std::string, double> first_seen_;   // of a change, by key
+  std::set<std::string> committing_;           // teams and changes whose record is being written
   double next_tick_ = 0;
 };
 
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -113,8 +113,8 @@
   if (leads) status.served = service_levels_.rows();
   status.cell = settings_.cells.name;
   if (leads)
-    for (const auto &c : federation_.states())
-      status.cells.push_back({c.name, c.heard_s, c.delegates, c.delegated_out_tasks, c.delegated_in_tasks});
+    for (const auto &c : federation_.cell_statuses())
+      status.cells.push_back({c.name, c.last_heard_age_s, c.delegates, c.delegated_out_tasks, c.delegated_in_tasks});
   if (leads) { // only the leader knows
     for (const auto &t : settings_.teams)
       status.queues.push_back({.team = t.name});
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -56,12 +56,13 @@
                           jobs_, dependencies_, failure_attribution_, workers_, autoscaler_, replicas_, connectivity_,
                           federation_, heartbeats_, service_levels_, status_reporter_, ledger_, configuration_api_),
       event_log_(runtime_, jobs_, workers_) {
-  heartbeats_.set_refusal_condition([this](const Heartbeat &heartbeat) { return federation_.unsure_of(heartbeat); });
+  heartbeats_.set_refusal_condition(
+      [this](const Heartbeat &heartbeat) { return federation_.has_unconfirmed_delegation(heartbeat); });
 }
 
 Effects Core::apply(std::vector<Command> batch, Now now) {
   runtime_.begin_batch(now);
-  federation_.expire();
+  federation_.expire_delegations();
   deliver_events();
   for (auto &command : batch) {
     std::visit([this](auto &&cmd) { on(std::move(cmd)); }, std::move(command));
@@ -188,9 +189,9 @@
   case Kind::Heartbeat:
     return respond(heartbeats_.handle_forwarded(cmd));
   case Kind::CellRequest:
-    return federation_.take_passed(cmd);
+    return federation_.handle_forwarded_request(cmd);
   case Kind::CellResponse:
-    return federation_.take_back(message);
+    return federation_.relay_forwarded_reply(message);
   case Kind::UserRequest:
     return job_api_.take_asked(cmd);
   case Kind::UserResponse:
--- a/src/core/federation/delegation_plan.cpp
+++ b/src/core/federation/delegation_plan.cpp
@@ -5,111 +5,113 @@
 
 namespace loftrouter::cells {
 
-bool allowed(const Work &work, const wire::CellKind &kind) {
+bool can_run_on(const DelegationCandidate &work, const wire::CellKind &kind) {
   if (kind.spot && !work.spot) return false;
   if (!work.need.fits(kind.size)) return false;
   return work.types.empty() || std::find(work.types.begin(), work.types.end(), kind.type) != work.types.end();
 }
 
-static std::uint32_t places(const Resources &room, const Resources &need) {
-  double n = 1e6;
-  for (auto [r, d] :
-       {std::pair(room.cpus, need.cpus), std::pair(room.gpus, need.gpus), std::pair(room.memory, need.memory)})
-    if (d > 0) n = std::min(n, std::floor(r / d + 1e-9));
-  return static_cast<std::uint32_t>(std::max(0.0, n));
+static std::uint32_t slots_in(const Resources &available, const Resources &need) {
+  double slots = 1e6;
+  for (auto [amount, demand] : {std::pair(available.cpus, need.cpus), std::pair(available.gpus, need.gpus),
+                                std::pair(available.memory, need.memory)})
+    if (demand > 0) slots = std::min(slots, std::floor(amount / demand + 1e-9));
+  return static_cast<std::uint32_t>(std::max(0.0, slots));
 }
 
-// What is free on machines that something else is on lies in pieces: only small tasks find a place there.
-std::uint32_t room(const Work &work, const View &cell) {
-  constexpr double kSmall = 0.25; // of a machine
-  std::uint32_t n = 0;
-  for (const auto &k : cell.kinds) {
-    if (!allowed(work, k)) continue;
-    n += k.idle * places(k.size, work.need);
-    Resources rest = k.free, least = k.size;
-    rest.add(k.size, -static_cast<double>(k.idle));
-    least.add(k.size, kSmall - 1);
-    if (work.need.fits(least)) n += places(rest, work.need);
+// Free capacity on partly used machines is fragmented, so only small tasks are counted there.
+std::uint32_t free_slots(const DelegationCandidate &work, const CellCapacity &cell) {
+  constexpr double kSmallTaskShare = 0.25; // of a machine
+  std::uint32_t slots = 0;
+  for (const auto &kind : cell.kinds) {
+    if (!can_run_on(work, kind)) continue;
+    slots += kind.idle * slots_in(kind.size, work.need);
+    Resources fragmented = kind.free, small_task = kind.size;
+    fragmented.add(kind.size, -static_cast<double>(kind.idle));
+    small_task.add(kind.size, kSmallTaskShare - 1);
+    if (work.need.fits(small_task)) slots += slots_in(fragmented, work.need);
   }
-  return n;
+  return slots;
 }
 
-double score(const Work &work, const View &cell, const Rules &rules) {
-  Resources all, free;
-  for (const auto &k : cell.kinds)
-    if (allowed(work, k)) {
-      all.add(k.size, k.machines);
-      free.add(k.free);
+double capacity_score(const DelegationCandidate &work, const CellCapacity &cell, const PlanRules &rules) {
+  Resources total, free;
+  for (const auto &kind : cell.kinds)
+    if (can_run_on(work, kind)) {
+      total.add(kind.size, kind.machines);
+      free.add(kind.free);
     }
-  auto part = [&](double f, double a, double need) {
-    if (a <= 0) return 0.0;
-    return std::clamp(f / a, 0.0, 1.0) * std::min(1.0, need * work.tasks / a);
+  auto term = [&](double available, double total, double need) {
+    if (total <= 0) return 0.0;
+    return std::clamp(available / total, 0.0, 1.0) * std::min(1.0, need * work.tasks / total);
   };
-  const double fit = part(free.cpus, all.cpus, work.need.cpus) + part(free.gpus, all.gpus, work.need.gpus) +
-                     part(free.memory, all.memory, work.need.memory);
-  return fit * std::max(0.0, 1 - cell.age_s / rules.fresh_s);
+  const double sum = term(free.cpus, total.cpus, work.need.cpus) + term(free.gpus, total.gpus, work.need.gpus) +
+                     term(free.memory, total.memory, work.need.memory);
+  return sum * std::max(0.0, 1 - cell.age_s / rules.max_summary_age_s);
 }
 
-std::optional<double> wait_there(const Work &work, const View &cell, const Rules &rules) {
-  if (cell.age_s >= rules.fresh_s) return std::nullopt;
-  const bool now = room(work, cell) >= (work.whole ? work.tasks : 1);
+std::optional<double> expected_wait_s(const DelegationCandidate &work, const CellCapacity &cell,
+                                      const PlanRules &rules) {
+  if (cell.age_s >= rules.max_summary_age_s) return std::nullopt;
+  const bool fits_now = free_slots(work, cell) >= (work.all_or_nothing ? work.tasks : 1);
   std::optional<double> best;
-  auto take = [&best](double wait) { best = std::min(best.value_or(wait), wait); };
-  for (const auto &k : cell.kinds) {
-    if (!allowed(work, k)) continue;
-    const double fetch = work.image_gb / std::max(0.01, k.fetch_gb_per_s);
-    if (now && k.machines > 0) take(fetch);
-    if (!k.refused) take(k.boot_s + fetch); // its cloud may have some
-    const auto u = static_cast<std::size_t>(work.priority);
-    if (k.machines > 0 && u < cell.wait_s.size()) take(cell.wait_s[u] + fetch);
+  auto consider = [&best](double wait) { best = std::min(best.value_or(wait), wait); };
+  for (const auto &kind : cell.kinds) {
+    if (!can_run_on(work, kind)) continue;
+    const double fetch_s = work.image_gb / std::max(0.01, kind.fetch_gb_per_s);
+    if (fits_now && kind.machines > 0) consider(fetch_s);
+    if (!kind.refused) consider(kind.boot_s + fetch_s); // by scaling out
+    const auto priority = static_cast<std::size_t>(work.priority);
+    if (kind.machines > 0 && priority < cell.wait_s.size()) consider(cell.wait_s[priority] + fetch_s);
   }
   if (!best) return std::nullopt;
-  return *best + rules.hand_over_s + cell.age_s;
+  return *best + rules.handover_s + cell.age_s;
 }
 
-std::optional<Choice> choose(const Work &work, const std::vector<View> &cells, const Rules &rules) {
-  std::optional<Choice> best;
+std::optional<CellChoice> choose_cell(const DelegationCandidate &work, const std::vector<CellCapacity> &cells,
+                                      const PlanRules &rules) {
+  std::optional<CellChoice> best;
   for (std::size_t c = 0; c < cells.size(); ++c) {
-    if (!cells[c].open) continue;
-    const auto wait = wait_there(work, cells[c], rules);
-    if (!wait || work.wait_here_s < *wait + rules.margin_s + rules.margin_share * work.wait_here_s) continue;
-    const double s = score(work, cells[c], rules);
-    // The higher score, as among machines; among equals, for which there is no room anywhere, the shorter wait.
-    if (!best || s > best->score + 1e-12 || (s > best->score - 1e-12 && *wait < best->wait_s))
-      best = Choice{static_cast<int>(c), s, *wait};
+    if (!cells[c].available) continue;
+    const auto wait = expected_wait_s(work, cells[c], rules);
+    if (!wait || work.local_wait_s < *wait + rules.margin_s + rules.margin_share * work.local_wait_s) continue;
+    const double score = capacity_score(work, cells[c], rules);
+    // Equal scores occur where no cell has free capacity; the shorter wait decides.
+    if (!best || score > best->score + 1e-12 || (score > best->score - 1e-12 && *wait < best->wait_s))
+      best = CellChoice{static_cast<int>(c), score, *wait};
   }
   return best;
 }
 
 void CapacityGrants::expire(double now) {
-  std::erase_if(capacity_grants_, [now](const CapacityGrant &p) { return now >= p.until; });
+  std::erase_if(grants_, [now](const CapacityGrant &grant) { return now >= grant.expires_at; });
 }
 
-double CapacityGrants::promised_cpus(double now) {
+double CapacityGrants::granted_cpus(double now) {
   expire(now);
   double sum = 0;
-  for (const auto &p : capacity_grants_)
-    sum += p.cpus;
+  for (const auto &grant : grants_)
+    sum += grant.cpus;
   return sum;
 }
 
-std::uint32_t CapacityGrants::promise(std::uint64_t ticket, double cpus_each, std::uint32_t most, bool whole,
-                                      double free_cpus, double now) {
-  const double left = free_cpus - promised_cpus(now);
-  if (capacity_grants_.size() >= kMax || left <= 0) return 0;
-  const auto n =
+std::uint32_t CapacityGrants::grant(std::uint64_t grant_id, double cpus_each, std::uint32_t most, bool all_or_nothing,
+                                    double free_cpus, double now) {
+  const double left = free_cpus - granted_cpus(now);
+  if (grants_.size() >= kMaxGrants || left <= 0) return 0;
+  const auto tasks =
       std::min(most, static_cast<std::uint32_t>(std::min(1e6, std::floor(left / std::max(0.01, cpus_each) + 1e-9))));
-  if (n == 0 || (whole && n < most)) return 0;
-  capacity_grants_.push_back({ticket, n, n * cpus_each, now + kKept});
-  return n;
+  if (tasks == 0 || (all_or_nothing && tasks < most)) return 0;
+  grants_.push_back({grant_id, tasks, tasks * cpus_each, now + kGrantValidityS});
+  return tasks;
 }
 
-bool CapacityGrants::take(std::uint64_t ticket, std::uint32_t tasks, double now) {
+bool CapacityGrants::redeem(std::uint64_t grant_id, std::uint32_t tasks, double now) {
   expire(now);
-  const auto it = std::find_if(capacity_grants_.begin(), capacity_grants_.end(),
-                               [&](const CapacityGrant &p) { return p.ticket == ticket; });
-  if (it == capacity_grants_.end() || tasks > it->tasks) return false;
-  capacity_grants_.erase(it);
+  const auto it = std::find_if(grants_.begin(), grants_.end(),
+                               [&](const CapacityGrant &grant) { return grant.grant_id == grant_id; });
+  if (it == grants_.end() || tasks > it->tasks) return false;
+  grants_.erase(it);
   return true;
 }
 
--- a/src/core/federation/delegations_in.cpp
+++ b/src/core/federation/delegations_in.cpp
@@ -1,4 +1,4 @@
-// Cells, as the borrower: what is taken, kept confirmed, told of and given back.
+// The remote side of delegations: accepts offers, renews leases, reports progress and returns unstarted tasks.
 #include "federation_limits.hpp"
 
 #include <algorithm>
@@ -9,91 +9,97 @@
 
 namespace loftrouter::core {
 
-bool CellFederation::may_use(const cells::Work &work, const Lot &lot) const {
-  wire::CellKind k;
-  k.type = catalog_.type_name(lot.kind.type);
-  k.spot = lot.kind.spot;
-  k.size = lot.size;
-  return cells::allowed(work, k);
+bool CellFederation::can_run_on(const cells::DelegationCandidate &work, const MachinePool &pool) const {
+  wire::CellKind kind;
+  kind.type = catalog_.type_name(pool.kind.type);
+  kind.spot = pool.kind.spot;
+  kind.size = pool.size;
+  return cells::can_run_on(work, kind);
 }
 
-// CPUs for such work that own work does not need: places that are free, machine by machine, and what may be rented for
-// others.
-double CellFederation::spare_cpus(const cells::Work &work) const {
-  double free = 0, up = 0, delegated_here = 0;
-  bool rentable = false;
-  std::set<MachineKind> open;
-  for (const auto &l : lots_) {
-    up += l.cpus;
-    if (!may_use(work, l) || l.ahead > 0) continue;
-    open.insert(l.kind);
-    rentable |= !l.refused;
+// Returns the CPUs available to other cells' work of this kind: whole tasks that fit on machines for which no local job
+// waits, and an allowance for scaling out.
+double CellFederation::spare_cpus(const cells::DelegationCandidate &work) const {
+  double free = 0, running_cpus = 0, delegated_here = 0;
+  bool can_scale_out = false;
+  std::set<MachineKind> usable_kinds;
+  for (const auto &pool : machine_pools_) {
+    running_cpus += pool.cpus;
+    if (!can_run_on(work, pool) || pool.queued_cpu_s > 0) continue;
+    usable_kinds.insert(pool.kind);
+    can_scale_out |= !pool.lacks_capacity;
   }
   workers_.each([&](MachineIndex, const Machine &machine) {
     if (!machine.available() || machine.returning() || machine.admin_state || machine.reclaim_at ||
         machine.draining() || machine.heartbeat_overdue(runtime_.now(), settings_.heartbeat_interval_s) ||
-        !open.contains({machine.type, machine.zone, machine.spot}))
+        !usable_kinds.contains({machine.type, machine.zone, machine.spot}))
       return;
-    Resources room = machine.size;
-    room.add(machine.used, -1);
-    for (; work.need.fits(room); free += work.need.cpus)
-      room.add(work.need, -1);
+    Resources remaining = machine.size;
+    remaining.add(machine.used, -1);
+    for (; work.need.fits(remaining); free += work.need.cpus)
+      remaining.add(work.need, -1);
   });
   for (JobIndex job_index : inbound_list_) {
     const Job &job = jobs_[job_index];
     delegated_here += (job.pending() + job.placed) * job.spec.need.cpus;
     free -= job.pending() * job.spec.need.cpus;
   }
-  const double rent = rentable ? std::max(kMinAcceptedCpus, kAcceptShare * up) : 0;
-  return std::max(0.0,
-                  std::min(operators_.cell_rules().max_accepted_cpus - delegated_here, std::max(0.0, free) + rent));
+  const double scale_out_cpus = can_scale_out ? std::max(kMinAcceptedCpus, kScaleOutAcceptShare * running_cpus) : 0;
+  return std::max(
+      0.0, std::min(operators_.cell_rules().max_accepted_cpus - delegated_here, std::max(0.0, free) + scale_out_cpus));
 }
 
-void CellFederation::offered(const Route &from, int cell, wire::CellMessage &&m) {
-  auto answer = [this, from, cell, generation = m.generation, number = m.number](bool yes, std::string_view why) {
-    auto r = message(Kind::OfferReply, cell);
-    r.number = number;
-    r.generation = generation;
-    r.accepted = yes;
-    r.body = why;
-    reply(from, std::move(r));
+void CellFederation::handle_offer(const ReplyTarget &from, int cell, wire::CellMessage &&message) {
+  auto respond = [this, from, cell, generation = message.generation, number = message.number](bool accepted,
+                                                                                              std::string_view why) {
+    auto response = make_message(Kind::OfferReply, cell);
+    response.number = number;
+    response.generation = generation;
+    response.accepted = accepted;
+    response.body = why;
+    reply(from, std::move(response));
   };
   JobIndex known;
-  if (inbound(m.generation, cell, known)) return answer(true, "");
-  if (taking_.contains(m.generation)) return;
-  if (!leadership_.active() || !replicas_.may_answer_heartbeats()) return; // asked again
-  auto spec = wire::decode_job(m.body);
+  if (find_inbound(message.generation, cell, known)) return respond(true, "");
+  if (recording_offers_.contains(message.generation)) return;
+  if (!leadership_.active() || !replicas_.may_answer_heartbeats()) return; // the origin retries
+  auto spec = wire::decode_job(message.body);
   auto *job = std::get_if<JobSpec>(&spec);
-  if (!job || m.ranges.back().second > job->tasks) return answer(false, "the job cannot be read");
-  if (jobs_.index(job->id).valid()) return answer(false, "its id is in use here");
-  if (!operators_.cell_rules().accept) return answer(false, "nothing is borrowed here");
-  if (inbound_list_.size() >= kMaxInboundDelegations) return answer(false, "too much is borrowed already");
+  if (!job || message.ranges.back().second > job->tasks) return respond(false, "the job cannot be read");
+  if (jobs_.index(job->id).valid()) return respond(false, "its id is in use here");
+  if (!operators_.cell_rules().accept) return respond(false, "nothing is borrowed here");
+  if (inbound_list_.size() >= kMaxInboundDelegations) return respond(false, "too much is borrowed already");
   std::uint32_t tasks = 0;
-  for (auto [a, b] : m.ranges)
-    tasks += b - a;
-  if (!capacity_grants_.take(m.number, tasks, runtime_.now())) return answer(false, "no room was promised for it");
-  OpenRecord record{std::move(*job), runtime_.wall(), false, DelegationSource{m.from, m.generation, m.ranges}};
+  for (auto [begin, end] : message.ranges)
+    tasks += end - begin;
+  if (!capacity_grants_.redeem(message.number, tasks, runtime_.now()))
+    return respond(false, "no room was promised for it");
+  OpenRecord record{std::move(*job), runtime_.wall(), false,
+                    DelegationSource{message.from, message.generation, message.ranges}};
   record.spec.zone.reset();
-  const std::string key = wire::open_key(record.spec.id), end = wire::end_key(record.spec.id);
+  const std::string key = wire::open_key(record.spec.id), end_key = wire::end_key(record.spec.id);
   auto value = wire::to_json(record);
   if (!state_limits_.fits(value, StateServiceLimits::kCancellationMarkRoom))
-    return answer(false, "its description is too long to be kept");
+    return respond(false, "its description is too long to be kept");
   state_limits_.take_leader_writes(runtime_.now(), 1);
-  taking_.insert(m.generation);
-  // The record comes before the yes; an id that anybody here uses or has used is not mixed with it.
+  recording_offers_.insert(message.generation);
+  // The record is stored before the offer is accepted, and only if no local job has used the id.
   runtime_.store(
-      StoreCommit{{{std::string(wire::kLeaderKey), leadership_.term()}, {key, 0}, {end, 0}}, {{key, value, 0}}}, 1.5,
-      [this, answer, key, value, g = m.generation, epoch = leadership_.epoch()](const wire::StoreReply &reply) {
+      StoreCommit{{{std::string(wire::kLeaderKey), leadership_.term()}, {key, 0}, {end_key, 0}}, {{key, value, 0}}},
+      1.5,
+      [this, respond, key, value, generation = message.generation,
+       epoch = leadership_.epoch()](const wire::StoreReply &reply) {
         if (epoch != leadership_.epoch()) return;
-        taking_.erase(g);
-        if (reply.status == 409) return answer(false, "its id is in use here");
-        if (reply.status != 200) return; // if it is there all the same, the watch tells, and the next offer gets a yes
+        recording_offers_.erase(generation);
+        if (reply.status == 409) return respond(false, "its id is in use here");
+        if (reply.status != 200) return; // if it was stored anyway, the watch loads it and the next offer is accepted
         state_writer_.load_open_record(key, value, reply.revision);
-        answer(true, "");
+        respond(true, "");
       });
 }
 
-CellFederation::InboundDelegation *CellFederation::inbound(std::uint64_t generation, int origin, JobIndex &job_index) {
+CellFederation::InboundDelegation *CellFederation::find_inbound(std::uint64_t generation, int origin,
+                                                                JobIndex &job_index) {
   const auto it = inbound_jobs_.find({origin, generation});
   if (it == inbound_jobs_.end()) return nullptr;
   job_index = it->second;
@@ -102,100 +108,108 @@
 
 void CellFederation::close(JobIndex job_index, InboundDelegation &inbound) {
   inbound.state.close();
-  if (!jobs_[job_index].cancelled)
-    jobs_.cancel(job_index); // its tasks stop; that nobody here has cancelled it is not recorded
+  if (!jobs_[job_index].cancelled) jobs_.cancel(job_index); // stops its tasks; no cancellation is recorded
 }
 
-void CellFederation::expire() {
+void CellFederation::expire_delegations() {
   if (!leadership_.leading()) return;
   for (JobIndex job_index : inbound_list_) {
-    auto &d = *inbound_[job_index.position()];
-    d.state.tick(runtime_.now());
-    const double patience = d.restored ? kSureWithin : kFirstGrant;
-    if (d.state.closed() || (!d.state.granted_once() && runtime_.now() - d.known_at > patience)) close(job_index, d);
-    jobs_.pause(job_index, d.draining || !d.state.may_run(runtime_.now()));
+    auto &inbound = *inbound_[job_index.position()];
+    inbound.state.tick(runtime_.now());
+    const double timeout_s = inbound.restored ? kRestoredConfirmTimeoutS : kFirstConfirmTimeoutS;
+    if (inbound.state.closed() || (!inbound.state.ever_granted() && runtime_.now() - inbound.known_at > timeout_s))
+      close(job_index, inbound);
+    jobs_.pause(job_index, inbound.draining || !inbound.state.may_run(runtime_.now()));
   }
 }
 
-bool CellFederation::unsure_of(const Heartbeat &heartbeat) const {
+bool CellFederation::has_unconfirmed_delegation(const Heartbeat &heartbeat) const {
   if (inbound_list_.empty()) return false;
   return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [this](const TaskStatus &task) {
     const JobIndex job_index = jobs_.index(task.job);
-    const auto *d = job_index.valid() && job_index.position() < inbound_.size() && inbound_[job_index.position()]
-                        ? &*inbound_[job_index.position()]
-                        : nullptr;
-    return d && !d->state.granted_once() && !d->state.closed();
+    const auto *inbound = job_index.valid() && job_index.position() < inbound_.size() && inbound_[job_index.position()]
+                              ? &*inbound_[job_index.position()]
+                              : nullptr;
+    return inbound && !inbound->state.ever_granted() && !inbound->state.closed();
   });
 }
 
-void CellFederation::tend_inbound() {
+void CellFederation::advance_inbound() {
   if (inbound_list_.empty()) return;
   const double now = runtime_.now();
   const auto counts = workers_.running_tasks_by_job();
   for (std::size_t k = 0; k < inbound_list_.size(); ++k) {
     const JobIndex job_index = inbound_list_[k];
-    auto &d = *inbound_[job_index.position()];
+    auto &inbound = *inbound_[job_index.position()];
     const Job &job = jobs_[job_index];
-    // Not begun for long, or own work waits: what has not begun goes back, what runs may end.
-    const bool waits = job.pending() > 0 && !d.state.closed() && (job.placed == 0 || own_waiting_cpus_ > 0);
-    if (!waits)
-      d.idle_since = -1;
-    else if (d.idle_since < 0)
-      d.idle_since = now;
-    if (waits && now - d.idle_since > kUnstarted && !std::exchange(d.draining, true)) {
+    // Pending tasks are returned if none has started for long or local jobs wait; running tasks may finish.
+    const bool stalled = job.pending() > 0 && !inbound.state.closed() && (job.placed == 0 || own_waiting_cpus_ > 0);
+    if (!stalled)
+      inbound.stalled_since = -1;
+    else if (inbound.stalled_since < 0)
+      inbound.stalled_since = now;
+    if (stalled && now - inbound.stalled_since > kUnstartedTimeoutS && !std::exchange(inbound.draining, true)) {
       jobs_.pause(job_index, true);
-      workers_.release_unsent(job_index); // or it would keep a place for a start that is never sent
+      workers_.release_unsent(job_index); // frees the allocations whose start was never sent
     }
-    const bool still = job.placed == 0 && job.unaccounted == 0;
-    if (d.draining && still) close(job_index, d);
-    d.ended = still && (d.state.closed() || job.done == job.spec.tasks);
-    // An id that an own user wants is not kept waiting for another cell's answer.
-    if (d.ended && d.wanted) jobs_.confirm_end_by_origin(job_index);
+    const bool nothing_runs = job.placed == 0 && job.unaccounted == 0;
+    if (inbound.draining && nothing_runs) close(job_index, inbound);
+    inbound.ended = nothing_runs && (inbound.state.closed() || job.done == job.spec.tasks);
+    // A local user who has claimed the id doesn't wait for the origin's acknowledgement.
+    if (inbound.ended && inbound.id_claimed) jobs_.confirm_end_by_origin(job_index);
     const std::uint32_t running = counts[job_index.position()];
     const auto used = ledger_.enabled() ? ledger_.current_usage(job_index) : accounts::Usage{};
-    const bool news = d.ended || job.done != d.told_done || running != d.told_running || used.held() != d.told_held;
-    if (job.ending || now < d.next_told || (!news && now < d.next_told + kToldAtLeast - kToldEvery)) continue;
-    if (d.origin < 0) continue;
-    auto m = message(Kind::Progress, d.origin);
-    m.generation = d.state.generation();
-    m.origin_term = cells_[static_cast<std::size_t>(d.origin)].term;
-    m.ended = d.ended;
-    m.running = running;
-    m.usage = used;
+    const bool changed = inbound.ended || job.done != inbound.reported_done || running != inbound.reported_running ||
+                         used.held() != inbound.reported_usage;
+    if (job.ending || now < inbound.next_progress ||
+        (!changed && now < inbound.next_progress + kUnchangedProgressIntervalS - kProgressIntervalS))
+      continue;
+    if (inbound.origin < 0) continue;
+    auto message = make_message(Kind::Progress, inbound.origin);
+    message.generation = inbound.state.generation();
+    message.origin_term = cells_[static_cast<std::size_t>(inbound.origin)].term;
+    message.ended = inbound.ended;
+    message.running = running;
+    message.usage = used;
     std::vector<char> done(job.spec.tasks, 0);
-    for (auto [a, b] : job.delegated_here->tasks)
-      for (auto i = a; i < b && i < job.spec.tasks; ++i)
+    for (auto [begin, end] : job.delegated_here->tasks)
+      for (auto i = begin; i < end && i < job.spec.tasks; ++i)
         done[i] = job.tasks[i].state == TaskState::Done;
-    m.ranges = narrow(make_ranges(job.spec.tasks, [&](std::uint32_t i) { return done[i] != 0; }), wire::kCellMaxRanges);
-    d.next_told = now + (d.ended ? 1.0 : kToldEvery);
-    if (!send(d.origin, std::move(m))) continue;
-    d.told_done = job.done;
-    d.told_running = running;
-    d.told_held = used.held();
+    message.ranges =
+        narrow(make_ranges(job.spec.tasks, [&](std::uint32_t i) { return done[i] != 0; }), wire::kCellMaxRanges);
+    inbound.next_progress = now + (inbound.ended ? 1.0 : kProgressIntervalS);
+    if (!send(inbound.origin, std::move(message))) continue;
+    inbound.reported_done = job.done;
+    inbound.reported_running = running;
+    inbound.reported_usage = used.held();
   }
 }
 
-void CellFederation::renew(int origin) {
-  auto &c = cells_[static_cast<std::size_t>(origin)];
-  std::vector<std::uint64_t> about;
-  bool urgent = false;
+void CellFederation::renew_leases(int origin) {
+  auto &peer = cells_[static_cast<std::size_t>(origin)];
+  std::vector<std::uint64_t> generations;
+  bool unconfirmed = false;
   for (JobIndex job_index : inbound_list_) {
-    const auto &d = *inbound_[job_index.position()];
-    if (d.origin != origin || d.state.closed()) continue;
-    about.push_back(d.state.generation());
-    urgent |= !d.state.granted_once();
+    const auto &inbound = *inbound_[job_index.position()];
+    if (inbound.origin != origin || inbound.state.closed()) continue;
+    generations.push_back(inbound.state.generation());
+    unconfirmed |= !inbound.state.ever_granted();
   }
-  if (about.empty() || (runtime_.now() < c.next_renew && !(urgent && runtime_.now() > c.next_renew - 2))) return;
-  c.next_renew = runtime_.now() + kMaxGrant * kRenewShare;
-  std::erase_if(c.renewals, [this](const auto &r) { return runtime_.now() - r.second.first > kMaxGrant; });
-  for (std::size_t i = 0; i < about.size(); i += wire::kCellMaxGenerations) {
-    auto m = message(Kind::Renewal, origin);
-    m.number = ++c.question;
-    m.lease_s = settings_.lease_s;
-    m.generations.assign(about.begin() + static_cast<long>(i),
-                         about.begin() + static_cast<long>(std::min(about.size(), i + wire::kCellMaxGenerations)));
-    c.renewals[m.number] = {runtime_.now(), m.generations};
-    send(origin, std::move(m));
+  if (generations.empty() ||
+      (runtime_.now() < peer.next_renewal && !(unconfirmed && runtime_.now() > peer.next_renewal - 2)))
+    return;
+  peer.next_renewal = runtime_.now() + kMaxGrantS * kRenewalFraction;
+  std::erase_if(peer.pending_renewals,
+                [this](const auto &renewal) { return runtime_.now() - renewal.second.requested_at > kMaxGrantS; });
+  for (std::size_t i = 0; i < generations.size(); i += wire::kCellMaxGenerations) {
+    auto message = make_message(Kind::Renewal, origin);
+    message.number = ++peer.last_renewal_request;
+    message.lease_s = settings_.lease_s;
+    message.generations.assign(generations.begin() + static_cast<long>(i),
+                               generations.begin() +
+                                   static_cast<long>(std::min(generations.size(), i + wire::kCellMaxGenerations)));
+    peer.pending_renewals[message.number] = {runtime_.now(), message.generations};
+    send(origin, std::move(message));
   }
 }
 
--- a/src/core/federation/federation_limits.hpp
+++ b/src/core/federation/federation_limits.hpp
@@ -1,34 +1,35 @@
-// Bounds and intervals of the work that cells lend to each other, for the sources of `CellFederation` alone.
+// Limits and intervals of delegations, internal to the sources of `CellFederation`. Constants ending in S are seconds.
 #pragma once
 
 #include "loftrouter/core/federation/cell_federation.hpp"
 
-namespace loftrouter::core::lending {
+namespace loftrouter::core::federation_limits {
 
 using Kind = wire::CellMessage::Kind;
-inline constexpr double kTick = 0.25, kDecideEvery = 0.5, kSummaryEvery = 1.0, kRenewShare = 0.25, kToldEvery = 0.5;
-inline constexpr double kToldAtLeast = 5.0;                  // s, between words about a debt on which nothing changes
-inline constexpr double kMaxGrant = 10.0, kMinGrant = 4.0;   // s
-inline constexpr double kGrantSlack = 8.0;                   // s, of a cancellation's time that grants leave
-inline constexpr double kOfferFor = 10.0, kOfferAgain = 1.0; // s
-inline constexpr double kSureWithin = 2.0;                   // s, for a new leader to have what it borrows confirmed
-inline constexpr double kFirstGrant = 10.0;                  // s, for a new debt to be confirmed
-inline constexpr double kUnstarted = 20.0; // s, after which borrowed work that has not begun goes back
-inline constexpr double kNotAgain = 60.0, kNoRoomPause = 5.0; // s, between two hand-overs of a job to the same cell
-inline constexpr double kLongWait = 20.0;                     // s
-inline constexpr double kHomeHasRoom = 10.0;                  // s
-inline constexpr std::size_t kMaxWanted = 16;
-// Jobs borrowed, and generations lent: about one to each of 11,000 machines. At the limit nothing more is borrowed or
-// lent. Each has its job in the job table, which takes more memory than this.
+inline constexpr double kTickIntervalS = 0.25, kPlanIntervalS = 0.5, kSummaryIntervalS = 1.0;
+inline constexpr double kRenewalFraction = 0.25; // of a delegation lease, between renewals
+inline constexpr double kProgressIntervalS = 0.5;
+inline constexpr double kUnchangedProgressIntervalS = 5.0;
+inline constexpr double kMaxGrantS = 10.0, kMinGrantS = 4.0;
+inline constexpr double kCancellationSlackS = 8.0; // of the cancellation deadline, left free by leases
+inline constexpr double kOfferTimeoutS = 10.0, kRetryIntervalS = 1.0;
+inline constexpr double kRestoredConfirmTimeoutS = 2.0; // for delegations found by a new leader
+inline constexpr double kFirstConfirmTimeoutS = 10.0;
+inline constexpr double kUnstartedTimeoutS = 20.0; // unstarted inbound tasks are returned after this time
+inline constexpr double kRedelegationDelayS = 60.0, kCapacityRetryDelayS = 5.0; // per job and cell
+inline constexpr double kLongWaitS = 20.0;
+inline constexpr double kOriginIdleRecallS = 10.0; // unstarted tasks are recalled once they could start locally
+inline constexpr std::size_t kMaxCapacityRequests = 16;
+// At these limits nothing more is accepted or delegated.
 inline constexpr std::size_t kMaxInboundDelegations = 12'000, kMaxDelegations = 12'000;
 inline constexpr std::uint32_t kMinDelegatedTasks = 1;
-inline constexpr int kEager = 2;
-inline constexpr double kAcceptShare = 0.5, kMinAcceptedCpus = 32; // of the CPUs that are up; CPUs
-inline constexpr std::size_t kMaxRanges = 4;                       // of a loan
-inline const cells::Rules kRules;
+inline constexpr int kMinConsecutiveChoices = 2;                           // before a job is delegated
+inline constexpr double kScaleOutAcceptShare = 0.5, kMinAcceptedCpus = 32; // share of the running CPUs; CPUs
+inline constexpr std::size_t kMaxRangesPerDelegation = 4;
+inline const cells::PlanRules kPlanRules;
 
-} // namespace loftrouter::core::lending
+} // namespace loftrouter::core::federation_limits
 
 namespace loftrouter::core {
-using namespace lending;
+using namespace federation_limits;
 }
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -32,7 +32,7 @@
   int jobs = 1, generations = 1, frames = 2, terms = 2, questions = 2;
 };
 constexpr int kMaxJobs = 2;
-constexpr Terms kTerms{2, 1, 0, 0}; // in ticks
+constexpr LeaseTerms kTerms{2, 1, 0, 0}; // in ticks
 
 struct Frame {
   enum Kind : char { Offer, Ask, Grant, Ended } kind;
@@ -77,14 +77,14 @@
       if (j.delegation)
         out += {'L',
                 static_cast<char>(j.delegation->generation()),
-                static_cast<char>(j.delegation->offers()),
+                static_cast<char>(j.delegation->may_offer()),
                 static_cast<char>(j.delegation->closing()),
-                static_cast<char>(j.delegation->over(now)),
-                left(j.delegation->until()),
+                static_cast<char>(j.delegation->released(now)),
+                left(j.delegation->expires_at()),
                 static_cast<char>(j.delegation->remote_term())};
       if (j.inbound)
         out += {'D', static_cast<char>(j.inbound->generation()), static_cast<char>(j.inbound->closed()),
-                left(j.inbound->until()), static_cast<char>(j.inbound->asked_before())};
+                left(j.inbound->expires_at()), static_cast<char>(j.inbound->last_earlier_request())};
     }
     for (const auto &f : frames)
       out.append(reinterpret_cast<const char *>(&f), sizeof f);
@@ -145,18 +145,18 @@
         with([&](State &n) {
           Job &x = n.jobs[at];
           x.delegation.emplace(static_cast<Generation>(++x.generation), static_cast<std::uint64_t>(n.origin_term));
-          if (mutant_ == Mutant::RecordAfterOffer) x.delegation->recorded();
+          if (mutant_ == Mutant::RecordAfterOffer) x.delegation->mark_recorded();
         });
-      if (j.delegation && j.recorded != j.generation && !j.delegation->over(s.now))
+      if (j.delegation && j.recorded != j.generation && !j.delegation->released(s.now))
         with([&](State &n) {
           n.jobs[at].recorded = n.jobs[at].generation;
-          n.jobs[at].delegation->recorded();
+          n.jobs[at].delegation->mark_recorded();
         });
-      if (j.delegation && j.delegation->offers())
+      if (j.delegation && j.delegation->may_offer())
         with([&](State &n) { send(n, {Frame::Offer, k, j.generation, 0, 0, 0, n.origin_term, false}); });
-      if (j.delegation && !j.delegation->closing() && !j.delegation->over(s.now))
+      if (j.delegation && !j.delegation->closing() && !j.delegation->released(s.now))
         with([&](State &n) { n.jobs[at].delegation->close(); });
-      if (j.delegation && j.delegation->over(s.now))
+      if (j.delegation && j.delegation->released(s.now))
         with([&](State &n) {
           n.jobs[at].delegation.reset();
           n.jobs[at].recorded = 0;
@@ -254,17 +254,17 @@
       if (!j.inbound || f.term != n.term) return; // not an answer to this leader
       if (mutant_ != Mutant::GenerationIgnored && j.kept != f.generation) return;
       if (!f.yes) return j.inbound->close();
-      j.inbound->granted(static_cast<std::uint64_t>(f.question),
-                         mutant_ == Mutant::GrantFromAnswer ? n.now : n.now - f.asked_left, kTerms);
+      j.inbound->apply_grant(static_cast<std::uint64_t>(f.question),
+                             mutant_ == Mutant::GrantFromAnswer ? n.now : n.now - f.asked_left, kTerms);
       return;
     case Frame::Ended:
       if (j.delegation && mine &&
-          j.delegation->ended(
+          j.delegation->mark_ended(
               mutant_ == Mutant::TermIgnored ? ~std::uint64_t(0) : static_cast<std::uint64_t>(f.term),
               static_cast<std::uint64_t>(mutant_ == Mutant::HomeTermIgnored ? n.origin_term : f.origin_term)))
         j.done |= f.yes;
       // Home's answer, which may be lost; taken at once, it lets the borrower forget.
-      if (!j.delegation || !mine || j.delegation->over(n.now)) {
+      if (!j.delegation || !mine || j.delegation->released(n.now)) {
         if (j.kept == f.generation && j.runs_left < 0) {
           j.kept = 0;
           j.inbound.reset();
