--- a/tests/cells_test.cpp
+++ b/tests/cells_test.cpp
@@ -1,5 +1,5 @@
-// Several cells as one fleet, each with its own controllers, state service, cloud and workers: whatever fails, no task
-// runs in two of them, each job ends once, and waiting work goes where there is room.
+// Tests delegation between cells, each with its own controllers, state service, cloud and workers: under any failure no
+// task runs in two cells and each job ends once, and waiting work is delegated to cells with free capacity.
 #include <gtest/gtest.h>
 
 #include "federation.hpp"
@@ -10,15 +10,15 @@
 
 namespace {
 
-std::string all(const Federation &f) {
-  std::string out;
-  for (const auto &b : f.broken())
-    out += b + "\n";
-  return out;
+std::string violations(const Federation &federation) {
+  std::string lines;
+  for (const auto &violation : federation.broken())
+    lines += violation + "\n";
+  return lines;
 }
 
-// Cell 0 has few machines, the others as many as they want.
-std::vector<WorldOptions> one_small(int cells = 2, long machines = 4) {
+// Limits the machines of cell 0 only.
+std::vector<WorldOptions> small_first_cell(int cells = 2, long machines = 4) {
   std::vector<WorldOptions> out(static_cast<std::size_t>(cells));
   out[0].max_machines = machines;
   return out;
@@ -32,182 +32,183 @@
 
 } // namespace
 
-TEST(CellFederation, WaitingWorkGoesWhereThereIsRoom) {
-  double alone = 0;
+TEST(CellFederation, DelegatesWaitingWorkToCellsWithCapacity) {
+  double time_without_delegation = 0;
   for (bool delegate : {false, true}) {
-    Federation f(1, one_small());
-    if (!delegate) f.cut(0, 1, 1000);
+    Federation federation(1, small_first_cell());
+    if (!delegate) federation.cut(0, 1, 1000);
     for (int i = 0; i < 6; ++i)
-      f[0].at(5 + i, [&f] { f[0].submit(batch(f[0], 30, 20)); });
-    double over = 0;
-    for (double t = 10; t < 900 && !over; t += 5) {
-      f.run(t);
-      if (f[0].accepted_jobs == 6 && f.all_over()) over = t;
+      federation[0].at(5 + i, [&federation] { federation[0].submit(batch(federation[0], 30, 20)); });
+    double finished_at = 0;
+    for (double t = 10; t < 900 && !finished_at; t += 5) {
+      federation.run(t);
+      if (federation[0].accepted_jobs == 6 && federation.all_over()) finished_at = t;
     }
-    EXPECT_TRUE(f.broken().empty()) << all(f);
-    ASSERT_GT(over, 0) << f[0].finished_jobs;
+    EXPECT_TRUE(federation.broken().empty()) << violations(federation);
+    ASSERT_GT(finished_at, 0) << federation[0].finished_jobs;
     if (delegate) {
-      EXPECT_LT(over, 0.7 * alone);
-      EXPECT_FALSE(f.started_elsewhere.empty());
+      EXPECT_LT(finished_at, 0.7 * time_without_delegation);
+      EXPECT_FALSE(federation.remote_starts.empty());
     } else {
-      EXPECT_TRUE(f.started_elsewhere.empty());
-      alone = over;
+      EXPECT_TRUE(federation.remote_starts.empty());
+      time_without_delegation = finished_at;
     }
   }
 }
 
-// The borrower is cut off in the middle, for good or for a while: what it told stays done, the rest comes home by the
-// bound, and each job ends once.
-TEST(CellFederation, WorkOfAVanishedCellComesHome) {
-  for (double gone_for : {1000.0, 30.0, 15.0})
+// The remote cell is partitioned, for good or for a while: reported tasks stay done, the others return to the origin
+// cell once their lease has expired, and each job ends once.
+TEST(CellFederation, WorkOfAnUnreachableCellReturnsToItsOrigin) {
+  for (double partition_s : {1000.0, 30.0, 15.0})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-      Federation f(seed, one_small());
+      Federation federation(seed, small_first_cell());
       for (int i = 0; i < 6; ++i)
-        f[0].at(5 + i, [&f] { f[0].submit(batch(f[0], 30, 20)); });
-      f.run(45);
-      EXPECT_FALSE(f.started_elsewhere.empty());
-      f.cut(0, 1, gone_for);
-      f.run(900);
-      EXPECT_TRUE(f.broken().empty()) << all(f);
-      EXPECT_TRUE(f.all_over()) << f[0].finished_jobs << " of " << f[0].accepted_jobs;
+        federation[0].at(5 + i, [&federation] { federation[0].submit(batch(federation[0], 30, 20)); });
+      federation.run(45);
+      EXPECT_FALSE(federation.remote_starts.empty());
+      federation.cut(0, 1, partition_s);
+      federation.run(900);
+      EXPECT_TRUE(federation.broken().empty()) << violations(federation);
+      EXPECT_TRUE(federation.all_over()) << federation[0].finished_jobs << " of " << federation[0].accepted_jobs;
     }
 }
 
-// A loan that has lapsed may have been started at home; a next leader there that reads of it must not confirm it to the
-// borrower, which is back by then with what it still holds. (It did: docs/incidents/lapsed-loan-confirmed.md.)
-TEST(CellFederation, LapsedLoansAreNotConfirmedByTheNextLeader) {
+// Tasks of an expired delegation may have been restarted in the origin cell, so the next leader there must not confirm
+// it to a remote cell that returns with them. See docs/incidents/lapsed-loan-confirmed.md.
+TEST(CellFederation, NextLeaderDoesNotConfirmExpiredDelegations) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    Federation f(seed, one_small(2, 6));
+    Federation federation(seed, small_first_cell(2, 6));
     for (int i = 0; i < 6; ++i)
-      f[0].at(5 + i, [&f] { f[0].submit(batch(f[0], 30, 25)); });
-    f.run(45);
-    f.cut(0, 1, 28);
+      federation[0].at(5 + i, [&federation] { federation[0].submit(batch(federation[0], 30, 25)); });
+    federation.run(45);
+    federation.cut(0, 1, 28);
     for (int k = 0; k < 3; ++k)
-      f[1].cut_state(k, 28, World::Cut::Drop); // so that it cannot forget what it has closed
-    f.run(72);
-    f[0].crash(std::max(0, f[0].leader()), 3);
-    f[1].crash(std::max(0, f[1].leader()), 3);
-    f.run(900);
-    EXPECT_TRUE(f.broken().empty()) << seed << "\n" << all(f);
-    EXPECT_TRUE(f.all_over());
+      federation[1].cut_state(k, 28, World::Cut::Drop); // keeps it from recording the end of the delegation
+    federation.run(72);
+    federation[0].crash(std::max(0, federation[0].leader()), 3);
+    federation[1].crash(std::max(0, federation[1].leader()), 3);
+    federation.run(900);
+    EXPECT_TRUE(federation.broken().empty()) << seed << "\n" << violations(federation);
+    EXPECT_TRUE(federation.all_over());
   }
 }
 
-// A cancellation at home, at each step of a loan, also when the borrower cannot be told.
-TEST(CellFederation, CancelledWorkIsOverEverywhereInTime) {
+// Cancels jobs at each step of a delegation, also while the remote cell is unreachable.
+TEST(CellFederation, CancelledWorkStopsInAllCellsInTime) {
   for (bool cut : {false, true})
     for (int step = 0; step < 12; ++step) {
-      Federation f(static_cast<std::uint64_t>(step) + 1, one_small());
+      Federation federation(static_cast<std::uint64_t>(step) + 1, small_first_cell());
       std::vector<std::string> ids;
       for (int i = 0; i < 5; ++i)
-        f[0].at(5 + i, [&] { ids.push_back(f[0].submit(batch(f[0], 30, 60))); });
+        federation[0].at(5 + i, [&] { ids.push_back(federation[0].submit(batch(federation[0], 30, 60))); });
       const double at = 12 + 2.5 * step;
-      f.run(at);
-      if (cut) f.cut(0, 1, 1000);
+      federation.run(at);
+      if (cut) federation.cut(0, 1, 1000);
       for (const auto &id : ids)
-        f[0].cancel(id);
-      f.run(at + 120);
-      EXPECT_TRUE(f.broken().empty()) << "step " << step << "\n" << all(f);
-      EXPECT_TRUE(f.all_over());
+        federation[0].cancel(id);
+      federation.run(at + 120);
+      EXPECT_TRUE(federation.broken().empty()) << "step " << step << "\n" << violations(federation);
+      EXPECT_TRUE(federation.all_over());
     }
 }
 
-// A team's limit holds over all cells together.
-TEST(CellFederation, TeamLimitsHoldOverAllCells) {
-  Federation f(3, one_small());
+TEST(CellFederation, TeamLimitsHoldAcrossCells) {
+  Federation federation(3, small_first_cell());
   for (int i = 0; i < 8; ++i)
-    f[0].at(5 + i, [&f] {
-      f[0].submit(batch(f[0], 20, 15, "blue")); // at most 12 CPUs
-      f[0].submit(batch(f[0], 20, 15));
+    federation[0].at(5 + i, [&federation] {
+      federation[0].submit(batch(federation[0], 20, 15, "blue")); // at most 12 CPUs
+      federation[0].submit(batch(federation[0], 20, 15));
     });
-  f.run(900);
-  EXPECT_TRUE(f.broken().empty()) << all(f);
-  EXPECT_TRUE(f.all_over());
-  EXPECT_FALSE(f.started_elsewhere.empty());
+  federation.run(900);
+  EXPECT_TRUE(federation.broken().empty()) << violations(federation);
+  EXPECT_TRUE(federation.all_over());
+  EXPECT_FALSE(federation.remote_starts.empty());
 }
 
-// What may not leave stays, however long the queue, and whoever asks is told where the rest is.
-TEST(CellFederation, WorkThatMayNotLeaveStays) {
-  Federation f(4, one_small());
-  f.run(10);
-  const auto set = f[0].admin(0, "PUT", "/admin/v1/cells", R"({"stay_teams": ["blue"], "stay_classes": ["secret"]})");
-  f.run(18);
-  ASSERT_EQ(set->status, 200);
-  std::vector<std::string> stays;
-  std::string goes;
+// Excluded teams and classes are never delegated, and a job lookup names the cell that runs the others.
+TEST(CellFederation, ExcludedWorkIsNotDelegated) {
+  Federation federation(4, small_first_cell());
+  federation.run(10);
+  const auto rules_reply =
+      federation[0].admin(0, "PUT", "/admin/v1/cells", R"({"stay_teams": ["blue"], "stay_classes": ["secret"]})");
+  federation.run(18);
+  ASSERT_EQ(rules_reply->status, 200);
+  std::vector<std::string> excluded;
+  std::string delegable;
   for (int i = 0; i < 4; ++i)
-    f[0].at(18 + i, [&] {
-      stays.push_back(f[0].submit(batch(f[0], 20, 15, "blue")));
-      auto secret = batch(f[0], 20, 15);
+    federation[0].at(18 + i, [&] {
+      excluded.push_back(federation[0].submit(batch(federation[0], 20, 15, "blue")));
+      auto secret = batch(federation[0], 20, 15);
       secret.job_class = "secret";
-      stays.push_back(f[0].submit(secret));
-      goes = f[0].submit(batch(f[0], 40, 15));
+      excluded.push_back(federation[0].submit(secret));
+      delegable = federation[0].submit(batch(federation[0], 40, 15));
     });
-  f.run(60);
-  const auto seen = f[0].look_up(f[0].leader(), goes), elsewhere = f[1].look_up(0, goes);
-  const auto status = f[0].admin(f[0].leader(), "GET", "/admin/v1/status");
-  f.run(61);
-  EXPECT_NE(seen->body.value("reason", "").find("in cell q"), std::string::npos) << seen->body;
-  EXPECT_EQ(elsewhere->status, 404) << "nobody has submitted it there";
+  federation.run(60);
+  const auto in_origin_cell = federation[0].look_up(federation[0].leader(), delegable),
+             in_remote_cell = federation[1].look_up(0, delegable);
+  const auto status = federation[0].admin(federation[0].leader(), "GET", "/admin/v1/status");
+  federation.run(61);
+  EXPECT_NE(in_origin_cell->body.value("reason", "").find("in cell q"), std::string::npos) << in_origin_cell->body;
+  EXPECT_EQ(in_remote_cell->status, 404) << "it was not submitted there";
   EXPECT_EQ(status->body["cells"][0]["cell"], "q");
-  f.run(900);
-  for (const auto &id : stays)
-    EXPECT_EQ(f.started_elsewhere.count(id), 0u) << id;
-  EXPECT_GT(f.started_elsewhere.count(goes), 0u);
-  EXPECT_TRUE(f.broken().empty()) << all(f);
-  EXPECT_TRUE(f.all_over());
+  federation.run(900);
+  for (const auto &id : excluded)
+    EXPECT_EQ(federation.remote_starts.count(id), 0u) << id;
+  EXPECT_GT(federation.remote_starts.count(delegable), 0u);
+  EXPECT_TRUE(federation.broken().empty()) << violations(federation);
+  EXPECT_TRUE(federation.all_over());
 }
 
-// Ids that both cells' users have chosen are not mixed: neither is lent over the other, and an own user who comes later
-// gets the id.
+// Users of two cells may choose the same job id. A job isn't delegated to a cell that uses its id, and a later local
+// job takes the id over.
 TEST(CellFederation, SameIdsInTwoCellsAreNotMixed) {
-  auto options = one_small();
+  auto options = small_first_cell();
   options[0].first_job = options[1].first_job = 500;
-  Federation f(5, options);
+  Federation federation(5, options);
   for (int i = 0; i < 6; ++i) {
-    f[0].at(5 + i, [&f] { f[0].submit(batch(f[0], 20, 20)); });
-    if (i % 2) f[1].at(4 + i, [&f] { f[1].submit(batch(f[1], 3, 5)); }); // their numbers meet here and there
+    federation[0].at(5 + i, [&federation] { federation[0].submit(batch(federation[0], 20, 20)); });
+    if (i % 2)
+      federation[1].at(4 + i, [&federation] { federation[1].submit(batch(federation[1], 3, 5)); }); // some ids coincide
   }
-  f[1].at(40, [&f] {
+  federation[1].at(40, [&federation] {
     for (int i = 0; i < 5; ++i)
-      f[1].submit(batch(f[1], 2, 5));
+      federation[1].submit(batch(federation[1], 2, 5));
   });
-  f.run(900);
-  EXPECT_TRUE(f.broken().empty()) << all(f);
-  EXPECT_TRUE(f.all_over()) << f[0].finished_jobs << " " << f[1].finished_jobs;
-  EXPECT_EQ(f[1].finished_jobs, 8);
+  federation.run(900);
+  EXPECT_TRUE(federation.broken().empty()) << violations(federation);
+  EXPECT_TRUE(federation.all_over()) << federation[0].finished_jobs << " " << federation[1].finished_jobs;
+  EXPECT_EQ(federation[1].finished_jobs, 8);
 }
 
-// What an earlier loan of a job has done here stays in the progress record for a while; the next loan of the same job
-// must not be told as done by it. (It was, once in 2,000 seeded worlds: not_done.)
-TEST(CellFederation, WhatAnEarlierLoanDidIsNotTakenForThisOnes) {
-  for (std::uint64_t written_by : {5, 7}) {
+// Progress recorded under an earlier delegation of a job must not be reported for the next one (not_done).
+TEST(CellFederation, IgnoresProgressOfAnEarlierDelegation) {
+  for (std::uint64_t recorded_generation : {5, 7}) {
     WorldOptions o;
     o.cells = {"q", {{"p", {"p:0"}}}};
     World w(1, o);
     auto spec = w.job(Shape::Array, 24, 1, 10);
     ProgressRecord progress;
     progress.finished = {{0, 22}};
-    progress.delegated_here = written_by;
+    progress.delegated_here = recorded_generation;
     w.put_record("open/" + spec.id, wire::to_json(OpenRecord{spec, 1.7e9, false, DelegationSource{"p", 7, {{8, 24}}}}));
     w.put_record("progress/s0", wire::progress_shard({{spec.id, wire::to_json(progress)}}));
-    Ranges told;
+    Ranges reported;
     bool ended = false;
-    w.send_cell = [&](int, const core::CellSend &s) {
-      if (s.message.kind != wire::CellMessage::Kind::Progress) return;
-      told = s.message.ranges;
-      ended |= s.message.ended;
+    w.send_cell = [&](int, const core::CellSend &outgoing) {
+      if (outgoing.message.kind != wire::CellMessage::Kind::Progress) return;
+      reported = outgoing.message.ranges;
+      ended |= outgoing.message.ended;
     };
-    w.run(20); // nobody confirms it: it ends
+    w.run(20); // ends, as no origin confirms it
     EXPECT_TRUE(ended);
-    EXPECT_EQ(told, written_by == 7 ? Ranges({{8, 22}}) : Ranges()) << written_by;
+    EXPECT_EQ(reported, recorded_generation == 7 ? Ranges({{8, 22}}) : Ranges()) << recorded_generation;
   }
 }
 
 class CellSeeds : public ::testing::TestWithParam<int> {};
 
-// Everything at once, in both cells and between them.
-TEST_P(CellSeeds, TroublesBreakNoRule) {
+// Combines failures within the cells with partitions between them.
+TEST_P(CellSeeds, RulesHoldUnderFailures) {
   const auto seed = static_cast<std::uint64_t>(GetParam());
   std::vector<WorldOptions> options;
   const int cells = seed % 4 == 3 ? 3 : 2;
@@ -217,36 +218,37 @@
     o.max_machines = c == 0 ? 5 : seed % 3 ? 400 : 8;
     options.push_back(o);
   }
-  Federation f(seed, options, seed % 3 ? 0.03 : 0);
+  Federation federation(seed, options, seed % 3 ? 0.03 : 0);
   for (int c = 0; c < cells; ++c)
-    mixed_load(f[c], c ? 8 : 25);
+    mixed_load(federation[c], c ? 8 : 25);
   for (int i = 0; i < 5; ++i)
-    f[0].at(20 + 10 * i, [&f] { f[0].submit(batch(f[0], 25, 12)); });
+    federation[0].at(20 + 10 * i, [&federation] { federation[0].submit(batch(federation[0], 25, 12)); });
   std::mt19937_64 rng(seed * 13 + 1);
   auto pick = [&](int n) { return static_cast<int>(rng() % static_cast<unsigned>(n)); };
   for (int c = 0; c < cells; ++c)
-    if (seed % 2 || c == 1) make_trouble(f[c], seed + static_cast<std::uint64_t>(100 * c));
-  struct Break {
+    if (seed % 2 || c == 1) make_trouble(federation[c], seed + static_cast<std::uint64_t>(100 * c));
+  struct Partition {
     double at;
     int from, from_node, to, to_node;
     double for_s;
     bool both;
   };
-  std::vector<Break> breaks;
+  std::vector<Partition> partitions;
   for (int i = 0; i < 6; ++i) {
     const int from = pick(cells), to = (from + 1 + pick(cells - 1)) % cells;
-    breaks.push_back(
+    partitions.push_back(
         {30.0 + pick(130), from, pick(2) ? -1 : pick(3), to, pick(2) ? -1 : pick(3), 3.0 + pick(50), pick(2) == 1});
   }
-  std::sort(breaks.begin(), breaks.end(), [](const Break &a, const Break &b) { return a.at < b.at; });
-  for (const auto &b : breaks) {
-    f.run(b.at);
-    f.cut(b.from, b.from_node, b.to, b.to_node, b.for_s);
-    if (b.both) f.cut(b.to, b.to_node, b.from, b.from_node, b.for_s);
+  std::sort(partitions.begin(), partitions.end(), [](const Partition &a, const Partition &b) { return a.at < b.at; });
+  for (const auto &partition : partitions) {
+    federation.run(partition.at);
+    federation.cut(partition.from, partition.from_node, partition.to, partition.to_node, partition.for_s);
+    if (partition.both)
+      federation.cut(partition.to, partition.to_node, partition.from, partition.from_node, partition.for_s);
   }
-  f.run(700);
-  EXPECT_TRUE(f.broken().empty()) << all(f);
-  EXPECT_TRUE(f.all_over()) << f[0].finished_jobs << " of " << f[0].accepted_jobs;
+  federation.run(700);
+  EXPECT_TRUE(federation.broken().empty()) << violations(federation);
+  EXPECT_TRUE(federation.all_over()) << federation[0].finished_jobs << " of " << federation[0].accepted_jobs;
 }
 
 INSTANTIATE_TEST_SUITE_P(CellFederation, CellSeeds, ::testing::Range(1, 1 + seeds(6)));
