--- a/src/core/federation/cell_federation.cpp
+++ b/src/core/federation/cell_federation.cpp
@@ -11,8 +11,8 @@
 namespace loftrouter::core {
 
 Settings with_cell_teams(Settings settings) {
-  for (const auto &peer : settings.cells.others)
-    settings.teams.push_back({"@" + peer.name, 0, 0, 0, 0});
+  for (const auto &other_cell : settings.cells.others)
+    settings.teams.push_back({"@" + other_cell.name, 0, 0, 0, 0});
   return settings;
 }
 
@@ -28,14 +28,16 @@
       failure_attribution_(failure_attribution), ledger_(ledger), state_writer_(state_writer), workers_(workers),
       replicas_(replicas), quotas_(quotas), autoscaler_(autoscaler), objectives_(objectives),
       forwarded_requests_(256, runtime.nonce()), last_request_number_(runtime.nonce()) {
-  for (const auto &peer : settings_.cells.others) {
+  for (const auto &other_cell : settings_.cells.others) {
     std::vector<int> nodes;
-    for (const auto &address : peer.nodes) {
+    for (const auto &address : other_cell.nodes) {
       nodes.push_back(static_cast<int>(node_addresses_.size()));
       node_addresses_.push_back(address);
     }
-    cells_.push_back(
-        {.name = peer.name, .nodes = cells::CellMembership(std::move(nodes)), .capacity = {}, .pending_renewals = {}});
+    cells_.push_back({.name = other_cell.name,
+                      .nodes = cells::CellMembership(std::move(nodes)),
+                      .capacity = {},
+                      .pending_renewals = {}});
     cells_.back().last_renewal_request = last_request_number_;
   }
 }
@@ -56,10 +58,10 @@
 }
 
 bool CellFederation::send(int cell, wire::CellMessage message) {
-  auto &peer = cells_[static_cast<std::size_t>(cell)];
-  const int node = peer.nodes.target(runtime_.now());
+  auto &other_cell = cells_[static_cast<std::size_t>(cell)];
+  const int node = other_cell.nodes.target(runtime_.now());
   if (node < 0) return false;
-  peer.nodes.request_sent(runtime_.now());
+  other_cell.nodes.request_sent(runtime_.now());
   runtime_.send(CellSend{node, 0, std::move(message)});
   return true;
 }
@@ -128,25 +130,25 @@
 
 void CellFederation::dispatch(const ReplyTarget &from, int node, wire::CellMessage &&message) {
   const int cell = find_cell(message.from);
-  auto &peer = cells_[static_cast<std::size_t>(cell)];
+  auto &other_cell = cells_[static_cast<std::size_t>(cell)];
   if (node >= 0) {
     int leader = -1;
     if (message.kind == Kind::SummaryReply)
       for (std::size_t n = 0; n < node_addresses_.size(); ++n)
         if (node_addresses_[n] == message.address) leader = static_cast<int>(n);
-    peer.nodes.response_received(node, leader, runtime_.now());
+    other_cell.nodes.response_received(node, leader, runtime_.now());
   }
   if (!leadership_.leading()) return;
   switch (message.kind) {
   case Kind::Summary:
   case Kind::SummaryReply:
-    peer.heard_at = runtime_.now();
-    peer.term = std::max(peer.term, message.term);
-    peer.lease_s = message.lease_s;
-    peer.capacity.kinds = std::move(message.kinds);
-    peer.capacity.wait_s = std::move(message.wait_s);
+    other_cell.heard_at = runtime_.now();
+    other_cell.term = std::max(other_cell.term, message.term);
+    other_cell.lease_s = message.lease_s;
+    other_cell.capacity.kinds = std::move(message.kinds);
+    other_cell.capacity.wait_s = std::move(message.wait_s);
     if (message.kind == Kind::Summary) {
-      peer.supports_quotas = message.number & wire::kKnowsQuotas;
+      other_cell.supports_quotas = message.number & wire::kKnowsQuotas;
       auto response = make_message(Kind::SummaryReply, cell);
       response.number = message.number;
       fill_summary(response);
@@ -179,14 +181,14 @@
     delegation->accepted |= message.accepted;
     if (message.accepted || delegation->state.confirmed()) return;
     runtime_.log(LogLevel::Info, "delegation_refused",
-                 {{"job", jobs_[job_index].spec.id}, {"cell", peer.name}, {"why", message.body.substr(0, 100)}});
+                 {{"job", jobs_[job_index].spec.id}, {"cell", other_cell.name}, {"why", message.body.substr(0, 100)}});
     delegation->state.close();
     return;
   }
   case Kind::Renewal: {
     auto response = make_message(Kind::RenewalReply, cell);
     response.number = message.number;
-    response.grant_s = grant_s(peer.lease_s);
+    response.grant_s = grant_s(other_cell.lease_s);
     for (auto generation : message.generations) {
       JobIndex job_index;
       OutboundDelegation *delegation = find_outbound(generation, job_index);
@@ -204,11 +206,11 @@
     return reply(from, std::move(response));
   }
   case Kind::RenewalReply: {
-    const auto it = peer.pending_renewals.find(message.number);
-    if (it == peer.pending_renewals.end()) return;
+    const auto it = other_cell.pending_renewals.find(message.number);
+    if (it == other_cell.pending_renewals.end()) return;
     const auto [requested_at, generations] = std::move(it->second);
-    peer.pending_renewals.erase(it);
-    peer.term = std::max(peer.term, message.term);
+    other_cell.pending_renewals.erase(it);
+    other_cell.term = std::max(other_cell.term, message.term);
     cells::LeaseTerms granted_terms;
     granted_terms.grant_s = std::min(message.grant_s, kMaxGrantS);
     for (auto generation : generations) {
@@ -366,24 +368,24 @@
   delegation_backoff_.clear();
   consecutive_choices_.clear();
   local_waits_.clear();
-  for (auto &peer : cells_)
-    peer.pending_renewals.clear();
+  for (auto &other_cell : cells_)
+    other_cell.pending_renewals.clear();
 }
 
 std::vector<CellFederation::CellStatus> CellFederation::cell_statuses() const {
   std::vector<CellStatus> out;
-  for (const auto &peer : cells_) {
-    CellStatus status{peer.name, peer.heard_at < -1e8 ? -1 : runtime_.now() - peer.heard_at,
-                      peer.lease_s <= 0 || grant_s(peer.lease_s) > 0};
+  for (const auto &other_cell : cells_) {
+    CellStatus status{other_cell.name, other_cell.heard_at < -1e8 ? -1 : runtime_.now() - other_cell.heard_at,
+                      other_cell.lease_s <= 0 || grant_s(other_cell.lease_s) > 0};
     jobs_.each([&](JobIndex job_index, const Job &job) {
       for (const auto &delegation : job.delegations)
-        if (delegation.cell == peer.name && !delegation.expired) {
+        if (delegation.cell == other_cell.name && !delegation.expired) {
           ++status.delegations;
           for (auto [begin, end] : delegation.tasks)
             for (auto i = begin; i < end; ++i)
               status.delegated_out_tasks += job.tasks[i].state == TaskState::Delegated;
         }
-      if (!job.delegated_here || job.delegated_here->origin != peer.name) return;
+      if (!job.delegated_here || job.delegated_here->origin != other_cell.name) return;
       ++status.delegations_in;
       status.delegated_in_tasks += job.pending() + job.placed + job.unaccounted;
       (void)job_index;
--- a/src/core/federation/delegations_in.cpp
+++ b/src/core/federation/delegations_in.cpp
@@ -186,7 +186,7 @@
 }
 
 void CellFederation::renew_leases(int origin) {
-  auto &peer = cells_[static_cast<std::size_t>(origin)];
+  auto &other_cell = cells_[static_cast<std::size_t>(origin)];
   std::vector<std::uint64_t> generations;
   bool unconfirmed = false;
   for (JobIndex job_index : inbound_list_) {
@@ -196,19 +196,19 @@
     unconfirmed |= !inbound.state.ever_granted();
   }
   if (generations.empty() ||
-      (runtime_.now() < peer.next_renewal && !(unconfirmed && runtime_.now() > peer.next_renewal - 2)))
+      (runtime_.now() < other_cell.next_renewal && !(unconfirmed && runtime_.now() > other_cell.next_renewal - 2)))
     return;
-  peer.next_renewal = runtime_.now() + kMaxGrantS * kRenewalFraction;
-  std::erase_if(peer.pending_renewals,
+  other_cell.next_renewal = runtime_.now() + kMaxGrantS * kRenewalFraction;
+  std::erase_if(other_cell.pending_renewals,
                 [this](const auto &renewal) { return runtime_.now() - renewal.second.requested_at > kMaxGrantS; });
   for (std::size_t i = 0; i < generations.size(); i += wire::kCellMaxGenerations) {
     auto message = make_message(Kind::Renewal, origin);
-    message.number = ++peer.last_renewal_request;
+    message.number = ++other_cell.last_renewal_request;
     message.lease_s = settings_.lease_s;
     message.generations.assign(generations.begin() + static_cast<long>(i),
                                generations.begin() +
                                    static_cast<long>(std::min(generations.size(), i + wire::kCellMaxGenerations)));
-    peer.pending_renewals[message.number] = {runtime_.now(), message.generations};
+    other_cell.pending_renewals[message.number] = {runtime_.now(), message.generations};
     send(origin, std::move(message));
   }
 }
--- a/src/core/federation/delegations_out.cpp
+++ b/src/core/federation/delegations_out.cpp
@@ -67,16 +67,16 @@
   if (!operators_.cell_rules().delegate || outbound_jobs_.size() >= kMaxDelegations) return;
   std::vector<cells::CellCapacity> capacities;
   bool any = false;
-  for (auto &peer : cells_) {
-    capacities.push_back(peer.capacity);
-    capacities.back().age_s = runtime_.now() - peer.heard_at;
-    capacities.back().available = grant_s(peer.lease_s) > 0;
-    if (!capacities.back().available && peer.lease_s > 0 && !std::exchange(peer.reported_disabled, true))
+  for (auto &other_cell : cells_) {
+    capacities.push_back(other_cell.capacity);
+    capacities.back().age_s = runtime_.now() - other_cell.heard_at;
+    capacities.back().available = grant_s(other_cell.lease_s) > 0;
+    if (!capacities.back().available && other_cell.lease_s > 0 && !std::exchange(other_cell.reported_disabled, true))
       runtime_.log(LogLevel::Error, "delegation_disabled",
-                   {{"cell", peer.name},
+                   {{"cell", other_cell.name},
                     {"why", "cancel_s leaves no time for a delegation lease beside the worker lease"},
                     {"cancel_s", settings_.cancel_s},
-                    {"lease_s", peer.lease_s}});
+                    {"lease_s", other_cell.lease_s}});
     any |= capacities.back().available && capacities.back().age_s < kPlanRules.max_summary_age_s;
   }
   if (!any) return;
@@ -179,23 +179,23 @@
   }
   std::reverse(ranges.begin(), ranges.end());
   if (selected == 0 || (all_or_nothing && selected < job->pending())) return;
-  const auto &peer = cells_[static_cast<std::size_t>(request.cell)];
+  const auto &other_cell = cells_[static_cast<std::size_t>(request.cell)];
   const cells::Generation generation = (leadership_.term() << 20) + ++delegations_made_;
   get_or_create(outbound_, request.job)
       .push_back({.state = cells::DelegationAtOrigin(generation, leadership_.term()),
                   .cell = request.cell,
                   .created_at = runtime_.now(),
                   .grant_id = grant_id,
-                  .terms = terms(peer.lease_s)});
+                  .terms = terms(other_cell.lease_s)});
   outbound_jobs_[generation] = request.job;
   delegation_backoff_[backoff_key(job->serial, request.cell)] = runtime_.now() + kRedelegationDelayS;
   runtime_.log(LogLevel::Info, "delegation_started",
                {{"job", job->spec.id},
                 {"class", job->spec.job_class},
                 {"tasks", selected},
-                {"cell", peer.name},
+                {"cell", other_cell.name},
                 {"expected_wait_s", local_waits_[request.job.position()]}});
-  jobs_.delegate(request.job, {generation, peer.name, std::move(ranges), peer.lease_s, false, {}});
+  jobs_.delegate(request.job, {generation, other_cell.name, std::move(ranges), other_cell.lease_s, false, {}});
 }
 
 CellFederation::OutboundDelegation *CellFederation::find_outbound(std::uint64_t generation, JobIndex &job_index) {
--- a/src/core/federation/quota_exchange.cpp
+++ b/src/core/federation/quota_exchange.cpp
@@ -40,9 +40,9 @@
 }
 
 const std::map<std::string, QuotaExchange::Acknowledged> &QuotaExchange::acknowledged(const std::string &team) const {
-  static const std::map<std::string, Acknowledged> none;
+  static const std::map<std::string, Acknowledged> kNone;
   const auto it = acknowledged_.find(team);
-  return it == acknowledged_.end() ? none : it->second;
+  return it == acknowledged_.end() ? kNone : it->second;
 }
 
 void QuotaExchange::tick() {
@@ -77,8 +77,8 @@
     }
   if (!changed) {
     if (within_cap(team, record)) changed |= cells::acknowledge(record, quotas_.this_cell());
-    for (const auto &[cell, said] : acknowledged(team))
-      if (said.version == version && said.within_cap) changed |= cells::acknowledge(record, cell);
+    for (const auto &[cell, acknowledgement] : acknowledged(team))
+      if (acknowledgement.version == version && acknowledgement.within_cap) changed |= cells::acknowledge(record, cell);
     changed |= cells::raise_caps(record, quotas_.cells());
   }
   if (!changed) return;
@@ -92,11 +92,11 @@
 
 bool QuotaExchange::send_record(int cell, const std::string &team, const wire::QuotaRecord &record) {
   const auto &name = federation_.cell_name(cell);
-  const auto said = acknowledged(team).find(name);
-  const bool known = said != acknowledged(team).end() && said->second.version == record.version;
+  const auto acknowledgement = acknowledged(team).find(name);
+  const bool known = acknowledgement != acknowledged(team).end() && acknowledgement->second.version == record.version;
   const auto cap = record.caps.find(name), held = record.held.find(name);
   const bool settled = cap == record.caps.end() || (held != record.held.end() && held->second == cap->second);
-  if (known && (said->second.within_cap || settled)) return false;
+  if (known && (acknowledgement->second.within_cap || settled)) return false;
   SentRecord &last = sent_[{team, name}];
   if (last.version == record.version && runtime_.now() < last.next_send) return false;
   last = {record.version, runtime_.now() + kResendIntervalS};
@@ -108,10 +108,10 @@
 
 void QuotaExchange::handle_acknowledgement(int cell, const wire::CellMessage &message) {
   if (!changes_.owns(message.body)) return;
-  auto &said = acknowledged_[message.body][federation_.cell_name(cell)];
-  if (message.version < said.version) return;
-  if (message.version > said.version) said = {message.version, runtime_.wall(), false};
-  said.within_cap |= message.within_cap;
+  auto &acknowledgement = acknowledged_[message.body][federation_.cell_name(cell)];
+  if (message.version < acknowledgement.version) return;
+  if (message.version > acknowledgement.version) acknowledgement = {message.version, runtime_.wall(), false};
+  acknowledgement.within_cap |= message.within_cap;
   next_tick_ = 0;
 }
 
