--- a/src/core/federation/delegation_plan.cpp
+++ b/src/core/federation/delegation_plan.cpp
@@ -21,14 +21,14 @@
 
 // Free capacity on partly used machines is fragmented, so only small tasks are counted there.
 std::uint32_t free_slots(const DelegationCandidate &work, const CellCapacity &cell) {
-  constexpr double kSmallTaskShare = 0.25; // of a machine
+  constexpr double small_task_share = 0.25; // of a machine
   std::uint32_t slots = 0;
   for (const auto &kind : cell.kinds) {
     if (!can_run_on(work, kind)) continue;
     slots += kind.idle * slots_in(kind.size, work.need);
     Resources fragmented = kind.free, small_task = kind.size;
     fragmented.add(kind.size, -static_cast<double>(kind.idle));
-    small_task.add(kind.size, kSmallTaskShare - 1);
+    small_task.add(kind.size, small_task_share - 1);
     if (work.need.fits(small_task)) slots += slots_in(fragmented, work.need);
   }
   return slots;
@@ -71,14 +71,14 @@
 std::optional<CellChoice> choose_cell(const DelegationCandidate &work, const std::vector<CellCapacity> &cells,
                                       const PlanRules &rules) {
   std::optional<CellChoice> best;
-  for (std::size_t c = 0; c < cells.size(); ++c) {
-    if (!cells[c].available) continue;
-    const auto wait = expected_wait_s(work, cells[c], rules);
+  for (std::size_t index = 0; index < cells.size(); ++index) {
+    if (!cells[index].available) continue;
+    const auto wait = expected_wait_s(work, cells[index], rules);
     if (!wait || work.local_wait_s < *wait + rules.margin_s + rules.margin_share * work.local_wait_s) continue;
-    const double score = capacity_score(work, cells[c], rules);
+    const double score = capacity_score(work, cells[index], rules);
     // Equal scores occur where no cell has free capacity; the shorter wait decides.
     if (!best || score > best->score + 1e-12 || (score > best->score - 1e-12 && *wait < best->wait_s))
-      best = CellChoice{static_cast<int>(c), score, *wait};
+      best = CellChoice{static_cast<int>(index), score, *wait};
   }
   return best;
 }
