--- a/include/loftrouter/core/federation/cell_federation.hpp
+++ b/include/loftrouter/core/federation/cell_federation.hpp
@@ -1,11 +1,11 @@
 // Delegates waiting work to other cells and runs work that they delegate. See docs/cells.md, and docs/safety.md,
 // "Work delegated to another cell".
 //
-// While this node leads, owns the outbound and inbound delegations and what is known of other cells: their capacity and
-// the way to their leaders. Tasks start locally, or are delegated anew, only when delegation_protocol.hpp says that the
-// remote cell has released them; inbound tasks start and keep running only under a valid delegation lease. Guards
-// against tasks that run in two cells (ran_twice) or after their cancellation (ran_cancelled). Never delays a
-// scheduling round: messages are sent with the batch.
+// While this node leads, owns the outbound and inbound delegations, and the known capacity and reachable nodes of the
+// other cells. Tasks start locally, or are delegated again, only when delegation_protocol.hpp says that the remote cell
+// has released them; inbound tasks start and keep running only under a valid delegation lease. Guards against tasks
+// that run in two cells (ran_twice) or after their cancellation (ran_cancelled). Never delays a scheduling round:
+// messages to other cells are queued and sent with the other output of the batch.
 #pragma once
 
 #include <deque>
@@ -32,10 +32,11 @@
 
 class CellFederation {
 public:
-  struct CellStatus { // of another cell, for the admin API
+  // Describes another cell for the admin API.
+  struct CellStatus {
     std::string name;
     double last_heard_age_s; // negative: never heard
-    bool delegates;          // false: the settings leave no time for a delegation lease
+    bool delegates;          // false: the settings leave no time for a lease
     std::uint64_t delegated_out_tasks = 0, delegated_in_tasks = 0;
     std::size_t delegations = 0, delegations_in = 0;
   };
@@ -47,15 +48,18 @@
                  const Quotas &quotas, const Autoscaler &autoscaler, const JobObjectives &objectives);
 
   bool enabled() const { return !settings_.cells.name.empty(); }
-  // Stops inbound tasks whose delegation lease has expired. Called before anything else of a batch.
+  // Stops inbound tasks whose delegation lease has expired. Called first in each batch of events.
   void expire_delegations();
   void tick();
   void handle_message(CellMessageCommand &&cmd);
-  void handle_forwarded_request(const PeerMessageCommand &cmd); // on the leader: a request that reached a standby
-  void relay_forwarded_reply(const wire::PeerMessage &message); // on that standby: the leader's reply
-  // Returns whether the worker runs inbound tasks whose lease this leader hasn't had confirmed yet.
+  // Handles, on the leader, a request of another cell that a standby has forwarded.
+  void handle_forwarded_request(const PeerMessageCommand &cmd);
+  // Sends, on that standby, the leader's reply to the other cell.
+  void relay_forwarded_reply(const wire::PeerMessage &message);
+  // Returns whether the worker runs inbound tasks whose lease the origin cell hasn't confirmed to this leader yet.
   bool has_unconfirmed_delegation(const Heartbeat &heartbeat) const;
-  bool may_delegate(const JobSpec &spec) const; // by the operators' settings
+  // Returns whether the job's kind and the operators' settings allow delegating it.
+  bool may_delegate(const JobSpec &spec) const;
   using QuotaHandler = std::function<void(int cell, wire::CellMessage &&message)>;
   void set_quota_handler(QuotaHandler handler) { quota_handler_ = std::move(handler); }
   wire::CellMessage make_message(wire::CellMessage::Kind kind, int cell) const;
@@ -83,10 +87,10 @@
     cells::DelegationAtOrigin state;
     int cell;
     double created_at, next_offer = 0, next_recall = 0;
-    double startable_since = -1; // unstarted remotely while this cell could start it; negative: not so
-    std::uint64_t grant_id = 0;  // of the capacity grant
+    double startable_since = -1; // no task has started remotely though it could start here; -1: not so
+    std::uint64_t grant_id = 0;  // capacity grant that the offer redeems
     bool accepted = false, progressed = false;
-    bool removing = false; // its removal is being recorded; the remote cell isn't acknowledged before
+    bool removing = false; // removal is being recorded; the end is acknowledged afterwards
     std::uint32_t running = 0;
     cells::LeaseTerms terms;
   };
@@ -94,8 +98,11 @@
     cells::DelegationAtRemote state;
     int origin;
     double known_at, next_progress = 0;
-    double stalled_since = -1; // pending tasks lack capacity, or local jobs wait for it; negative: not so
-    bool restored, id_claimed = false, draining = false, ended = false; // id_claimed: by a local user
+    double stalled_since = -1;        // pending tasks lack capacity, or local jobs wait; -1: not so
+    bool restored;                    // known before this leader's term began
+    bool ends_unacknowledged = false; // a local job needs the id, or the origin is unknown
+    bool draining = false;            // starts no more tasks; the pending ones are returned
+    bool ended = false;
     std::uint32_t reported_done = 0, reported_running = 0;
     std::int64_t reported_usage = -1;
   };
@@ -108,32 +115,32 @@
     cells::CellMembership nodes;
     cells::CellCapacity capacity;
     double heard_at = -1e9, lease_s = 0;
-    std::uint64_t term = 0; // latest known of its leader
+    std::uint64_t term = 0; // latest known term of its leader
     std::uint64_t last_renewal_request = 0;
     std::map<std::uint64_t, PendingRenewal> pending_renewals; // by request number
     double next_summary = 0, next_renewal = 0;
-    bool reported_disabled = false;
+    bool reported_disabled = false; // delegation_disabled has been logged
     bool supports_quotas = false;
   };
   struct PendingCapacityRequest {
     JobIndex job;
     int cell;
-    std::uint64_t serial;
+    std::uint64_t serial; // of the job
     std::uint32_t tasks;
     double expires_at;
   };
-  struct MachinePool { // machines of one kind, to estimate waits
+  struct MachinePool { // load of the machines of one kind
     MachineKind kind;
     int machines = 0, starting = 0, idle = 0;
     Resources size, free;
-    double cpus = 0, busy_cpu_s = 0, queued_cpu_s = 0;
+    double cpus = 0, busy_cpu_s = 0, queued_cpu_s = 0; // CPU seconds left of running tasks, and needed by waiting jobs
     bool lacks_capacity = false;
   };
 
   bool send(int cell, wire::CellMessage message);
   void reply(const ReplyTarget &to, wire::CellMessage message);
   void dispatch(const ReplyTarget &from, int node, wire::CellMessage &&message);
-  // Origin cell.
+  // As the origin cell.
   double grant_s(double lease_s) const; // 0: the settings leave no time for a delegation lease
   cells::LeaseTerms terms(double lease_s) const;
   bool may_confirm(const cells::LeaseTerms &terms) const;
@@ -148,7 +155,7 @@
   void handle_progress(const ReplyTarget &from, int cell, const wire::CellMessage &message);
   wire::CellMessage make_offer(JobIndex job_index, const OutboundDelegation &delegation) const;
   cells::DelegationCandidate candidate(JobIndex job_index) const;
-  // Remote cell.
+  // As the remote cell.
   void handle_offer(const ReplyTarget &from, int cell, wire::CellMessage &&message);
   double spare_cpus(const cells::DelegationCandidate &work) const;
   bool can_run_on(const cells::DelegationCandidate &work, const MachinePool &pool) const;
@@ -187,10 +194,10 @@
   std::vector<double> local_waits_; // s, expected, by job
   double wait_by_priority_[4] = {}, own_waiting_cpus_ = 0;
   std::unordered_map<std::uint64_t, PendingCapacityRequest> capacity_requests_; // by grant
-  std::unordered_map<std::uint64_t, double> delegation_backoff_;                // end, by job serial and cell
-  std::vector<int> consecutive_choices_; // by job: plans in a row that chose another cell
+  std::unordered_map<std::uint64_t, double> delegation_backoff_; // end of the backoff, by job serial and cell
+  std::vector<int> consecutive_choices_;                         // by job: plans in a row that chose another cell
   cells::CapacityGrants capacity_grants_;
-  ForwardedRequests<std::uint64_t> forwarded_requests_; // from other cells, to the leader; with their link
+  ForwardedRequests<std::uint64_t> forwarded_requests_; // relayed to the leader, with the other cell's link
   std::uint64_t last_request_number_, delegations_made_ = 0;
   double next_tick_ = 0, next_plan_ = 0;
   std::string last_refused_route_;
--- a/include/loftrouter/core/federation/delegation_plan.hpp
+++ b/include/loftrouter/core/federation/delegation_plan.hpp
@@ -11,7 +11,7 @@
 
 namespace loftrouter::cells {
 
-// Pending tasks of one job that may be delegated.
+// Describes the pending tasks of a job that may be delegated.
 struct DelegationCandidate {
   Resources need;                 // per task
   std::vector<std::string> types; // allowed instance types; empty: any
@@ -19,28 +19,28 @@
   std::uint32_t tasks = 0;
   double estimate_s = 0, image_gb = 0;
   Priority priority = Priority::Normal;
-  double local_wait_s = 0; // expected until a start in the origin cell
+  double local_wait_s = 0; // expected wait in the origin cell
 };
-// Capacity of a cell, as of its latest summary.
+// Describes the capacity of a cell, as of its latest summary.
 struct CellCapacity {
   std::vector<wire::CellKind> kinds;
-  std::vector<double> wait_s; // expected, by priority
-  double age_s = 1e9;         // of the summary
-  bool available = true;      // accepts capacity requests
+  std::vector<double> wait_s; // expected wait of a new job, by priority
+  double age_s = 1e9;         // age of the summary
+  bool available = true;      // may be asked for capacity
 };
 struct PlanRules {
-  double handover_s = 2;         // to write the records on both sides and exchange the messages
-  double margin_s = 5;           // by which the remote wait must be shorter, plus
-  double margin_share = 0.2;     // of the local wait
+  double handover_s = 2;         // to record the delegation in both cells and exchange messages
+  double margin_s = 5;           // how much shorter the remote wait must be, plus
+  double margin_share = 0.2;     // a share of the local wait
   double max_summary_age_s = 10; // older summaries are ignored; the score falls linearly with age
 };
 struct CellChoice {
-  int cell = -1;
+  int cell = -1;                // index of the cell
   double score = 0, wait_s = 0; // wait_s: expected in that cell
 };
 
 bool can_run_on(const DelegationCandidate &work, const wire::CellKind &kind);
-// Returns an upper bound on the tasks that fit now: summaries hold totals, not single machines.
+// Returns about how many tasks fit now; not exact, as summaries hold totals and not single machines.
 std::uint32_t free_slots(const DelegationCandidate &work, const CellCapacity &cell);
 // Sums, over the resources, the free share times the demanded share (at most 1) of the machines that can run the work.
 double capacity_score(const DelegationCandidate &work, const CellCapacity &cell, const PlanRules &rules);
@@ -52,11 +52,12 @@
 std::optional<CellChoice> choose_cell(const DelegationCandidate &work, const std::vector<CellCapacity> &cells,
                                       const PlanRules &rules);
 
-// Capacity granted by a remote cell. Keeps several origin cells from filling the same free capacity.
+// Holds the capacity that this cell has granted for announced offers. Keeps several origin cells from filling the same
+// free capacity.
 class CapacityGrants {
 public:
-  // Grants up to `most` tasks that fit into `free_cpus` beside the outstanding grants; returns their number.
-  std::uint32_t grant(std::uint64_t grant_id, double cpus_each, std::uint32_t most, bool all_or_nothing,
+  // Grants up to `max_tasks` tasks that fit into `free_cpus` beside the outstanding grants; returns their number.
+  std::uint32_t grant(std::uint64_t grant_id, double cpus_per_task, std::uint32_t max_tasks, bool all_or_nothing,
                       double free_cpus, double now);
   // Consumes the grant of an offer. Returns false if there is none, it has expired or it is too small.
   bool redeem(std::uint64_t grant_id, std::uint32_t tasks, double now);
--- a/include/loftrouter/core/federation/delegation_protocol.hpp
+++ b/include/loftrouter/core/federation/delegation_protocol.hpp
@@ -17,18 +17,19 @@
 constexpr double kNever = -std::numeric_limits<double>::infinity();
 
 struct LeaseTerms {
-  double grant_s = 10; // delegation lease, counted from the renewal request
-  double lease_s = 10; // worker lease of the remote cell: how long a task outlives its leader's consent
-  double margin_s = 1; // clock steps and event loop delays
-  double drift = 0.002;
+  double grant_s = 10;  // delegation lease, counted from the renewal request
+  double lease_s = 10;  // worker lease of the remote cell: how long a task runs on without a renewal
+  double margin_s = 1;  // for clock steps and event loop delays
+  double drift = 0.002; // bound on the clock drift, as a share of the time
   // Seconds after the origin's latest renewal, by its clock, at which nothing of the delegation runs remotely.
   double release_delay_s() const { return (grant_s + lease_s) * (1 + drift) + margin_s; }
 };
 
-// The origin's state. Its tasks may start locally, or be delegated anew, only once it is `released`.
+// Tracks a delegation at the leader of its origin cell. Its tasks may start locally, or be delegated anew, only once it
+// is `released`.
 class DelegationAtOrigin {
 public:
-  // Starts in the recording phase; the leader of `term` writes the record.
+  // Creates a delegation whose record the leader of `term` is writing.
   DelegationAtOrigin(Generation generation, std::uint64_t term) : generation_(generation), term_(term) {}
   // Restores a delegation from the record of an earlier leader, which may have renewed its lease until `now`.
   static DelegationAtOrigin restored(Generation generation, std::uint64_t term, double now, const LeaseTerms &terms);
@@ -39,7 +40,7 @@
   // Renews the lease for the remote leader of `remote_term`. Returns false if that leader must stop the tasks. Never
   // renews before the record is stored, as the next leader would not know of the lease.
   bool confirm(double now, std::uint64_t remote_term, const LeaseTerms &terms);
-  void close(); // stops renewals
+  void close(); // refuses further renewals
   bool closing() const { return phase_ == Phase::Closing; }
   // Handles the notice of the remote leader of `remote_term`, addressed to the origin leader of `origin_term`, that
   // nothing of the delegation runs or will run there. Returns false for a stale notice: a later remote leader, unaware
@@ -59,7 +60,7 @@
   std::uint64_t remote_term_ = 0;
 };
 
-// The state at the remote cell's leader.
+// Tracks a delegation at the leader of its remote cell.
 class DelegationAtRemote {
 public:
   // `last_earlier_request`: number of the latest renewal request sent before this leader knew the delegation.
@@ -70,7 +71,7 @@
   // Applies the answer to a renewal request. Ignores requests sent before this leader knew the delegation: a duplicated
   // offer can bring a generation back after it has ended.
   void apply_grant(std::uint64_t request, double requested_at, const LeaseTerms &terms);
-  void close() { closed_ = true; } // refused by the origin, or returned to it
+  void close() { closed_ = true; } // refused or recalled by the origin, or returned to it
   bool closed() const { return closed_; }
   bool ever_granted() const { return expires_at_ != kNever; }
   // Returns whether tasks may start and worker leases may be renewed.
--- a/include/loftrouter/core/federation/quota_exchange.hpp
+++ b/include/loftrouter/core/federation/quota_exchange.hpp
@@ -1,10 +1,10 @@
 // Exchanges quotas between the leaders of cells. The owner cell sends a team's record until the other cells have
-// acknowledged it; changes requested in other cells are forwarded to the owner; caps rise only after others have
-// fallen.
+// acknowledged it; changes requested in other cells are forwarded to the owner. A cell's cap rises only after the other
+// cells have acknowledged their lower caps.
 //
 // Owns the acknowledgements of the other cells and the state of forwarded changes. A cell applies a record only if its
-// version is higher than its own, and acknowledges a cap only once its team can use no more than that there. Guards the
-// quota rule: docs/safety.md, "Quotas that change"; docs/configuration.md.
+// version is higher than its own, and acknowledges a cap only once its team can use no more than that there. Keeps
+// teams within their quota over all cells: docs/safety.md, "Quotas that change"; docs/configuration.md.
 #pragma once
 
 #include <map>
@@ -18,9 +18,9 @@
 
 class QuotaExchange {
 public:
-  struct Acknowledged { // by another cell
+  struct Acknowledged { // record version that another cell has applied
     std::uint64_t version = 0;
-    double wall = 0;         // when first acknowledged
+    double wall = 0;         // time of the first acknowledgement
     bool within_cap = false; // its team can use no more than its cap there
   };
 
--- a/src/core/federation/capacity_survey.cpp
+++ b/src/core/federation/capacity_survey.cpp
@@ -6,8 +6,8 @@
 
 namespace loftrouter::core {
 
-// Groups machines by kind with their remaining load, then adds the waiting jobs by priority and age: each job's
-// expected wait follows from the load of the machines it can use and of the jobs before it.
+// Groups the machines by kind and sums the remaining run time of their tasks. Then estimates the wait of each pending
+// local job, by priority and age, from the load of the machines it can use and of the jobs queued before it.
 void CellFederation::survey_capacity() {
   std::map<MachineKind, MachinePool> pools;
   workers_.each([&](MachineIndex, const Machine &machine) {
@@ -30,13 +30,13 @@
       pool.busy_cpu_s += std::max(3.0, jobs_[allocation.job].spec.estimate_s - run_s) * allocation.need.cpus;
     }
   });
-  for (std::size_t t = 0; t < catalog_.types().size(); ++t)
-    for (const auto &zone : catalog_.types()[t].zones)
+  for (std::size_t type_index = 0; type_index < catalog_.types().size(); ++type_index)
+    for (const auto &zone : catalog_.types()[type_index].zones)
       for (bool spot : {false, true}) {
-        const MachineKind kind(static_cast<int>(t), catalog_.find_zone(zone), spot);
+        const MachineKind kind(static_cast<int>(type_index), catalog_.find_zone(zone), spot);
         if (kind.zone < 0) continue;
         MachinePool &pool = pools[kind];
-        pool.size = catalog_.types()[t].size;
+        pool.size = catalog_.types()[type_index].size;
         pool.lacks_capacity = autoscaler_.lacks_capacity(kind);
       }
   machine_pools_.clear();
@@ -44,30 +44,30 @@
     pool.kind = kind;
     machine_pools_.push_back(pool);
   }
-  std::vector<JobIndex> order;
+  std::vector<JobIndex> waiting_jobs;
   jobs_.each([&](JobIndex job_index, const Job &job) {
     if (!job.delegated_here && !job.cancelled && job.pending() > 0 && job.spec.dependencies.empty())
-      order.push_back(job_index);
+      waiting_jobs.push_back(job_index);
   });
-  std::sort(order.begin(), order.end(), [this](JobIndex a, JobIndex b) {
+  std::sort(waiting_jobs.begin(), waiting_jobs.end(), [this](JobIndex a, JobIndex b) {
     return std::pair(-static_cast<int>(jobs_[a].spec.priority), jobs_[a].submit_wall) <
            std::pair(-static_cast<int>(jobs_[b].spec.priority), jobs_[b].submit_wall);
   });
   local_waits_.assign(jobs_.index_limit(), 0);
   std::fill(std::begin(wait_by_priority_), std::end(wait_by_priority_), 0);
   own_waiting_cpus_ = 0;
-  const double cheapest = catalog_.cheapest_cpu_price();
-  for (JobIndex job_index : order) {
+  const double lowest_cpu_price = catalog_.cheapest_cpu_price();
+  for (JobIndex job_index : waiting_jobs) {
     const Job &job = jobs_[job_index];
     const auto work = candidate(job_index);
     const double estimate_s = std::max(3.0, job.spec.estimate_s),
-                 own_cpu_s = job.pending() * job.spec.need.cpus * estimate_s;
-    double cpus = 0, load_cpu_s = 0, slots = 0, scale_out_s = std::numeric_limits<double>::infinity();
+                 job_cpu_s = job.pending() * job.spec.need.cpus * estimate_s;
+    double usable_cpus = 0, load_cpu_s = 0, fitting_tasks = 0, scale_out_s = std::numeric_limits<double>::infinity();
     std::vector<MachinePool *> usable_pools;
     for (auto &pool : machine_pools_) {
       if (!can_run_on(work, pool)) continue;
       usable_pools.push_back(&pool);
-      cpus += pool.cpus;
+      usable_cpus += pool.cpus;
       load_cpu_s += pool.busy_cpu_s + pool.queued_cpu_s;
       if (pool.queued_cpu_s <= 0) {
         cells::CellCapacity pool_capacity;
@@ -75,27 +75,28 @@
                                        static_cast<std::uint32_t>(pool.idle), pool.size, pool.free, 0, 1});
         auto any_type = work;
         any_type.types.clear();
-        slots += cells::free_slots(any_type, pool_capacity);
+        fitting_tasks += cells::free_slots(any_type, pool_capacity);
       }
       const auto &type = catalog_.type(pool.kind.type);
-      const bool expensive = InstanceTypeCatalog::cpu_price(type, pool.kind.spot) > kExpensiveRatio * cheapest;
+      const bool expensive = InstanceTypeCatalog::cpu_price(type, pool.kind.spot) > kExpensiveRatio * lowest_cpu_price;
       if (pool.starting > 0 || (!pool.lacks_capacity && !(expensive && job.spec.priority == Priority::Low)))
         scale_out_s = std::min(scale_out_s, 1.1 * type.boot_s + 1);
     }
-    double wait = cpus > 0 ? (load_cpu_s + 0.5 * own_cpu_s) / cpus : std::numeric_limits<double>::infinity();
-    // A gang needs all its machines at once, later than the average load suggests.
-    if (job.spec.shape == Shape::Gang && slots < job.pending()) wait = std::max(wait, 0.5 * estimate_s);
-    if (slots >= job.pending()) wait = 0.25;
-    wait = std::min(wait, scale_out_s);
+    double wait_s =
+        usable_cpus > 0 ? (load_cpu_s + 0.5 * job_cpu_s) / usable_cpus : std::numeric_limits<double>::infinity();
+    // All machines of a gang must be free at the same time, which takes longer than the average load suggests.
+    if (job.spec.shape == Shape::Gang && fitting_tasks < job.pending()) wait_s = std::max(wait_s, 0.5 * estimate_s);
+    if (fitting_tasks >= job.pending()) wait_s = kTickIntervalS; // all tasks fit now
+    wait_s = std::min(wait_s, scale_out_s);
     // A job that has waited long without a start is expected to keep waiting, whatever the estimate.
-    const double age = runtime_.wall() - job.submit_wall;
-    if (job.placed + job.done + job.unaccounted == 0 && age > kLongWaitS) wait = std::max(wait, 0.5 * age);
-    local_waits_[job_index.position()] = std::isfinite(wait) ? wait : 1e6;
+    const double age_s = runtime_.wall() - job.submit_wall;
+    if (job.placed + job.done + job.unaccounted == 0 && age_s > kLongWaitS) wait_s = std::max(wait_s, 0.5 * age_s);
+    local_waits_[job_index.position()] = std::isfinite(wait_s) ? wait_s : 1e6; // infinite: no machine can run it
     auto &priority_wait = wait_by_priority_[static_cast<std::size_t>(job.spec.priority)];
-    priority_wait = std::max(priority_wait, std::min(wait, 3600.0));
+    priority_wait = std::max(priority_wait, std::min(wait_s, 3600.0));
     own_waiting_cpus_ += job.pending() * job.spec.need.cpus;
     for (auto *pool : usable_pools)
-      pool->queued_cpu_s += cpus > 0 ? own_cpu_s * pool->cpus / cpus : 0;
+      pool->queued_cpu_s += usable_cpus > 0 ? job_cpu_s * pool->cpus / usable_cpus : 0;
   }
 }
 
@@ -112,7 +113,7 @@
     kind.refused = pool.lacks_capacity;
     kind.machines = static_cast<std::uint32_t>(pool.machines);
     kind.size = pool.size;
-    if (pool.queued_cpu_s <= 0) { // otherwise local jobs wait for it
+    if (pool.queued_cpu_s <= 0) { // otherwise local jobs need the free capacity
       kind.free = pool.free;
       kind.idle = static_cast<std::uint32_t>(pool.idle);
     }
--- a/src/core/federation/cell_federation.cpp
+++ b/src/core/federation/cell_federation.cpp
@@ -77,9 +77,9 @@
   runtime_.send(PeerSend{{}, to.link, std::move(message)});
 }
 
-static bool is_reply(Kind k) {
-  return k == Kind::SummaryReply || k == Kind::CapacityReply || k == Kind::OfferReply || k == Kind::RenewalReply ||
-         k == Kind::ProgressAck;
+static bool is_reply(Kind kind) {
+  return kind == Kind::SummaryReply || kind == Kind::CapacityReply || kind == Kind::OfferReply ||
+         kind == Kind::RenewalReply || kind == Kind::ProgressAck;
 }
 
 void CellFederation::handle_message(CellMessageCommand &&cmd) {
@@ -99,12 +99,13 @@
   // A standby forwards the request to its leader, which the other cell may not be able to reach directly.
   ReplicaIndex leader;
   for (const ReplicaIndex replica : replicas_.indices())
-    if (replicas_[replica].service_status.leads && runtime_.now() - replicas_[replica].status_as_of < 1.2)
+    if (replicas_[replica].service_status.leads &&
+        runtime_.now() - replicas_[replica].status_as_of < kLeaderStatusValidityS)
       leader = replica;
-  if (!leader.valid() || forwarded_requests_.full()) return; // the sender retries through another node
+  if (!leader.valid() || forwarded_requests_.full()) return; // the other cell retries through another node
   wire::PeerMessage message;
   message.kind = wire::PeerMessage::Kind::CellRequest;
-  message.nonce = forwarded_requests_.add(0, runtime_.now() + 3, cmd.link);
+  message.nonce = forwarded_requests_.add(0, runtime_.now() + kForwardedRequestTimeoutS, cmd.link);
   message.term = leadership_.highest_term();
   message.sender = replicas_.own_sender_number();
   message.body = wire::encode_cell(cmd.message);
@@ -195,7 +196,7 @@
       const bool known = delegation && delegation->cell == cell;
       if (known && message.lease_s > delegation->terms.lease_s)
         delegation->terms = terms(message.lease_s); // the remote settings have changed
-      // Without recent cancellations the leases can be neither renewed nor refused.
+      // While recent cancellations are unknown, the leases can be neither renewed nor refused; the remote cell retries.
       if (known && delegation->state.may_offer() && !may_confirm(delegation->terms)) return;
       response.grant_s = known ? std::min(response.grant_s, delegation->terms.grant_s) : response.grant_s;
       if (known && delegation->state.confirm(runtime_.now(), message.term, delegation->terms))
@@ -253,7 +254,7 @@
 void CellFederation::tick() {
   if (!enabled()) return;
   for (const auto &item : forwarded_requests_.expire(runtime_.now()))
-    (void)item; // the sender retries
+    (void)item; // the other cell retries
   if (!leadership_.active() || runtime_.now() < next_tick_) return;
   next_tick_ = runtime_.now() + kTickIntervalS;
   bool cells_heard = false;
@@ -272,7 +273,7 @@
   if (runtime_.now() >= next_plan_) {
     next_plan_ = runtime_.now() + kPlanIntervalS;
     if (cells_heard || !outbound_jobs_.empty() || !inbound_list_.empty()) survey_capacity();
-    if (cells_heard && runtime_.now() - leadership_.leading_since() > 5) plan_delegations();
+    if (cells_heard && runtime_.now() - leadership_.leading_since() > kPlanningStartDelayS) plan_delegations();
   }
   advance_outbound();
   advance_inbound();
@@ -302,9 +303,9 @@
   inbound_jobs_[{origin, job.delegated_here->generation}] = event.job;
   if (origin >= 0) cells_[static_cast<std::size_t>(origin)].next_renewal = 0;
   if (origin >= 0 && !job.cancelled) return;
-  // The origin is no longer in the features file and can't confirm it, or a local user has claimed its id.
+  // Its origin is no longer in the features file and can't confirm it, or a local user has submitted a job of its id.
   inbound_[event.job.position()]->state.close();
-  inbound_[event.job.position()]->id_claimed = true;
+  inbound_[event.job.position()]->ends_unacknowledged = true;
 }
 
 void CellFederation::on(const JobCancelled &event) {
@@ -312,7 +313,8 @@
   if (job.delegated_here) {
     auto &inbound = inbound_[event.job.position()];
     if (!inbound) return;
-    inbound->id_claimed |= !inbound->state.closed(); // cancelled by its record: a local user has claimed the id
+    // If it was not closed before, its stored record was cancelled because a local user submitted this id.
+    inbound->ends_unacknowledged |= !inbound->state.closed();
     inbound->state.close();
     return;
   }
@@ -336,14 +338,14 @@
   next_tick_ = 0;
   jobs_.each([this](JobIndex job_index, const Job &job) {
     for (const auto &record : job.delegations) {
-      // -1 if the cell is no longer in the features file; its tasks have stopped once the lease bound has passed.
+      // -1 if the cell is no longer in the features file; its tasks stop when the longest possible lease expires.
       const int cell = find_cell(record.cell);
       // Earlier settings may have allowed a longer lease.
-      auto bound = terms(record.lease_s);
-      bound.grant_s = kMaxGrantS;
+      auto longest_terms = terms(record.lease_s);
+      longest_terms.grant_s = kMaxGrantS;
       OutboundDelegation delegation{
           .state = cells::DelegationAtOrigin::restored(record.generation, leadership_.term(),
-                                                       runtime_.now() + kOutageReportValidityS, bound),
+                                                       runtime_.now() + kOutageReportValidityS, longest_terms),
           .cell = cell,
           .created_at = runtime_.now(),
           .accepted = true,
@@ -373,7 +375,7 @@
 }
 
 std::vector<CellFederation::CellStatus> CellFederation::cell_statuses() const {
-  std::vector<CellStatus> out;
+  std::vector<CellStatus> statuses;
   for (const auto &other_cell : cells_) {
     CellStatus status{other_cell.name, other_cell.heard_at < -1e8 ? -1 : runtime_.now() - other_cell.heard_at,
                       other_cell.lease_s <= 0 || grant_s(other_cell.lease_s) > 0};
@@ -390,9 +392,9 @@
       status.delegated_in_tasks += job.pending() + job.placed + job.unaccounted;
       (void)job_index;
     });
-    out.push_back(std::move(status));
+    statuses.push_back(std::move(status));
   }
-  return out;
+  return statuses;
 }
 
 } // namespace loftrouter::core
--- a/src/core/federation/delegation_plan.cpp
+++ b/src/core/federation/delegation_plan.cpp
@@ -41,12 +41,13 @@
       total.add(kind.size, kind.machines);
       free.add(kind.free);
     }
-  auto term = [&](double available, double total, double need) {
+  auto weighted_free_share = [&](double available, double total, double need) {
     if (total <= 0) return 0.0;
     return std::clamp(available / total, 0.0, 1.0) * std::min(1.0, need * work.tasks / total);
   };
-  const double sum = term(free.cpus, total.cpus, work.need.cpus) + term(free.gpus, total.gpus, work.need.gpus) +
-                     term(free.memory, total.memory, work.need.memory);
+  const double sum = weighted_free_share(free.cpus, total.cpus, work.need.cpus) +
+                     weighted_free_share(free.gpus, total.gpus, work.need.gpus) +
+                     weighted_free_share(free.memory, total.memory, work.need.memory);
   return sum * std::max(0.0, 1 - cell.age_s / rules.max_summary_age_s);
 }
 
@@ -76,7 +77,7 @@
     const auto wait = expected_wait_s(work, cells[index], rules);
     if (!wait || work.local_wait_s < *wait + rules.margin_s + rules.margin_share * work.local_wait_s) continue;
     const double score = capacity_score(work, cells[index], rules);
-    // Equal scores occur where no cell has free capacity; the shorter wait decides.
+    // Scores are equal where no cell has free capacity; then the shorter wait decides.
     if (!best || score > best->score + 1e-12 || (score > best->score - 1e-12 && *wait < best->wait_s))
       best = CellChoice{static_cast<int>(index), score, *wait};
   }
@@ -95,14 +96,14 @@
   return sum;
 }
 
-std::uint32_t CapacityGrants::grant(std::uint64_t grant_id, double cpus_each, std::uint32_t most, bool all_or_nothing,
-                                    double free_cpus, double now) {
-  const double left = free_cpus - granted_cpus(now);
-  if (grants_.size() >= kMaxGrants || left <= 0) return 0;
-  const auto tasks =
-      std::min(most, static_cast<std::uint32_t>(std::min(1e6, std::floor(left / std::max(0.01, cpus_each) + 1e-9))));
-  if (tasks == 0 || (all_or_nothing && tasks < most)) return 0;
-  grants_.push_back({grant_id, tasks, tasks * cpus_each, now + kGrantValidityS});
+std::uint32_t CapacityGrants::grant(std::uint64_t grant_id, double cpus_per_task, std::uint32_t max_tasks,
+                                    bool all_or_nothing, double free_cpus, double now) {
+  const double remaining_cpus = free_cpus - granted_cpus(now);
+  if (grants_.size() >= kMaxGrants || remaining_cpus <= 0) return 0;
+  const auto tasks = std::min(max_tasks, static_cast<std::uint32_t>(std::min(
+                                             1e6, std::floor(remaining_cpus / std::max(0.01, cpus_per_task) + 1e-9))));
+  if (tasks == 0 || (all_or_nothing && tasks < max_tasks)) return 0;
+  grants_.push_back({grant_id, tasks, tasks * cpus_per_task, now + kGrantValidityS});
   return tasks;
 }
 
--- a/src/core/federation/delegations_in.cpp
+++ b/src/core/federation/delegations_in.cpp
@@ -17,10 +17,10 @@
   return cells::can_run_on(work, kind);
 }
 
-// Returns the CPUs available to other cells' work of this kind: whole tasks that fit on machines for which no local job
-// waits, and an allowance for scaling out.
+// Returns the CPUs that may be granted to another cell's work: the whole tasks that fit on machines for which no local
+// job waits, and an allowance for scaling out, up to the operators' limit.
 double CellFederation::spare_cpus(const cells::DelegationCandidate &work) const {
-  double free = 0, running_cpus = 0, delegated_here = 0;
+  double free_cpus = 0, running_cpus = 0, inbound_cpus = 0;
   bool can_scale_out = false;
   std::set<MachineKind> usable_kinds;
   for (const auto &pool : machine_pools_) {
@@ -36,31 +36,31 @@
       return;
     Resources remaining = machine.size;
     remaining.add(machine.used, -1);
-    for (; work.need.fits(remaining); free += work.need.cpus)
+    for (; work.need.fits(remaining); free_cpus += work.need.cpus)
       remaining.add(work.need, -1);
   });
   for (JobIndex job_index : inbound_list_) {
     const Job &job = jobs_[job_index];
-    delegated_here += (job.pending() + job.placed) * job.spec.need.cpus;
-    free -= job.pending() * job.spec.need.cpus;
+    inbound_cpus += (job.pending() + job.placed) * job.spec.need.cpus;
+    free_cpus -= job.pending() * job.spec.need.cpus;
   }
   const double scale_out_cpus = can_scale_out ? std::max(kMinAcceptedCpus, kScaleOutAcceptShare * running_cpus) : 0;
-  return std::max(
-      0.0, std::min(operators_.cell_rules().max_accepted_cpus - delegated_here, std::max(0.0, free) + scale_out_cpus));
+  return std::max(0.0, std::min(operators_.cell_rules().max_accepted_cpus - inbound_cpus,
+                                std::max(0.0, free_cpus) + scale_out_cpus));
 }
 
 void CellFederation::handle_offer(const ReplyTarget &from, int cell, wire::CellMessage &&message) {
-  auto respond = [this, from, cell, generation = message.generation, number = message.number](bool accepted,
-                                                                                              std::string_view why) {
+  auto respond = [this, from, cell, generation = message.generation,
+                  number = message.number](bool accepted, std::string_view refusal) {
     auto response = make_message(Kind::OfferReply, cell);
     response.number = number;
     response.generation = generation;
     response.accepted = accepted;
-    response.body = why;
+    response.body = refusal;
     reply(from, std::move(response));
   };
-  JobIndex known;
-  if (find_inbound(message.generation, cell, known)) return respond(true, "");
+  JobIndex known_job;
+  if (find_inbound(message.generation, cell, known_job)) return respond(true, "");
   if (recording_offers_.contains(message.generation)) return;
   if (!leadership_.active() || !replicas_.may_answer_heartbeats()) return; // the origin retries
   auto spec = wire::decode_job(message.body);
@@ -86,13 +86,14 @@
   // The record is stored before the offer is accepted, and only if no local job has used the id.
   runtime_.store(
       StoreCommit{{{std::string(wire::kLeaderKey), leadership_.term()}, {key, 0}, {end_key, 0}}, {{key, value, 0}}},
-      1.5,
+      kOfferCommitTimeoutS,
       [this, respond, key, value, generation = message.generation,
        epoch = leadership_.epoch()](const wire::StoreReply &reply) {
         if (epoch != leadership_.epoch()) return;
         recording_offers_.erase(generation);
         if (reply.status == 409) return respond(false, "its id is in use here");
-        if (reply.status != 200) return; // if it was stored anyway, the watch loads it and the next offer is accepted
+        // If it was stored after all, the watch loads the record and the next offer is accepted.
+        if (reply.status != 200) return;
         state_writer_.load_open_record(key, value, reply.revision);
         respond(true, "");
       });
@@ -108,7 +109,7 @@
 
 void CellFederation::close(JobIndex job_index, InboundDelegation &inbound) {
   inbound.state.close();
-  if (!jobs_[job_index].cancelled) jobs_.cancel(job_index); // stops its tasks; no cancellation is recorded
+  if (!jobs_[job_index].cancelled) jobs_.cancel(job_index); // stops its tasks here, without recording a cancellation
 }
 
 void CellFederation::expire_delegations() {
@@ -142,7 +143,8 @@
     const JobIndex job_index = inbound_list_[k];
     auto &inbound = *inbound_[job_index.position()];
     const Job &job = jobs_[job_index];
-    // Pending tasks are returned if none has started for long or local jobs wait; running tasks may finish.
+    // Returns the pending tasks to the origin if none runs, or local jobs have waited, for too long; running ones may
+    // finish.
     const bool stalled = job.pending() > 0 && !inbound.state.closed() && (job.placed == 0 || own_waiting_cpus_ > 0);
     if (!stalled)
       inbound.stalled_since = -1;
@@ -150,17 +152,17 @@
       inbound.stalled_since = now;
     if (stalled && now - inbound.stalled_since > kUnstartedTimeoutS && !std::exchange(inbound.draining, true)) {
       jobs_.pause(job_index, true);
-      workers_.release_unsent(job_index); // frees the allocations whose start was never sent
+      workers_.release_unsent(job_index); // frees allocations whose tasks were not sent to a worker yet
     }
     const bool nothing_runs = job.placed == 0 && job.unaccounted == 0;
     if (inbound.draining && nothing_runs) close(job_index, inbound);
     inbound.ended = nothing_runs && (inbound.state.closed() || job.done == job.spec.tasks);
-    // A local user who has claimed the id doesn't wait for the origin's acknowledgement.
-    if (inbound.ended && inbound.id_claimed) jobs_.confirm_end_by_origin(job_index);
+    // A local job that needs the id doesn't wait for the origin's acknowledgement.
+    if (inbound.ended && inbound.ends_unacknowledged) jobs_.confirm_end_by_origin(job_index);
     const std::uint32_t running = counts[job_index.position()];
-    const auto used = ledger_.enabled() ? ledger_.current_usage(job_index) : accounts::Usage{};
+    const auto usage = ledger_.enabled() ? ledger_.current_usage(job_index) : accounts::Usage{};
     const bool changed = inbound.ended || job.done != inbound.reported_done || running != inbound.reported_running ||
-                         used.held() != inbound.reported_usage;
+                         usage.held() != inbound.reported_usage;
     if (job.ending || now < inbound.next_progress ||
         (!changed && now < inbound.next_progress + kUnchangedProgressIntervalS - kProgressIntervalS))
       continue;
@@ -170,18 +172,18 @@
     message.origin_term = cells_[static_cast<std::size_t>(inbound.origin)].term;
     message.ended = inbound.ended;
     message.running = running;
-    message.usage = used;
-    std::vector<char> done(job.spec.tasks, 0);
+    message.usage = usage;
+    std::vector<char> task_done(job.spec.tasks, 0);
     for (auto [begin, end] : job.delegated_here->tasks)
       for (auto i = begin; i < end && i < job.spec.tasks; ++i)
-        done[i] = job.tasks[i].state == TaskState::Done;
+        task_done[i] = job.tasks[i].state == TaskState::Done;
     message.ranges =
-        narrow(make_ranges(job.spec.tasks, [&](std::uint32_t i) { return done[i] != 0; }), wire::kCellMaxRanges);
-    inbound.next_progress = now + (inbound.ended ? 1.0 : kProgressIntervalS);
+        narrow(make_ranges(job.spec.tasks, [&](std::uint32_t i) { return task_done[i] != 0; }), wire::kCellMaxRanges);
+    inbound.next_progress = now + (inbound.ended ? kRetryIntervalS : kProgressIntervalS);
     if (!send(inbound.origin, std::move(message))) continue;
     inbound.reported_done = job.done;
     inbound.reported_running = running;
-    inbound.reported_usage = used.held();
+    inbound.reported_usage = usage.held();
   }
 }
 
@@ -195,8 +197,9 @@
     generations.push_back(inbound.state.generation());
     unconfirmed |= !inbound.state.ever_granted();
   }
-  if (generations.empty() ||
-      (runtime_.now() < other_cell.next_renewal && !(unconfirmed && runtime_.now() > other_cell.next_renewal - 2)))
+  // Renews sooner while a delegation has not been confirmed.
+  if (generations.empty() || (runtime_.now() < other_cell.next_renewal &&
+                              !(unconfirmed && runtime_.now() > other_cell.next_renewal - kUnconfirmedRenewalLeadS)))
     return;
   other_cell.next_renewal = runtime_.now() + kMaxGrantS * kRenewalFraction;
   std::erase_if(other_cell.pending_renewals,
--- a/src/core/federation/delegations_out.cpp
+++ b/src/core/federation/delegations_out.cpp
@@ -8,7 +8,7 @@
 
 namespace loftrouter::core {
 
-// A cancellation must take effect within cancel_s; the lease gets what the worker lease and slack leave of it.
+// A cancelled task must stop within cancel_s: the delegation lease, the worker lease and the slack must fit into it.
 double CellFederation::grant_s(double lease_s) const {
   const double available_s = settings_.cancel_s - lease_s * (1 + kMaxClockDrift) - kCancellationSlackS;
   return available_s < kMinGrantS ? 0 : std::min(kMaxGrantS, available_s);
@@ -37,7 +37,7 @@
   if (!rules.delegate || spec.shape == Shape::Service || spec.team.starts_with('@') || !spec.dependencies.empty())
     return false;
   if (contains(rules.stay_teams, spec.team) || contains(rules.stay_classes, spec.job_class)) return false;
-  return !spec.zone; // a requested zone is one of this cell
+  return !spec.zone; // a job that requests a zone stays in this cell
 }
 
 cells::DelegationCandidate CellFederation::candidate(JobIndex job_index) const {
@@ -59,14 +59,14 @@
   return serial << 8 | static_cast<std::uint64_t>(cell & 255);
 }
 
-// Requests capacity for waiting jobs that would start sooner in another cell, those with the least time left first. A
-// delegation is recorded only once the other cell has granted capacity.
+// Requests capacity for waiting jobs that would start sooner in another cell, those with the least slack to their
+// target first. A delegation is recorded only once the other cell has granted capacity.
 void CellFederation::plan_delegations() {
   std::erase_if(capacity_requests_, [this](const auto &request) { return runtime_.now() > request.second.expires_at; });
   std::erase_if(delegation_backoff_, [this](const auto &backoff) { return runtime_.now() > backoff.second; });
   if (!operators_.cell_rules().delegate || outbound_jobs_.size() >= kMaxDelegations) return;
   std::vector<cells::CellCapacity> capacities;
-  bool any = false;
+  bool any_available = false;
   for (auto &other_cell : cells_) {
     capacities.push_back(other_cell.capacity);
     capacities.back().age_s = runtime_.now() - other_cell.heard_at;
@@ -77,10 +77,10 @@
                     {"why", "cancel_s leaves no time for a delegation lease beside the worker lease"},
                     {"cancel_s", settings_.cancel_s},
                     {"lease_s", other_cell.lease_s}});
-    any |= capacities.back().available && capacities.back().age_s < kPlanRules.max_summary_age_s;
+    any_available |= capacities.back().available && capacities.back().age_s < kPlanRules.max_summary_age_s;
   }
-  if (!any) return;
-  std::vector<std::pair<double, JobIndex>> order; // by the time left, s
+  if (!any_available) return;
+  std::vector<std::pair<double, JobIndex>> jobs_by_slack; // by slack, s
   jobs_.each([&](JobIndex job_index, const Job &job) {
     int &consecutive = get_or_create(consecutive_choices_, job_index);
     const bool all_or_nothing = job.spec.shape == Shape::Gang || job.spec.one_zone || job.spec.spread;
@@ -91,12 +91,12 @@
       consecutive = 0;
       return;
     }
-    const double age = std::max(0.0, runtime_.wall() - job.submit_wall);
-    order.emplace_back(objectives_.achievable_target(job.spec, job.spec.deadline_s, age) - age - job.spec.estimate_s,
-                       job_index);
+    const double age_s = std::max(0.0, runtime_.wall() - job.submit_wall);
+    jobs_by_slack.emplace_back(
+        objectives_.achievable_target(job.spec, job.spec.deadline_s, age_s) - age_s - job.spec.estimate_s, job_index);
   });
-  std::sort(order.begin(), order.end());
-  for (auto [time_left, job_index] : order) {
+  std::sort(jobs_by_slack.begin(), jobs_by_slack.end());
+  for (auto [slack_s, job_index] : jobs_by_slack) {
     if (capacity_requests_.size() >= kMaxCapacityRequests) return;
     const Job &job = jobs_[job_index];
     auto candidates = capacities;
@@ -113,14 +113,14 @@
     }
     int &consecutive = get_or_create(consecutive_choices_, job_index);
     consecutive = choice ? consecutive + 1 : 0;
-    if (consecutive < kMinConsecutiveChoices) continue; // a single plan may rest on a transient state
-    // Keeps the share of the tasks that would start locally in the meantime.
+    if (consecutive < kMinConsecutiveChoices) continue; // avoids acting on a short-lived imbalance
+    // Keeps the share of the tasks that would start locally before the delegated ones could start.
     const double share = std::clamp(1 - choice->wait_s / std::max(0.1, work.local_wait_s), 0.0, 1.0);
     const auto tasks =
         work.all_or_nothing ? work.tasks : std::max(kMinDelegatedTasks, static_cast<std::uint32_t>(work.tasks * share));
-    const auto most = tasks_within_quota(job_index);
-    if (most == 0 || (work.all_or_nothing && most < work.tasks)) continue;
-    request_capacity(job_index, choice->cell, work, std::min(tasks, most));
+    const auto quota_tasks = tasks_within_quota(job_index);
+    if (quota_tasks == 0 || (work.all_or_nothing && quota_tasks < work.tasks)) continue;
+    request_capacity(job_index, choice->cell, work, std::min(tasks, quota_tasks));
     consecutive = 0;
   }
 }
@@ -129,12 +129,12 @@
 std::uint32_t CellFederation::tasks_within_quota(JobIndex job_index) const {
   const Job &job = jobs_[job_index];
   const auto headroom = quotas_.headroom()[static_cast<std::size_t>(job.team)];
-  double most = 1e6;
+  double max_tasks = 1e6;
   if (headroom.cpus >= 0 && job.spec.need.cpus > 0)
-    most = std::min(most, std::floor(headroom.cpus / job.spec.need.cpus + 1e-9));
+    max_tasks = std::min(max_tasks, std::floor(headroom.cpus / job.spec.need.cpus + 1e-9));
   if (headroom.gpus >= 0 && job.spec.need.gpus > 0)
-    most = std::min(most, std::floor(headroom.gpus / job.spec.need.gpus + 1e-9));
-  return static_cast<std::uint32_t>(most);
+    max_tasks = std::min(max_tasks, std::floor(headroom.gpus / job.spec.need.gpus + 1e-9));
+  return static_cast<std::uint32_t>(max_tasks);
 }
 
 void CellFederation::request_capacity(JobIndex job_index, int cell, const cells::DelegationCandidate &work,
@@ -149,7 +149,8 @@
   message.all_at_once = work.all_or_nothing;
   delegation_backoff_[backoff_key(jobs_[job_index].serial, cell)] = runtime_.now() + kCapacityRetryDelayS;
   if (send(cell, std::move(message)))
-    capacity_requests_[grant_id] = {job_index, cell, jobs_[job_index].serial, tasks, runtime_.now() + 3};
+    capacity_requests_[grant_id] = {job_index, cell, jobs_[job_index].serial, tasks,
+                                    runtime_.now() + kCapacityRequestTimeoutS};
 }
 
 void CellFederation::delegate(const PendingCapacityRequest &request, std::uint64_t grant_id, std::uint32_t tasks) {
@@ -233,7 +234,7 @@
     OutboundDelegation &delegation = *find_outbound(generation, found);
     const Job &job = jobs_[job_index];
     const auto record = std::find_if(job.delegations.begin(), job.delegations.end(),
-                                     [g = generation](const auto &x) { return x.generation == g; });
+                                     [id = generation](const auto &item) { return item.generation == id; });
     if (delegation.removing || record == job.delegations.end() || record->expired) continue;
     if (delegation.state.may_offer() && !delegation.accepted && now >= delegation.next_offer) {
       delegation.next_offer = now + kRetryIntervalS;
@@ -242,7 +243,7 @@
       else
         send(delegation.cell, make_offer(job_index, delegation));
     }
-    // The lease has run out without a renewal request: nothing of it runs remotely any more.
+    // The lease has expired without a renewal request, so no task of it runs remotely any more.
     if (delegation.state.may_offer() && delegation.state.confirmed() && now >= delegation.state.expires_at())
       delegation.state.close();
     if (!delegation.state.closing() && delegation.accepted &&
@@ -264,24 +265,24 @@
     if (delegation.state.released(now))
       (delegation.state.confirmed() ? expired : removed).emplace_back(job_index, generation);
   }
-  for (auto [job_index, g] : expired) {
+  for (auto [job_index, generation] : expired) {
     runtime_.log(LogLevel::Info, "delegation_expired",
                  {{"job", jobs_[job_index].spec.id}, {"why", "the remote cell has not renewed the lease"}});
-    jobs_.expire_delegation(job_index, g);
+    jobs_.expire_delegation(job_index, generation);
   }
-  for (auto [job_index, g] : removed)
-    if (OutboundDelegation *delegation = find_outbound(g, job_index)) remove(job_index, *delegation);
+  for (auto [job_index, generation] : removed)
+    if (OutboundDelegation *delegation = find_outbound(generation, job_index)) remove(job_index, *delegation);
 }
 
-// Records the removal, after which the remote cell is acknowledged. A delegation that was never confirmed may not have
-// been recorded and is forgotten at once.
+// Records the removal, after which the end is acknowledged to the remote cell. A delegation that was never confirmed
+// may not have been recorded and is forgotten at once.
 void CellFederation::remove(JobIndex job_index, OutboundDelegation &delegation) {
-  const auto g = delegation.state.generation();
+  const auto generation = delegation.state.generation();
   delegation.removing = true;
   delegation.running = 0;
   const bool forget = !delegation.state.confirmed();
-  jobs_.remove_delegation(job_index, g);
-  if (forget) on(DelegationRemoved{job_index, g});
+  jobs_.remove_delegation(job_index, generation);
+  if (forget) on(DelegationRemoved{job_index, generation});
 }
 
 void CellFederation::on(const DelegationRemoved &event) {
@@ -291,28 +292,30 @@
   outbound_jobs_.erase(event.generation);
 }
 
-// Applies the progress or end of a delegation. Tasks that finished remotely are finished, unless they were restarted
-// here after the delegation expired.
+// Applies a report on the progress or end of a delegation: charges its usage and finishes the tasks that are done
+// remotely, unless they were restarted here after the delegation expired.
 void CellFederation::handle_progress(const ReplyTarget &from, int cell, const wire::CellMessage &message) {
   JobIndex job_index;
   OutboundDelegation *delegation = find_outbound(message.generation, job_index);
   if (!delegation || delegation->cell != cell) {
     if (!message.ended || !leadership_.active()) return;
-    auto response = make_message(Kind::ProgressAck, cell); // removed already, or never known
+    auto response = make_message(Kind::ProgressAck, cell); // removed already, or unknown
     response.generation = message.generation;
     return reply(from, std::move(response));
   }
   const Job &job = jobs_[job_index];
   const auto record = std::find_if(job.delegations.begin(), job.delegations.end(),
-                                   [&](const auto &x) { return x.generation == message.generation; });
+                                   [&](const auto &item) { return item.generation == message.generation; });
   if (delegation->removing || record == job.delegations.end() || !leadership_.active())
-    return; // the remote cell reports again
+    return; // the remote cell resends the report
   const Ranges delegated_tasks = record->tasks;
   const bool expired = record->expired;
-  const auto used = message.usage - record->charged;
+  const auto uncharged_usage = message.usage - record->charged;
   // Usage below what is already charged comes from a delayed message and is ignored.
-  if (std::all_of(used.values.begin(), used.values.end(), [](auto x) { return x >= 0; }) && !used.all_zero()) {
-    ledger_.charge_remote_usage(job_index, used);
+  if (std::all_of(uncharged_usage.values.begin(), uncharged_usage.values.end(),
+                  [](auto amount) { return amount >= 0; }) &&
+      !uncharged_usage.all_zero()) {
+    ledger_.charge_remote_usage(job_index, uncharged_usage);
     jobs_.charge_delegation(job_index, message.generation, message.usage);
     jobs_.publish_changed(job_index, false);
   }
--- a/src/core/federation/quota_exchange.cpp
+++ b/src/core/federation/quota_exchange.cpp
@@ -51,14 +51,14 @@
     return;
   next_tick_ = runtime_.now() + kTickIntervalS;
   used_ = quotas_.used();
-  std::map<std::string, int> sent;
+  std::map<std::string, int> sent_by_cell;
   configuration_.each(wire::kConfigQuota, [&](std::string_view name, const Configuration::Record &stored) {
     const std::string team(name);
     const auto record = wire::quota_from_json(stored.value);
     if (!record || quotas_.find_team(team) < 0 || !changes_.owns(team)) return;
     advance_record(team, *record, stored.revision);
     for (int cell = 0; cell < federation_.cell_count(); ++cell)
-      if (int &count = sent[federation_.cell_name(cell)]; count < kMaxRecordsPerTick)
+      if (int &count = sent_by_cell[federation_.cell_name(cell)]; count < kMaxRecordsPerTick)
         count += send_record(cell, team, *record);
   });
   forward_changes();
@@ -70,7 +70,7 @@
   const auto version = record.version;
   bool changed = false;
   for (const auto &name : quotas_.cells())
-    if (!record.held.contains(name)) { // a new cell: the caps of the others fall first
+    if (!record.held.contains(name)) { // a cell was added: lower the other caps first
       cells::lower_caps(record, quotas_.cells(), {});
       changed = true;
       break;
@@ -93,13 +93,13 @@
 bool QuotaExchange::send_record(int cell, const std::string &team, const wire::QuotaRecord &record) {
   const auto &name = federation_.cell_name(cell);
   const auto acknowledgement = acknowledged(team).find(name);
-  const bool known = acknowledgement != acknowledged(team).end() && acknowledgement->second.version == record.version;
+  const bool applied = acknowledgement != acknowledged(team).end() && acknowledgement->second.version == record.version;
   const auto cap = record.caps.find(name), held = record.held.find(name);
   const bool settled = cap == record.caps.end() || (held != record.held.end() && held->second == cap->second);
-  if (known && (acknowledgement->second.within_cap || settled)) return false;
-  SentRecord &last = sent_[{team, name}];
-  if (last.version == record.version && runtime_.now() < last.next_send) return false;
-  last = {record.version, runtime_.now() + kResendIntervalS};
+  if (applied && (acknowledgement->second.within_cap || settled)) return false;
+  SentRecord &last_sent = sent_[{team, name}];
+  if (last_sent.version == record.version && runtime_.now() < last_sent.next_send) return false;
+  last_sent = {record.version, runtime_.now() + kResendIntervalS};
   auto message = federation_.make_message(Kind::Quota, cell);
   message.version = record.version;
   message.body = wire::encode({{"team", team}, {"record", wire::to_json(record)}});
@@ -121,11 +121,11 @@
   if (!forwarded || !leadership_.active() || !quotas_.ready() || !changes_.owns(forwarded->change.team)) return;
   changes_.commit_once(forwarded->change, message.number,
                        [this, cell, number = message.number](const QuotaChanges::Outcome &outcome) {
-                         auto answer = federation_.make_message(Kind::QuotaOutcome, cell);
-                         answer.number = number;
-                         answer.status = static_cast<std::uint32_t>(outcome.status);
-                         answer.body = outcome.text;
-                         federation_.send_quota_message(cell, std::move(answer));
+                         auto response = federation_.make_message(Kind::QuotaOutcome, cell);
+                         response.number = number;
+                         response.status = static_cast<std::uint32_t>(outcome.status);
+                         response.body = outcome.text;
+                         federation_.send_quota_message(cell, std::move(response));
                        });
 }
 
@@ -148,18 +148,18 @@
   const auto *found = configuration_.find(std::string(wire::kConfigQuota) + team);
   if (own && own->version == record->version) {
     used_ = quotas_.used();
-    auto answer = federation_.make_message(Kind::QuotaApplied, cell);
-    answer.version = record->version;
-    answer.within_cap = within_cap(team, *own);
-    answer.body = team;
-    federation_.send_quota_message(cell, std::move(answer));
+    auto response = federation_.make_message(Kind::QuotaApplied, cell);
+    response.version = record->version;
+    response.within_cap = within_cap(team, *own);
+    response.body = team;
+    federation_.send_quota_message(cell, std::move(response));
     return;
   }
   if ((own && own->version > record->version) || committing_.contains(team)) return;
   state_limits_.take_leader_writes(runtime_.now(), 1);
   committing_.insert(team);
   changes_.commit(team, *record, found ? found->revision : 0, [this, team, epoch = leadership_.epoch()](bool) {
-    if (epoch == leadership_.epoch()) committing_.erase(team); // acknowledged when the owner resends it
+    if (epoch == leadership_.epoch()) committing_.erase(team); // acknowledged when the owner sends it again
   });
 }
 
@@ -192,7 +192,7 @@
   const auto key = std::string(wire::kConfigChange) + std::to_string(message.number);
   const auto *found = configuration_.find(key);
   auto forwarded = found ? wire::forwarded_from_json(found->value) : std::nullopt;
-  // A change without an outcome yet is forwarded again while the requesting node waits.
+  // Without an outcome the change is forwarded again while the requesting node waits.
   if (!forwarded || forwarded->status != 0 || message.status == 503 || message.status == 0 || !leadership_.active())
     return;
   forwarded->status = static_cast<int>(message.status);
