--- a/tests/cells_plan_test.cpp
+++ b/tests/cells_plan_test.cpp
@@ -1,4 +1,5 @@
-// Tests the choice of a cell against a reference implementation, capacity grants, and how other cells are contacted.
+// Tests the choice of a remote cell against a reference implementation, capacity grants, and the choice of the node
+// through which another cell is contacted.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -16,20 +17,20 @@
 std::optional<int> reference_choice(const DelegationCandidate &work, const std::vector<CellCapacity> &cells,
                                     const PlanRules &rules) {
   std::optional<int> best;
-  double best_score = 0, best_wait = 0;
+  double best_score = 0, best_wait_s = 0;
   for (int c = 0; c < static_cast<int>(cells.size()); ++c) {
     const CellCapacity &cell = cells[static_cast<std::size_t>(c)];
     if (!cell.available || cell.age_s >= rules.max_summary_age_s) continue;
-    double slots = 0, all[3] = {}, free[3] = {}, wait = 1e18;
+    double slots = 0, total[3] = {}, free[3] = {}, wait_s = 1e18;
     const double need[3] = {work.need.cpus, work.need.gpus, work.need.memory};
     std::vector<wire::CellKind> usable;
     for (const auto &kind : cell.kinds) {
-      bool named = work.types.empty();
-      for (const auto &t : work.types)
-        named |= t == kind.type;
+      bool type_allowed = work.types.empty();
+      for (const auto &type : work.types)
+        type_allowed |= type == kind.type;
       const double size[3] = {kind.size.cpus, kind.size.gpus, kind.size.memory},
                    available_size[3] = {kind.free.cpus, kind.free.gpus, kind.free.memory};
-      bool fits = named && (!kind.spot || work.spot);
+      bool fits = type_allowed && (!kind.spot || work.spot);
       for (int i = 0; i < 3; ++i)
         fits &= need[i] <= size[i] + 1e-6;
       if (!fits) continue;
@@ -37,7 +38,7 @@
       double per_idle_machine = 1e6, fragmented = 1e6;
       bool small = true;
       for (int i = 0; i < 3; ++i) {
-        all[i] += size[i] * kind.machines;
+        total[i] += size[i] * kind.machines;
         free[i] += available_size[i];
         small &= need[i] <= 0.25 * size[i] + 1e-6;
         if (need[i] <= 0) continue;
@@ -47,23 +48,24 @@
       slots += kind.idle * per_idle_machine + (small ? std::max(0.0, fragmented) : 0);
     }
     for (const auto &kind : usable) {
-      const double fetch = work.image_gb / std::max(0.01, kind.fetch_gb_per_s);
-      if (slots >= (work.all_or_nothing ? work.tasks : 1) && kind.machines > 0) wait = std::min(wait, fetch);
-      if (!kind.refused) wait = std::min(wait, kind.boot_s + fetch);
+      const double fetch_s = work.image_gb / std::max(0.01, kind.fetch_gb_per_s);
+      if (slots >= (work.all_or_nothing ? work.tasks : 1) && kind.machines > 0) wait_s = std::min(wait_s, fetch_s);
+      if (!kind.refused) wait_s = std::min(wait_s, kind.boot_s + fetch_s);
       if (kind.machines > 0 && static_cast<std::size_t>(work.priority) < cell.wait_s.size())
-        wait = std::min(wait, cell.wait_s[static_cast<std::size_t>(work.priority)] + fetch);
+        wait_s = std::min(wait_s, cell.wait_s[static_cast<std::size_t>(work.priority)] + fetch_s);
     }
-    if (wait > 1e17) continue;
-    wait += rules.handover_s + cell.age_s;
-    if (work.local_wait_s < wait + rules.margin_s + rules.margin_share * work.local_wait_s) continue;
+    if (wait_s > 1e17) continue;
+    wait_s += rules.handover_s + cell.age_s;
+    if (work.local_wait_s < wait_s + rules.margin_s + rules.margin_share * work.local_wait_s) continue;
     double score = 0;
     for (int i = 0; i < 3; ++i)
-      if (all[i] > 0) score += std::clamp(free[i] / all[i], 0.0, 1.0) * std::min(1.0, need[i] * work.tasks / all[i]);
+      if (total[i] > 0)
+        score += std::clamp(free[i] / total[i], 0.0, 1.0) * std::min(1.0, need[i] * work.tasks / total[i]);
     score *= 1 - cell.age_s / rules.max_summary_age_s;
-    if (!best || score > best_score + 1e-12 || (score > best_score - 1e-12 && wait < best_wait)) {
+    if (!best || score > best_score + 1e-12 || (score > best_score - 1e-12 && wait_s < best_wait_s)) {
       best = c;
       best_score = score;
-      best_wait = wait;
+      best_wait_s = wait_s;
     }
   }
   return best;
@@ -71,9 +73,9 @@
 
 } // namespace
 
-TEST(CellPlan, ChoosesTheSameCellAsTheReference) {
+TEST(DelegationPlan, ChoosesTheSameCellAsTheReference) {
   std::mt19937_64 rng(7);
-  auto draw = [&](double a, double b) { return std::uniform_real_distribution<double>(a, b)(rng); };
+  auto draw = [&](double low, double high) { return std::uniform_real_distribution<double>(low, high)(rng); };
   int chosen = 0;
   for (int round = 0; round < 4000; ++round) {
     DelegationCandidate work;
@@ -118,7 +120,7 @@
 }
 
 // Guards against several origin cells filling the same free capacity.
-TEST(CellPlan, CapacityIsGrantedOnce) {
+TEST(CapacityGrants, GrantsTheSameCapacityOnce) {
   CapacityGrants grants;
   EXPECT_EQ(grants.grant(1, 2, 30, false, 100, 0), 30u);
   EXPECT_EQ(grants.grant(2, 2, 30, false, 100, 0), 20u);
@@ -134,36 +136,36 @@
 
 TEST(CellMembership, FindsTheLeaderThroughAnyNodeAndBacksOff) {
   CellMembership membership({10, 11, 12});
-  double t = 0;
+  double now = 0;
   std::vector<std::pair<double, int>> attempts;
   auto step = [&](auto answers) {
-    membership.tick(t, 0.5);
-    if (const int node = membership.target(t); node >= 0) {
-      attempts.emplace_back(t, node);
-      membership.request_sent(t);
-      if (answers(node)) membership.response_received(node, 12, t); // node 12 leads
+    membership.tick(now, 0.5);
+    if (const int node = membership.target(now); node >= 0) {
+      attempts.emplace_back(now, node);
+      membership.request_sent(now);
+      if (answers(node)) membership.response_received(node, 12, now); // node 12 leads
     }
-    t += 1;
+    now += 1;
   };
   for (int i = 0; i < 3; ++i)
     step([](int) { return true; });
-  EXPECT_EQ(membership.target(t), 12);
-  // The leader is unreachable: requests go through another node and don't return to the leader each time.
+  EXPECT_EQ(membership.target(now), 12);
+  // The leader can't be reached: requests keep going through another node.
   for (int i = 0; i < 20; ++i)
     step([](int node) { return node == 10; });
-  EXPECT_EQ(membership.target(t), 10);
-  EXPECT_TRUE(membership.reachable(t));
+  EXPECT_EQ(membership.target(now), 10);
+  EXPECT_TRUE(membership.reachable(now));
   // No node answers: attempts become rare.
   attempts.clear();
-  const double from = t;
+  const double from = now;
   for (int i = 0; i < 300; ++i)
     step([](int) { return false; });
   int late_attempts = 0;
   for (auto [at, node] : attempts)
     late_attempts += at > from + 200;
   EXPECT_LE(late_attempts, 3 * 9) << "at most three nodes per backoff of about 30 s";
-  EXPECT_FALSE(membership.reachable(t));
+  EXPECT_FALSE(membership.reachable(now));
   for (int i = 0; i < 60; ++i)
     step([](int) { return true; });
-  EXPECT_TRUE(membership.reachable(t));
+  EXPECT_TRUE(membership.reachable(now));
 }
--- a/tests/cells_test.cpp
+++ b/tests/cells_test.cpp
@@ -17,17 +17,17 @@
   return lines;
 }
 
-// Limits the machines of cell 0 only.
+// Returns options that limit the machines of cell 0 only, so that its work has to wait.
 std::vector<WorldOptions> small_first_cell(int cells = 2, long machines = 4) {
-  std::vector<WorldOptions> out(static_cast<std::size_t>(cells));
-  out[0].max_machines = machines;
-  return out;
+  std::vector<WorldOptions> options(static_cast<std::size_t>(cells));
+  options[0].max_machines = machines;
+  return options;
 }
 
-JobSpec batch(World &w, std::uint32_t tasks, double run_s, const std::string &team = "red") {
-  auto s = w.job(Shape::Array, tasks, 2, run_s, team);
-  s.spot = true;
-  return s;
+JobSpec spot_array(World &world, std::uint32_t tasks, double run_s, const std::string &team = "red") {
+  auto spec = world.job(Shape::Array, tasks, 2, run_s, team);
+  spec.spot = true;
+  return spec;
 }
 
 } // namespace
@@ -38,7 +38,7 @@
     Federation federation(1, small_first_cell());
     if (!delegate) federation.cut(0, 1, 1000);
     for (int i = 0; i < 6; ++i)
-      federation[0].at(5 + i, [&federation] { federation[0].submit(batch(federation[0], 30, 20)); });
+      federation[0].at(5 + i, [&federation] { federation[0].submit(spot_array(federation[0], 30, 20)); });
     double finished_at = 0;
     for (double t = 10; t < 900 && !finished_at; t += 5) {
       federation.run(t);
@@ -63,7 +63,7 @@
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       Federation federation(seed, small_first_cell());
       for (int i = 0; i < 6; ++i)
-        federation[0].at(5 + i, [&federation] { federation[0].submit(batch(federation[0], 30, 20)); });
+        federation[0].at(5 + i, [&federation] { federation[0].submit(spot_array(federation[0], 30, 20)); });
       federation.run(45);
       EXPECT_FALSE(federation.remote_starts.empty());
       federation.cut(0, 1, partition_s);
@@ -79,11 +79,11 @@
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     Federation federation(seed, small_first_cell(2, 6));
     for (int i = 0; i < 6; ++i)
-      federation[0].at(5 + i, [&federation] { federation[0].submit(batch(federation[0], 30, 25)); });
+      federation[0].at(5 + i, [&federation] { federation[0].submit(spot_array(federation[0], 30, 25)); });
     federation.run(45);
     federation.cut(0, 1, 28);
     for (int k = 0; k < 3; ++k)
-      federation[1].cut_state(k, 28, World::Cut::Drop); // keeps it from recording the end of the delegation
+      federation[1].cut_state(k, 28, World::Cut::Drop); // so that it can't record the end of the delegation
     federation.run(72);
     federation[0].crash(std::max(0, federation[0].leader()), 3);
     federation[1].crash(std::max(0, federation[1].leader()), 3);
@@ -100,7 +100,7 @@
       Federation federation(static_cast<std::uint64_t>(step) + 1, small_first_cell());
       std::vector<std::string> ids;
       for (int i = 0; i < 5; ++i)
-        federation[0].at(5 + i, [&] { ids.push_back(federation[0].submit(batch(federation[0], 30, 60))); });
+        federation[0].at(5 + i, [&] { ids.push_back(federation[0].submit(spot_array(federation[0], 30, 60))); });
       const double at = 12 + 2.5 * step;
       federation.run(at);
       if (cut) federation.cut(0, 1, 1000);
@@ -116,8 +116,8 @@
   Federation federation(3, small_first_cell());
   for (int i = 0; i < 8; ++i)
     federation[0].at(5 + i, [&federation] {
-      federation[0].submit(batch(federation[0], 20, 15, "blue")); // at most 12 CPUs
-      federation[0].submit(batch(federation[0], 20, 15));
+      federation[0].submit(spot_array(federation[0], 20, 15, "blue")); // at most 12 CPUs
+      federation[0].submit(spot_array(federation[0], 20, 15));
     });
   federation.run(900);
   EXPECT_TRUE(federation.broken().empty()) << violations(federation);
@@ -125,7 +125,7 @@
   EXPECT_FALSE(federation.remote_starts.empty());
 }
 
-// Excluded teams and classes are never delegated, and a job lookup names the cell that runs the others.
+// Jobs of excluded teams and classes are never delegated, and the lookup of a delegated job names its remote cell.
 TEST(CellFederation, ExcludedWorkIsNotDelegated) {
   Federation federation(4, small_first_cell());
   federation.run(10);
@@ -137,11 +137,11 @@
   std::string delegable;
   for (int i = 0; i < 4; ++i)
     federation[0].at(18 + i, [&] {
-      excluded.push_back(federation[0].submit(batch(federation[0], 20, 15, "blue")));
-      auto secret = batch(federation[0], 20, 15);
+      excluded.push_back(federation[0].submit(spot_array(federation[0], 20, 15, "blue")));
+      auto secret = spot_array(federation[0], 20, 15);
       secret.job_class = "secret";
       excluded.push_back(federation[0].submit(secret));
-      delegable = federation[0].submit(batch(federation[0], 40, 15));
+      delegable = federation[0].submit(spot_array(federation[0], 40, 15));
     });
   federation.run(60);
   const auto in_origin_cell = federation[0].look_up(federation[0].leader(), delegable),
@@ -149,7 +149,7 @@
   const auto status = federation[0].admin(federation[0].leader(), "GET", "/admin/v1/status");
   federation.run(61);
   EXPECT_NE(in_origin_cell->body.value("reason", "").find("in cell q"), std::string::npos) << in_origin_cell->body;
-  EXPECT_EQ(in_remote_cell->status, 404) << "it was not submitted there";
+  EXPECT_EQ(in_remote_cell->status, 404) << "the remote cell must not show a job that was not submitted there";
   EXPECT_EQ(status->body["cells"][0]["cell"], "q");
   federation.run(900);
   for (const auto &id : excluded)
@@ -159,20 +159,21 @@
   EXPECT_TRUE(federation.all_over());
 }
 
-// Users of two cells may choose the same job id. A job isn't delegated to a cell that uses its id, and a later local
-// job takes the id over.
+// Users of two cells may choose the same job id. A job isn't delegated to a cell that already uses its id; a local job
+// submitted later replaces the delegated one.
 TEST(CellFederation, SameIdsInTwoCellsAreNotMixed) {
   auto options = small_first_cell();
   options[0].first_job = options[1].first_job = 500;
   Federation federation(5, options);
   for (int i = 0; i < 6; ++i) {
-    federation[0].at(5 + i, [&federation] { federation[0].submit(batch(federation[0], 20, 20)); });
+    federation[0].at(5 + i, [&federation] { federation[0].submit(spot_array(federation[0], 20, 20)); });
     if (i % 2)
-      federation[1].at(4 + i, [&federation] { federation[1].submit(batch(federation[1], 3, 5)); }); // some ids coincide
+      federation[1].at(4 + i,
+                       [&federation] { federation[1].submit(spot_array(federation[1], 3, 5)); }); // some ids coincide
   }
   federation[1].at(40, [&federation] {
     for (int i = 0; i < 5; ++i)
-      federation[1].submit(batch(federation[1], 2, 5));
+      federation[1].submit(spot_array(federation[1], 2, 5));
   });
   federation.run(900);
   EXPECT_TRUE(federation.broken().empty()) << violations(federation);
@@ -180,26 +181,27 @@
   EXPECT_EQ(federation[1].finished_jobs, 8);
 }
 
-// Progress recorded under an earlier delegation of a job must not be reported for the next one (not_done).
+// Stored progress of an earlier delegation must not be reported for a later one of the same job (not_done).
 TEST(CellFederation, IgnoresProgressOfAnEarlierDelegation) {
   for (std::uint64_t recorded_generation : {5, 7}) {
-    WorldOptions o;
-    o.cells = {"q", {{"p", {"p:0"}}}};
-    World w(1, o);
-    auto spec = w.job(Shape::Array, 24, 1, 10);
+    WorldOptions cell_options;
+    cell_options.cells = {"q", {{"p", {"p:0"}}}};
+    World world(1, cell_options);
+    auto spec = world.job(Shape::Array, 24, 1, 10);
     ProgressRecord progress;
     progress.finished = {{0, 22}};
     progress.delegated_here = recorded_generation;
-    w.put_record("open/" + spec.id, wire::to_json(OpenRecord{spec, 1.7e9, false, DelegationSource{"p", 7, {{8, 24}}}}));
-    w.put_record("progress/s0", wire::progress_shard({{spec.id, wire::to_json(progress)}}));
+    world.put_record("open/" + spec.id,
+                     wire::to_json(OpenRecord{spec, 1.7e9, false, DelegationSource{"p", 7, {{8, 24}}}}));
+    world.put_record("progress/s0", wire::progress_shard({{spec.id, wire::to_json(progress)}}));
     Ranges reported;
     bool ended = false;
-    w.send_cell = [&](int, const core::CellSend &outgoing) {
+    world.send_cell = [&](int, const core::CellSend &outgoing) {
       if (outgoing.message.kind != wire::CellMessage::Kind::Progress) return;
       reported = outgoing.message.ranges;
       ended |= outgoing.message.ended;
     };
-    w.run(20); // ends, as no origin confirms it
+    world.run(20); // it ends here because no origin confirms its lease
     EXPECT_TRUE(ended);
     EXPECT_EQ(reported, recorded_generation == 7 ? Ranges({{8, 22}}) : Ranges()) << recorded_generation;
   }
@@ -213,16 +215,16 @@
   std::vector<WorldOptions> options;
   const int cells = seed % 4 == 3 ? 3 : 2;
   for (int c = 0; c < cells; ++c) {
-    auto o = troubled(seed + static_cast<std::uint64_t>(c));
-    o.accounts = seed % 2;
-    o.max_machines = c == 0 ? 5 : seed % 3 ? 400 : 8;
-    options.push_back(o);
+    auto cell_options = troubled(seed + static_cast<std::uint64_t>(c));
+    cell_options.accounts = seed % 2;
+    cell_options.max_machines = c == 0 ? 5 : seed % 3 ? 400 : 8;
+    options.push_back(cell_options);
   }
   Federation federation(seed, options, seed % 3 ? 0.03 : 0);
   for (int c = 0; c < cells; ++c)
     mixed_load(federation[c], c ? 8 : 25);
   for (int i = 0; i < 5; ++i)
-    federation[0].at(20 + 10 * i, [&federation] { federation[0].submit(batch(federation[0], 25, 12)); });
+    federation[0].at(20 + 10 * i, [&federation] { federation[0].submit(spot_array(federation[0], 25, 12)); });
   std::mt19937_64 rng(seed * 13 + 1);
   auto pick = [&](int n) { return static_cast<int>(rng() % static_cast<unsigned>(n)); };
   for (int c = 0; c < cells; ++c)
--- a/tests/federation.cpp
+++ b/tests/federation.cpp
@@ -11,16 +11,16 @@
 
 Federation::Federation(std::uint64_t seed, std::vector<WorldOptions> cells, double loss, bool joined)
     : rng_(seed), loss_(loss), options_(std::move(cells)) {
-  const int n = static_cast<int>(options_.size());
-  for (int c = 0; c < n; ++c) {
+  const int cell_count = static_cast<int>(options_.size());
+  for (int c = 0; c < cell_count; ++c) {
     auto &cell_options = options_[static_cast<std::size_t>(c)];
     cell_options.cells.name = joined ? name(c) : "";
     cell_options.cells.others.clear();
-    for (int x = 0; x < n; ++x) {
-      if (x == c || !joined) continue;
-      OtherCell other{name(x), {}};
-      for (int k = 0; k < options_[static_cast<std::size_t>(x)].nodes; ++k)
-        other.nodes.push_back(name(x) + ":" + std::to_string(k));
+    for (int other_index = 0; other_index < cell_count; ++other_index) {
+      if (other_index == c || !joined) continue;
+      OtherCell other{name(other_index), {}};
+      for (int node = 0; node < options_[static_cast<std::size_t>(other_index)].nodes; ++node)
+        other.nodes.push_back(name(other_index) + ":" + std::to_string(node));
       cell_options.cells.others.push_back(std::move(other));
     }
     if (cell_options.first_job == 1) cell_options.first_job = 1 + 100'000 * c;
@@ -28,9 +28,9 @@
     World &world = *worlds_.back();
     world.send_cell = [this, c](int node, const core::CellSend &outgoing) { send(c, node, outgoing); };
     world.foreign = [this, c](const std::string &job) -> World::Told * {
-      for (int x = 0; x < size(); ++x)
-        if (x != c)
-          if (auto *t = (*this)[x].own(job)) return t;
+      for (int other_index = 0; other_index < size(); ++other_index)
+        if (other_index != c)
+          if (auto *own_job = (*this)[other_index].own(job)) return own_job;
       return nullptr;
     };
     world.started = [this, c](const World::On &task) { started(c, task); };
@@ -41,8 +41,8 @@
 void Federation::run(double until) {
   while (now_ < until) {
     now_ = std::min(until, now_ + kStepS);
-    for (auto &w : worlds_)
-      w->run(now_);
+    for (auto &world : worlds_)
+      world->run(now_);
   }
 }
 
@@ -50,24 +50,25 @@
   partitions_.push_back({from, from_node, to, to_node, now_ + for_s});
 }
 
-// Node numbers count the nodes of the other cells in the order of the sender's features file.
+// A cell numbers the nodes of the other cells consecutively, in the order of its features file.
 void Federation::send(int cell, int node, const core::CellSend &outgoing) {
   ++frames;
   delegations += outgoing.message.kind == wire::CellMessage::Kind::OfferReply && outgoing.message.accepted;
-  auto node_number = [this](int of, int other, int node_index) { // of a node of cell `other`, as cell `of` numbers it
+  // Returns the number by which cell `numbering_cell` knows a node of cell `other`.
+  auto node_number = [this](int numbering_cell, int other, int node_index) {
     int number = 0;
-    for (int x = 0; x < other; ++x)
-      if (x != of) number += options_[static_cast<std::size_t>(x)].nodes;
+    for (int other_index = 0; other_index < other; ++other_index)
+      if (other_index != numbering_cell) number += options_[static_cast<std::size_t>(other_index)].nodes;
     return number + node_index;
   };
   int to = -1, to_node = -1, from_number = -1;
   if (outgoing.node >= 0) {
     int number = outgoing.node;
-    for (int x = 0; x < size() && to < 0; ++x) {
-      if (x == cell) continue;
-      const int nodes = options_[static_cast<std::size_t>(x)].nodes;
+    for (int other_index = 0; other_index < size() && to < 0; ++other_index) {
+      if (other_index == cell) continue;
+      const int nodes = options_[static_cast<std::size_t>(other_index)].nodes;
       if (number < nodes) {
-        to = x;
+        to = other_index;
         to_node = number;
       }
       number -= nodes;
@@ -77,9 +78,10 @@
     to_node = static_cast<int>(outgoing.link) % kLinksPerCell;
     from_number = node_number(to, cell, node);
   }
-  for (const auto &cut : partitions_)
-    if (now_ < cut.until && cut.from == cell && cut.to == to && (cut.from_node < 0 || cut.from_node == node) &&
-        (cut.to_node < 0 || cut.to_node == to_node))
+  for (const auto &partition : partitions_)
+    if (now_ < partition.until && partition.from == cell && partition.to == to &&
+        (partition.from_node < 0 || partition.from_node == node) &&
+        (partition.to_node < 0 || partition.to_node == to_node))
       return;
   std::uniform_real_distribution<double> draw(0, 1);
   if (draw(rng_) < loss_) return;
@@ -90,7 +92,7 @@
       wire::encode_cell(cmd.message) != bytes)
     return broken_.push_back("a message between cells changed when it was encoded and decoded again");
   const int copies = draw(rng_) < loss_ ? 2 : 1;
-  for (int k = 0; k < copies; ++k) {
+  for (int copy = 0; copy < copies; ++copy) {
     const double extra_delay_s = draw(rng_) < loss_ ? 30 * draw(rng_) : 0;
     (*this)[to].deliver_cell(to_node, cmd, kStepS + 0.02 * draw(rng_) + extra_delay_s);
   }
@@ -98,8 +100,8 @@
 
 int Federation::origin_of(int cell, const std::string &job) {
   if ((*this)[cell].own(job)) return cell;
-  for (int x = 0; x < size(); ++x)
-    if ((*this)[x].own(job)) return x;
+  for (int other_index = 0; other_index < size(); ++other_index)
+    if ((*this)[other_index].own(job)) return other_index;
   return -1;
 }
 
@@ -121,7 +123,7 @@
   const double used = used_by(spec.team);
   for (const auto &team : options_[static_cast<std::size_t>(origin)].teams)
     if (team.name == spec.team && team.cpus_max > 0 && used > team.cpus_max + 1e-6)
-      broken_.push_back("t=" + std::to_string(now_) + " quota across cells " + team.name);
+      broken_.push_back("t=" + std::to_string(now_) + " quota exceeded across cells " + team.name);
   if (on_start) on_start(origin, cell, task);
 }
 
@@ -133,7 +135,7 @@
 }
 
 void Federation::stopped(int cell, const World::On &task) {
-  const int origin = origins_.at({cell, task.serial}); // by now the id may belong to another job
+  const int origin = origins_.at({cell, task.serial}); // the job id may belong to another job by now
   origins_.erase({cell, task.serial});
   const auto it = running_.find(task_key(origin, task));
   it->second.erase({cell, task.serial});
@@ -143,13 +145,13 @@
 }
 
 bool Federation::all_over() const {
-  return std::all_of(worlds_.begin(), worlds_.end(), [](const auto &w) { return w->all_over(); });
+  return std::all_of(worlds_.begin(), worlds_.end(), [](const auto &world) { return world->all_over(); });
 }
 
 std::vector<std::string> Federation::broken() const {
   auto violations = broken_;
-  for (const auto &w : worlds_)
-    violations.insert(violations.end(), w->broken.begin(), w->broken.end());
+  for (const auto &world : worlds_)
+    violations.insert(violations.end(), world->broken.begin(), world->broken.end());
   return violations;
 }
 
--- a/tests/federation.hpp
+++ b/tests/federation.hpp
@@ -1,5 +1,5 @@
-// Joins several simulated worlds as cells: delivers the messages between them and checks the rules that hold across
-// cells.
+// Runs several simulated clusters as the cells of a federation: delivers the messages between them and checks the rules
+// that hold across cells.
 #pragma once
 
 #include <map>
@@ -10,7 +10,9 @@
 
 class Federation {
 public:
-  // Creates one cell per set of options, and sets its name, addresses and first job number.
+  // Creates one cell for each entry of `cells`, and sets its name, addresses and first job number. `loss`: the
+  // probability that a message is lost, and likewise that it is duplicated or delayed. `joined`: whether the cells know
+  // each other.
   Federation(std::uint64_t seed, std::vector<WorldOptions> cells, double loss = 0, bool joined = true);
 
   World &operator[](int c) { return *worlds_[static_cast<std::size_t>(c)]; }
