--- a/include/loftrouter/core/api/job_api_handler.hpp
+++ b/include/loftrouter/core/api/job_api_handler.hpp
@@ -32,11 +32,11 @@
   void take(SubmitCommand &&cmd);
   void take(LookupCommand &&cmd);
   void take(CancelCommand &&cmd);
-  void confirm();                                   // at the end of each batch
-  void tick();                                      // gives up what a sibling has not answered
-  void take_asked(const PeerMessageCommand &cmd);   // by a sibling, for a user of its own
-  void take_told(const wire::PeerMessage &message); // by a sibling, about what was passed on to it
-  bool can_answer() const;                          // here, or by way of a sibling
+  void check_open_records();                                    // at the end of each batch
+  void tick();                                                  // gives up what a sibling has not answered
+  void handle_forwarded_request(const PeerMessageCommand &cmd); // by a sibling, for a user of its own
+  void relay_forwarded_reply(const wire::PeerMessage &message); // by a sibling, about what was passed on to it
+  bool can_answer() const;                                      // here, or by way of a sibling
   void on(const JobEndLearned &event) { known_open_.erase(event.id); }
 
 private:
--- a/include/loftrouter/core/api/status_reporter.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -40,7 +40,7 @@
   void log_summary(); // every few seconds
 
   void publish_to_replicas();
-  void take_digest(const wire::PeerMessage &message);
+  void handle_digest(const wire::PeerMessage &message);
   void on(const JobAccepted &event) { get_or_create(told_, event.job) = {}; }
   void on(const JobEndLearned &event) { news_.erase(event.id); }
   void on(const TermStarted &);
--- a/src/core/api/job_api_handler.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -111,7 +111,7 @@
   no_answer(question, Verb::Submit, why, wire::encode(wire::to_json(spec)), !spec.dependencies.empty());
 }
 
-void JobApiHandler::take_asked(const PeerMessageCommand &cmd) {
+void JobApiHandler::handle_forwarded_request(const PeerMessageCommand &cmd) {
   const auto &m = cmd.message;
   if (!replicas_.by_sender(m.sender).valid()) return; // not from a node of these settings
   const auto req = runtime_.proxy_request(cmd.link, m.nonce);
@@ -125,7 +125,7 @@
 }
 
 // What a sibling read after the user had asked. What this node has learnt since is newer, and is told instead.
-void JobApiHandler::take_told(const wire::PeerMessage &message) {
+void JobApiHandler::relay_forwarded_reply(const wire::PeerMessage &message) {
   const auto item = passed_.complete(message.nonce);
   if (!item) return; // given up
   const auto &[verb, id, body, asked, tried, waits] = item->context;
@@ -453,7 +453,7 @@
 
 // One comparison of revisions answers many questions: a record whose revision is still the one read before
 // is still what it was then. It is sent after the questions have come, so the answer is not older than they are.
-void JobApiHandler::confirm() {
+void JobApiHandler::check_open_records() {
   const double now = runtime_.now();
   if (!questions_.empty() && now >= next_sweep_) {
     next_sweep_ = now + kSweepEvery;
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -60,18 +60,19 @@
                           jobs_, dependencies_, failure_attribution_, workers_, autoscaler_, replicas_, connectivity_,
                           federation_, heartbeats_, service_levels_, status_reporter_, ledger_, configuration_api_),
       event_log_(runtime_, jobs_, workers_) {
-  heartbeats_.set_refusal_condition([this](const Heartbeat &heartbeat) { return federation_.unsure_of(heartbeat); });
+  heartbeats_.set_refusal_condition(
+      [this](const Heartbeat &heartbeat) { return federation_.has_unconfirmed_delegation(heartbeat); });
 }
 
 Effects Core::apply(std::vector<Command> batch, Now now) {
   runtime_.begin_batch(now);
-  federation_.expire();
+  federation_.expire_delegations();
   deliver_events();
   for (auto &command : batch) {
     std::visit([this](auto &&cmd) { on(std::move(cmd)); }, std::move(command));
     deliver_events();
   }
-  job_api_.confirm();
+  job_api_.check_open_records();
   deliver_events();
   if (leadership_.leading()) {
     scheduler_.place_if_something_changed();
@@ -188,19 +189,19 @@
   leadership_.observe_term(message.term, "another replica knows a higher term");
   switch (message.kind) {
   case Kind::Digest:
-    return status_reporter_.take_digest(message);
+    return status_reporter_.handle_digest(message);
   case Kind::Commands:
     return heartbeats_.handle_response(message);
   case Kind::Heartbeat:
     return place_and_respond(heartbeats_.handle_forwarded(cmd));
   case Kind::CellRequest:
-    return federation_.take_passed(cmd);
+    return federation_.handle_forwarded_request(cmd);
   case Kind::CellResponse:
-    return federation_.take_back(message);
+    return federation_.relay_forwarded_reply(message);
   case Kind::UserRequest:
-    return job_api_.take_asked(cmd);
+    return job_api_.handle_forwarded_request(cmd);
   case Kind::UserResponse:
-    return job_api_.take_told(message);
+    return job_api_.relay_forwarded_reply(message);
   case Kind::Ping:
     return replicas_.answer_ping(cmd, heartbeats_.service_status());
   case Kind::Pong:
