--- a/include/loftrouter/core/api/administration_api_handler.hpp
+++ b/include/loftrouter/core/api/administration_api_handler.hpp
@@ -1,6 +1,5 @@
-// The administration API: what an operator asks of any node. What is configured is ConfigurationApiHandler's.
-//
-// Owns nothing but the questions under way.
+// AdministrationApiHandler answers the operators' read requests, on any node. It forwards configuration requests to
+// ConfigurationApiHandler. Its only state is the requests in flight.
 #pragma once
 
 #include <string_view>
@@ -32,16 +31,16 @@
         connectivity_(connectivity), federation_(cells), heartbeats_(heartbeats), service_levels_(service_levels),
         status_reporter_(status_reporter), ledger_(ledger), configuration_(configuration) {}
 
-  void take(AdminCommand &&cmd);
+  void take(AdminCommand &&command);
 
 private:
-  void status(RequestId req, const wire::AdminRequest &ask);
-  std::vector<std::string> troubles(const wire::AdminStatus &status, int silent, int ordered) const;
-  void jobs(RequestId req, const wire::AdminRequest &ask, bool foreseen);
-  void report(RequestId req, const wire::AdminRequest &ask);
-  void statement(RequestId req, const wire::AdminRequest &ask);
-  void statement_jobs(RequestId req, const wire::AdminRequest &ask, wire::AdminStatement statement);
-  void fail(RequestId req, int status, std::string_view text);
+  void status(RequestId request_id, const wire::AdminRequest &request);
+  std::vector<std::string> troubles(const wire::AdminStatus &status, int silent_machines, int excluded_machines) const;
+  void jobs(RequestId request_id, const wire::AdminRequest &request, bool only_late);
+  void report(RequestId request_id, const wire::AdminRequest &request);
+  void statement(RequestId request_id, const wire::AdminRequest &request);
+  void statement_jobs(RequestId request_id, const wire::AdminRequest &request, wire::AdminStatement statement);
+  void reply_error(RequestId request_id, int status, std::string_view text);
 
   Runtime &runtime_;
   const Settings &settings_;
--- a/include/loftrouter/core/api/configuration_api_handler.hpp
+++ b/include/loftrouter/core/api/configuration_api_handler.hpp
@@ -1,8 +1,9 @@
-// What operators ask and change of the configuration, by the administration API, at any node.
+// ConfigurationApiHandler reads and quota_changes the configuration for the administration API, on any node. Its only
+// state is the requests in flight.
 //
-// Owns nothing but the requests under way. Promises that a change is answered with 200 only after the state service has
-// it, that two changes at once do not undo each other (409), and that the production version finds what it can read of
-// it in the documents that it knows (docs/configuration.md, "Side by side").
+// A change is answered with 200 only after the state service has committed it. Concurrent quota_changes don't overwrite
+// each other (409). Entries are also kept in the documents that the production version reads, as far as it can read
+// them (docs/configuration.md, "Side by side").
 #pragma once
 
 #include <map>
@@ -18,45 +19,45 @@
 class ConfigurationApiHandler {
 public:
   ConfigurationApiHandler(Runtime &runtime, const Settings &settings, Configuration &configuration,
-                          OperatorSettings &operators, const Quotas &quotas, QuotaChanges &changes,
+                          OperatorSettings &operators, const Quotas &quotas, QuotaChanges &quota_changes,
                           const QuotaExchange &exchange, StateServiceLimits &state_limits)
       : runtime_(runtime), settings_(settings), configuration_(configuration), operators_(operators), quotas_(quotas),
-        changes_(changes), exchange_(exchange), state_limits_(state_limits) {}
+        quota_changes_(quota_changes), exchange_(exchange), state_limits_(state_limits) {}
 
-  void take(RequestId req, const wire::AdminRequest &ask);
+  void take(RequestId request_id, const wire::AdminRequest &request);
 
 private:
-  using Entries = std::map<std::string, std::optional<wire::Json>>; // by name; nothing: removed
-  // A change of one document and of records of its own for its entries, in as many transactions as it takes.
+  using Entries = std::map<std::string, std::optional<wire::Json>>; // by name; nullopt removes the entry
+  // Change is an update of one document and of the records of its entries, in one or more transactions.
   struct Change {
-    RequestId req = 0;
-    wire::AdminRequest ask;
+    RequestId request_id = 0;
+    wire::AdminRequest request;
     std::string document, prefix;
-    Entries left; // still to be written
+    Entries remaining; // not yet written
   };
 
-  void quotas(RequestId req) const;
-  void change_quota(RequestId req, const wire::QuotaChange &change);
-  void status(RequestId req, const std::string &from) const;
-  void one_order(RequestId req, const std::string &machine) const;
-  void orders_page(RequestId req, wire::MachineAdminStates::const_iterator first) const;
-  void history(RequestId req, const std::string &team) const;
-  void change(RequestId req, const wire::AdminRequest &ask);
+  void reply_quotas(RequestId request_id) const;
+  void handle_quota_change(RequestId request_id, const wire::QuotaChange &change);
+  void reply_status(RequestId request_id, const std::string &from) const;
+  void reply_machine_state(RequestId request_id, const std::string &machine) const;
+  void reply_settings_page(RequestId request_id, wire::MachineAdminStates::const_iterator first) const;
+  void reply_history(RequestId request_id, const std::string &team) const;
+  void handle_change(RequestId request_id, const wire::AdminRequest &request);
   void write(Change change);
-  // `before`: the document as it is stored, at `revision`; `edited`: with the fields that were asked for.
+  // Commits `edited` and a batch of entries. `before` is the document stored at `revision`.
   void commit(Change change, const wire::Json &before, wire::Json edited, std::uint64_t revision);
-  // The document with what was asked for; or the answer that refuses it.
-  std::optional<wire::Json> edited(const Change &change, const wire::Json &before) const;
-  bool takes_entry(const Change &change, const wire::Json &document, const std::string &name) const;
-  void answer(RequestId req, const wire::AdminRequest &ask) const;
-  void fail(RequestId req, int status, std::string_view text) const;
+  // Returns the document with the requested fields, or replies with an error and returns nullopt.
+  std::optional<wire::Json> edit_document(const Change &change, const wire::Json &before) const;
+  bool can_hold_entry(const Change &change, const wire::Json &document, const std::string &name) const;
+  void reply_current(RequestId request_id, const wire::AdminRequest &request) const;
+  void reply_error(RequestId request_id, int status, std::string_view text) const;
 
   Runtime &runtime_;
   const Settings &settings_;
   Configuration &configuration_;
   OperatorSettings &operators_;
   const Quotas &quotas_;
-  QuotaChanges &changes_;
+  QuotaChanges &quota_changes_;
   const QuotaExchange &exchange_;
   StateServiceLimits &state_limits_;
 };
--- a/include/loftrouter/core/api/event_log.hpp
+++ b/include/loftrouter/core/api/event_log.hpp
@@ -1,4 +1,4 @@
-// Writes what has happened to the log. A listener: it owns nothing and changes nothing.
+// EventLog writes the core's events to the structured log. It keeps no state.
 #pragma once
 
 #include "loftrouter/core/runtime/events.hpp"
--- a/src/core/api/event_log.cpp
+++ b/src/core/api/event_log.cpp
@@ -3,7 +3,7 @@
 namespace loftrouter::core {
 
 namespace {
-std::string_view name_of(ExitCause cause) {
+std::string_view log_name(ExitCause cause) {
   switch (cause) {
   case ExitCause::Done:
     return "done";
@@ -62,7 +62,7 @@
                {{"job", jobs_[event.job].spec.id},
                 {"task", event.index},
                 {"machine", event.machine_name},
-                {"cause", name_of(event.cause)},
+                {"cause", log_name(event.cause)},
                 {"after_s", runtime_.now() - event.placed_at}});
 }
 
