--- a/include/loftrouter/core/api/service_level_counters.hpp
+++ b/include/loftrouter/core/api/service_level_counters.hpp
@@ -1,8 +1,7 @@
-// How well each class, each team and the largest jobs of each class are served, since this node leads: so that nobody
-// is left behind unseen.
+// ServiceLevelCounters counts accepted, started, done and cancelled jobs since this node became leader: by class, by
+// team, and for the largest jobs of each class. It makes starvation of one of these groups visible.
 //
-// Owns the counts. A listener: it changes nothing. Names are mapped to dense indices at the door; beyond a bound they
-// count together as "others".
+// It only listens to events. Names beyond kMaxNames are counted together as "others".
 #pragma once
 
 #include <string>
@@ -22,7 +21,7 @@
       : runtime_(runtime), jobs_(jobs), ended_(ended), dependencies_(dependencies) {}
 
   std::vector<wire::AdminStatus::ServiceLevel> rows() const;
-  void tick(); // a line each minute for whoever has work waiting
+  void tick(); // logs the groups with waiting jobs once a minute
 
   void on(const JobAccepted &event);
   void on(const TaskRunning &event);
@@ -31,23 +30,24 @@
   void on(const TermEnded &);
 
 private:
-  static constexpr int kMaxNames = 64;    // classes, and teams
-  static constexpr double kLargest = 0.5; // of the most CPUs that a job of its class has asked for
-  struct Count {
-    std::uint64_t accepted = 0, begun = 0, done = 0, cancelled = 0;
+  static constexpr int kMaxNames = 64;            // limit for classes and for teams
+  static constexpr double kLargestJobShare = 0.5; // of the CPUs of the largest job of the class so far
+  struct JobCounts {
+    std::uint64_t accepted = 0, started = 0, done = 0, cancelled = 0;
   };
   struct Group { // a class or a team
-    Count all, largest;
-    double max_cpus = 0; // of one job
+    JobCounts all, largest;
+    double max_job_cpus = 0;
   };
-  struct Entry { // of an open job
+  struct OpenJob {
     int job_class = -1, team = -1;
-    bool largest = false, begun = false;
+    bool largest = false, started = false;
   };
-  static int place(NameIndex &names, const std::string &name) {
+  static int find_or_add_bounded(NameIndex &names, const std::string &name) {
     return names.find(name) >= 0 || names.size() < kMaxNames ? names.find_or_add(name) : names.find_or_add("others");
   }
-  template <class Fn> void each_count(const Entry &entry, Fn &&fn);
+  // Calls `update` with the counts of each group of the job.
+  template <class Fn> void for_each_count(const OpenJob &open_job, Fn &&update);
 
   Runtime &runtime_;
   const JobTable &jobs_;
@@ -55,8 +55,8 @@
   const Dependencies &dependencies_;
   NameIndex class_names_, team_names_;
   std::vector<Group> classes_, teams_;
-  std::vector<Entry> entries_; // by job
-  double next_line_ = 0;
+  std::vector<OpenJob> open_jobs_; // by job index
+  double next_log_at_ = 0;
 };
 
 } // namespace loftrouter::core
--- a/include/loftrouter/core/api/status_reporter.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -1,7 +1,8 @@
-// What people are told of jobs: why one waits or was stopped, whether it will be late, and how siblings learn it.
+// StatusReporter describes jobs to users: progress, why a job waits or was stopped, and whether it will be late. The
+// leader sends these digests to the other replicas.
 //
-// Owns what the leader has told of its jobs (on a node that does not lead), and what has been told to siblings. It
-// changes nothing else. Counts may be some seconds old; states come from the state service alone (went_back).
+// It owns the digests received (on a follower) and the counts last sent (on the leader), and changes nothing else.
+// Counts may be some seconds old; job states come only from the state service (docs/safety.md "went_back").
 #pragma once
 
 #include <map>
@@ -32,43 +33,45 @@
         failure_attribution_(failure_attribution), job_reasons_(job_reasons), workers_(workers), scheduler_(scheduler),
         quotas_(quotas), autoscaler_(autoscaler), objectives_(objectives), ledger_(ledger), replicas_(replicas) {}
 
-  // What a user is shown of a job that the state service has just said is open.
+  // Returns the user's view of a job whose open record has just been read from the state service.
   JobView view(const std::string &id, bool cancelled) const;
-  bool foreseen_late(JobIndex job_index) const;
-  bool foreseen_late(const std::string &id) const; // on any node
-  std::size_t foreseen_late_count() const;
-  void log_summary(); // every few seconds
+  bool predicted_late(JobIndex job_index) const;
+  bool predicted_late(const std::string &id) const; // works on any replica
+  std::size_t predicted_late_count() const;
+  void log_summary(); // rate-limited
 
   void publish_to_replicas();
   void take_digest(const wire::PeerMessage &message);
-  void on(const JobAccepted &event) { get_or_create(told_, event.job) = {}; }
-  void on(const JobEndLearned &event) { news_.erase(event.id); }
+  void on(const JobAccepted &event) { get_or_create(published_, event.job) = {}; }
+  void on(const JobEndLearned &event) { digests_.erase(event.id); }
   void on(const TermStarted &);
 
 private:
-  struct Supply { // machines of one kind
+  struct MachineCounts { // machines of one kind
     int up = 0, starting = 0;
   };
-  using Supplies = std::map<MachineKind, Supply>;
-  struct News { // of a job, from the leader
+  using MachineCountsByKind = std::map<MachineKind, MachineCounts>;
+  struct ReceivedDigest { // from the leader
     std::uint32_t done, running;
     bool late;
     std::string reason;
-    double at;
+    double received_at;
   };
-  struct Told { // to siblings
+  struct PublishedCounts { // last sent to the replicas
     std::uint32_t done = 0, running = 0;
   };
-  // When each open job is expected to be able to start, and to be done, by estimates and the queue.
-  static constexpr double kOutlookEvery = 0.5; // s
-  const CriticalPath &outlook() const;
-  std::string at_risk(JobIndex job_index) const;
-  Supplies supplies() const;
-  std::string why(JobIndex job_index, const Supplies &supply) const;
-  std::string why_waiting(JobIndex job_index, const Supplies &supply) const;
-  std::string why_held(const Job &job) const;
-  std::string why_limited(const Job &job) const; // by its team's limit; empty: it is not
-  std::string why_not_ready(JobIndex job_index) const;
+  static constexpr double kForecastMaxAgeS = 0.5;
+  // Returns the estimated start and completion of each open job, from its estimates and the queue.
+  const CriticalPath &forecast() const;
+  // Names the dependency that is expected to make a waiting job miss its own deadline, and by how much.
+  std::string deadline_risk(JobIndex job_index) const;
+  MachineCountsByKind count_machines() const;
+  // Explains to the job's owner why its tasks wait, or what last happened to them.
+  std::string explain(JobIndex job_index, const MachineCountsByKind &machines) const;
+  std::string explain_pending(JobIndex job_index, const MachineCountsByKind &machines) const;
+  std::string explain_exhausted_budget(const Job &job) const;
+  std::string explain_quota(const Job &job) const; // empty if the team's quota does not limit the job
+  std::string explain_dependencies(JobIndex job_index) const;
   bool any_running(JobIndex job_index) const;
 
   Runtime &runtime_;
@@ -89,14 +92,14 @@
   const JobObjectives &objectives_;
   const UsageLedger &ledger_;
   Replicas &replicas_;
-  std::unordered_map<std::string, News> news_;
-  std::deque<std::string> news_order_;
-  std::uint64_t news_term_ = 0;
-  std::vector<Told> told_; // by job
-  double next_digest_ = 0, next_summary_ = 0;
-  mutable CriticalPath outlook_;
-  mutable double outlook_at_ = -1e9;
-  std::size_t cursor_ = 0; // of the digest, over jobs
+  std::unordered_map<std::string, ReceivedDigest> digests_;
+  std::deque<std::string> digest_order_;
+  std::uint64_t digest_term_ = 0;
+  std::vector<PublishedCounts> published_; // by job index
+  double next_digest_at_ = 0, next_summary_at_ = 0;
+  mutable CriticalPath forecast_;
+  mutable double forecast_at_ = -1e9;
+  std::size_t publish_cursor_ = 0; // job index at which the next digest starts
 };
 
 } // namespace loftrouter::core
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -187,7 +187,7 @@
                                 ledger_.budget(t)->cpu_hours,
                                 ledger_.budget_exhausted(t) ? ": its new tasks are not started" : ""));
   if (suspects) out.push_back(fmt::format("jobs that fail on every machine: {}; see /admin/v1/jobs", suspects));
-  if (const auto late = status_reporter_.foreseen_late_count())
+  if (const auto late = status_reporter_.predicted_late_count())
     out.push_back(fmt::format("jobs that are or will be late: {}; see /admin/v1/foreseen", late));
   return out;
 }
@@ -206,7 +206,7 @@
                      next = open->spec.id;
                      if (!request.team.empty() && request.team != open->spec.team) continue;
                      auto view = status_reporter_.view(open->spec.id, open->cancelled);
-                     const bool late = status_reporter_.foreseen_late(open->spec.id);
+                     const bool late = status_reporter_.predicted_late(open->spec.id);
                      if (only_late && !late) continue;
                      out.push_back({open->spec.id, open->spec.job_class, open->spec.team,
                                     open->cancelled ? "being stopped"
--- a/src/core/api/service_level_counters.cpp
+++ b/src/core/api/service_level_counters.cpp
@@ -7,91 +7,92 @@
 namespace loftrouter::core {
 
 namespace {
-constexpr double kLineEvery = 60.0; // s
+constexpr double kLogIntervalS = 60.0;
 } // namespace
 
-template <class Fn> void ServiceLevelCounters::each_count(const Entry &entry, Fn &&fn) {
-  if (entry.job_class < 0) return;
-  Group &group = get_or_create(classes_, entry.job_class);
-  fn(group.all);
-  if (entry.largest) fn(group.largest);
-  fn(get_or_create(teams_, entry.team).all);
+template <class Fn> void ServiceLevelCounters::for_each_count(const OpenJob &open_job, Fn &&update) {
+  if (open_job.job_class < 0) return;
+  Group &group = get_or_create(classes_, open_job.job_class);
+  update(group.all);
+  if (open_job.largest) update(group.largest);
+  update(get_or_create(teams_, open_job.team).all);
 }
 
 void ServiceLevelCounters::on(const JobAccepted &event) {
   const Job *job = jobs_.find(event.job);
   if (!job || job->delegated_here) return;
-  Entry &entry = get_or_create(entries_, event.job);
-  entry = {place(class_names_, job->spec.job_class), place(team_names_, job->spec.team), false,
-           job->placed + job->done + job->unaccounted > 0};
-  Group &group = get_or_create(classes_, entry.job_class);
+  OpenJob &open_job = get_or_create(open_jobs_, event.job);
+  open_job = {find_or_add_bounded(class_names_, job->spec.job_class), find_or_add_bounded(team_names_, job->spec.team),
+              false, job->placed + job->done + job->unaccounted > 0};
+  Group &group = get_or_create(classes_, open_job.job_class);
   const double cpus = job->spec.tasks * job->spec.need.cpus;
-  entry.largest = cpus >= kLargest * group.max_cpus;
-  group.max_cpus = std::max(group.max_cpus, cpus);
-  each_count(entry, [&](Count &count) {
+  open_job.largest = cpus >= kLargestJobShare * group.max_job_cpus;
+  group.max_job_cpus = std::max(group.max_job_cpus, cpus);
+  for_each_count(open_job, [&](JobCounts &count) {
     ++count.accepted;
-    count.begun += entry.begun;
+    count.started += open_job.started;
   });
 }
 
 void ServiceLevelCounters::on(const TaskRunning &event) {
-  Entry &entry = get_or_create(entries_, event.job);
-  if (entry.job_class < 0 || std::exchange(entry.begun, true)) return;
-  each_count(entry, [](Count &count) { ++count.begun; });
+  OpenJob &open_job = get_or_create(open_jobs_, event.job);
+  if (open_job.job_class < 0 || std::exchange(open_job.started, true)) return;
+  for_each_count(open_job, [](JobCounts &count) { ++count.started; });
 }
 
 void ServiceLevelCounters::on(const JobFinalized &event) {
-  const Entry entry = std::exchange(get_or_create(entries_, event.job), {});
+  const OpenJob open_job = std::exchange(get_or_create(open_jobs_, event.job), {});
   const auto *end = ended_.find(event.id);
-  each_count(entry, [&](Count &count) {
+  for_each_count(open_job, [&](JobCounts &count) {
     const bool cancelled = end && end->cancelled;
     ++(cancelled ? count.cancelled : count.done);
-    count.begun += !entry.begun && !cancelled; // too short to have been seen running
+    count.started += !open_job.started && !cancelled; // too short to be seen running
   });
 }
 
 void ServiceLevelCounters::on(const TermStarted &) {
-  next_line_ = runtime_.now() + kLineEvery;
+  next_log_at_ = runtime_.now() + kLogIntervalS;
 }
 
 void ServiceLevelCounters::on(const TermEnded &) {
   classes_.clear();
   teams_.clear();
-  entries_.clear();
+  open_jobs_.clear();
 }
 
 std::vector<wire::AdminStatus::ServiceLevel> ServiceLevelCounters::rows() const {
   std::vector<wire::AdminStatus::ServiceLevel> out;
-  std::vector<std::size_t> of_class(classes_.size(), 0), of_largest(classes_.size(), 0), of_team(teams_.size(), 0);
-  auto row = [&](const char *of, const std::string &name, const Count &count) {
-    out.push_back({of, name, count.accepted, count.begun, count.done, count.cancelled, 0, 0});
+  std::vector<std::size_t> class_rows(classes_.size(), 0), largest_rows(classes_.size(), 0),
+      team_rows(teams_.size(), 0);
+  auto append_row = [&](const char *of, const std::string &name, const JobCounts &count) {
+    out.push_back({of, name, count.accepted, count.started, count.done, count.cancelled, 0, 0});
     return out.size() - 1;
   };
   for (std::size_t i = 0; i < classes_.size(); ++i) {
-    of_class[i] = row("class", class_names_.name(static_cast<int>(i)), classes_[i].all);
-    of_largest[i] = row("largest of class", class_names_.name(static_cast<int>(i)), classes_[i].largest);
+    class_rows[i] = append_row("class", class_names_.name(static_cast<int>(i)), classes_[i].all);
+    largest_rows[i] = append_row("largest of class", class_names_.name(static_cast<int>(i)), classes_[i].largest);
   }
   for (std::size_t i = 0; i < teams_.size(); ++i)
-    of_team[i] = row("team", team_names_.name(static_cast<int>(i)), teams_[i].all);
+    team_rows[i] = append_row("team", team_names_.name(static_cast<int>(i)), teams_[i].all);
   jobs_.each([&](JobIndex job_index, const Job &job) {
-    if (job_index.position() >= entries_.size()) return;
-    const Entry &entry = entries_[job_index.position()];
-    if (entry.job_class < 0 || entry.begun || job.cancelled || !dependencies_.ready(job_index)) return;
-    const double waited = std::max(0.0, runtime_.wall() - dependencies_.ready_wall(job_index));
-    auto add = [&](std::size_t k) {
-      ++out[k].waiting;
-      out[k].longest_wait_s = std::max(out[k].longest_wait_s, waited);
+    if (job_index.position() >= open_jobs_.size()) return;
+    const OpenJob &open_job = open_jobs_[job_index.position()];
+    if (open_job.job_class < 0 || open_job.started || job.cancelled || !dependencies_.ready(job_index)) return;
+    const double wait_s = std::max(0.0, runtime_.wall() - dependencies_.ready_wall(job_index));
+    auto add_wait = [&](std::size_t row_index) {
+      ++out[row_index].waiting;
+      out[row_index].longest_wait_s = std::max(out[row_index].longest_wait_s, wait_s);
     };
-    add(of_class[static_cast<std::size_t>(entry.job_class)]);
-    if (entry.largest) add(of_largest[static_cast<std::size_t>(entry.job_class)]);
-    add(of_team[static_cast<std::size_t>(entry.team)]);
+    add_wait(class_rows[static_cast<std::size_t>(open_job.job_class)]);
+    if (open_job.largest) add_wait(largest_rows[static_cast<std::size_t>(open_job.job_class)]);
+    add_wait(team_rows[static_cast<std::size_t>(open_job.team)]);
   });
   return out;
 }
 
 void ServiceLevelCounters::tick() {
-  if (runtime_.now() < next_line_) return;
-  next_line_ = runtime_.now() + kLineEvery;
+  if (runtime_.now() < next_log_at_) return;
+  next_log_at_ = runtime_.now() + kLogIntervalS;
   for (const auto &r : rows())
     if (r.waiting)
       runtime_.log(LogLevel::Info, "service_levels_reported",
