--- a/include/loftrouter/core/api/job_api_handler.hpp
+++ b/include/loftrouter/core/api/job_api_handler.hpp
@@ -1,10 +1,10 @@
-// What users ask for. Any node answers: submissions and cancellations go straight to the state service, and an answer
-// about a job comes from a read made after the question arrived. What the state service does not answer here is passed
-// on, once, to a sibling that it answers; see docs/links.md.
+// JobApiHandler serves the user API on any node. It writes submissions and cancellations to the state service, and
+// answers lookups from a read made after the request arrived. If the state service does not answer this node, the
+// request is forwarded once to a replica that it does answer (docs/links.md).
 //
-// Owns the questions under way and what is known of open records. Promises that nothing is told that the state
-// service has not said since it was asked, and that an answer never goes back behind one given before (forgotten,
-// not_done, went_back). What cannot be answered in time is refused at once.
+// It owns the requests in flight and a cache of open records. Every reply is backed by the state service as of after
+// the request arrived, and never contradicts an earlier reply (docs/safety.md "forgotten", "not_done", "went_back").
+// A request that can't be served in time is refused at once.
 #pragma once
 
 #include <deque>
@@ -27,78 +27,83 @@
                 const StatusReporter &status_reporter)
       : runtime_(runtime), settings_(settings), catalog_(catalog), state_limits_(state_limits), leadership_(leadership),
         jobs_(jobs), ended_(ended), replicas_(replicas), cancellations_(cancellations), quotas_(quotas),
-        status_reporter_(status_reporter), passed_(kMaxPassed, runtime.nonce()) {}
+        status_reporter_(status_reporter), forwarded_requests_(kMaxForwarded, runtime.nonce()) {}
 
   void take(SubmitCommand &&cmd);
   void take(LookupCommand &&cmd);
   void take(CancelCommand &&cmd);
-  void confirm();                                   // at the end of each batch
-  void tick();                                      // gives up what a sibling has not answered
-  void take_asked(const PeerMessageCommand &cmd);   // by a sibling, for a user of its own
-  void take_told(const wire::PeerMessage &message); // by a sibling, about what was passed on to it
-  bool can_answer() const;                          // here, or by way of a sibling
-  void on(const JobEndLearned &event) { known_open_.erase(event.id); }
+  // Checks the cached open records against the state service for the waiting requests. Called after each batch.
+  void confirm();
+  void tick(); // refuses forwarded requests that timed out
+  // Serves a request that another replica forwarded.
+  void take_asked(const PeerMessageCommand &cmd);
+  // Passes on to the user the reply to a request that this node forwarded.
+  void take_told(const wire::PeerMessage &message);
+  bool can_answer() const; // directly or through another replica
+  void on(const JobEndLearned &event) { open_jobs_.erase(event.id); }
 
 private:
-  static constexpr std::size_t kMaxPassed = 512;
-  static constexpr double kQuestionPatience = 0.25; // s, that a question waits for a comparison
-  static constexpr double kNamesPatience = 1.0;     // the same where others have to be read first
+  static constexpr std::size_t kMaxForwarded = 512;
+  static constexpr double kLookupMaxWaitS = 0.25;      // for a revision check
+  static constexpr double kDependenciesMaxWaitS = 1.0; // where dependencies have to be read first
   using Verb = wire::PeerMessage::Verb;
-  // Those about jobs known to be open wait for the next comparison of their records' revisions.
-  struct Question {
+  // A request about a job that is cached as open waits for the next revision check.
+  struct PendingRequest {
     RequestId req;
     std::string id;
-    bool as_submit;
-    double asked;
-    double patience = kQuestionPatience;
-    std::vector<std::string> unchanged = {}; // records that a comparison since has found so
+    bool is_submission;
+    double received_at;
+    double max_wait_s = kLookupMaxWaitS;
+    std::vector<std::string> unchanged_keys = {}; // keys that a revision check has confirmed since
   };
-  struct Compared {
-    Question question;
+  struct RevisionCheck {
+    PendingRequest request;
     std::vector<std::string> keys;
-    bool whole = true; // all that it has to find unchanged is in the comparison
+    bool complete = true; // false if the commit had no room for some of the keys
   };
-  struct Passed {
+  struct ForwardedRequest {
     Verb verb;
-    std::string id, body; // the latter only if it is short
-    double asked;
-    std::uint64_t tried; // siblings, by bit
-    bool waits;          // a submission that names others
+    std::string id, body; // the body is kept only if it is short
+    double received_at;
+    std::uint64_t tried_replicas; // bit set of replicas
+    bool has_dependencies;
   };
-  struct KnownOpen {
+  struct OpenJob {
     std::uint64_t mod_revision;
     bool cancelled, service;
-    std::vector<std::string> dependencies; // without those known to be done
+    std::vector<std::string> dependencies; // except those known to be done
   };
-  // What is known of a job that another names; Never: nobody has accepted it.
-  enum class Named : std::uint8_t { Open, Service, Done, Cancelled, Never, Unknown };
-  struct Submission; // one that names others, while they are looked up
-  enum class Verdict : std::uint8_t { Ok, Never, Unknown };
-  Verdict judge(const JobSpec &spec, std::string &why) const;
-  void answer_state(const Question &question);
-  void answer_end(RequestId req, const std::string &id, const EndRecord &end, bool brief);
-  void tell_open(const Question &question, bool cancelled);
-  void note_open(const OpenRecord &record, std::uint64_t mod_revision, bool cancelled);
-  const KnownOpen *known_open(const std::string &id);
-  Named known(const std::string &id);
-  void learn(const std::string &id, std::function<void(Named)> then);
-  void check_names(std::shared_ptr<Submission> s);
-  void names_checked(const std::shared_ptr<Submission> &s);
-  void accept(const Question &question, OpenRecord record);
-  void refuse_for_ever(const Question &question, const JobSpec &spec, const std::string &why);
-  void abort(const Question &question);
-  std::size_t max_guards() const { return static_cast<std::size_t>(4 * settings_.state_txn_ops); } // of a comparison
-  std::optional<Compared> compare(Question question, StoreCommit &commit);
-  std::string cancelled_name(const std::string &id);
-  void read_open(const Question &question);
-  void want_id(const Question &question, std::uint64_t mod_revision, OpenRecord record);
-  void read_end(const Question &question, bool as_abort);
-  int helper(std::uint64_t tried = 0, bool knows_dependencies = false) const; // the sibling to pass on to, or -1
-  bool pass_on(RequestId req, Verb verb, const std::string &id, double asked, std::string body = {},
-               std::uint64_t tried = 0, bool waits = false);
-  // The state service has not answered: somebody else may.
-  void no_answer(const Question &question, Verb verb, std::string_view why, std::string body = {}, bool waits = false);
-  void no_answer(const Question &question, const JobSpec &spec, std::string_view why); // to its submission
+  enum class JobStatus : std::uint8_t { Open, Service, Done, Cancelled, NeverAccepted, Unknown };
+  struct PendingSubmission; // waits for the lookup of its dependencies
+  enum class Feasibility : std::uint8_t { Feasible, Infeasible, Unknown };
+  Feasibility check_feasibility(const JobSpec &spec, std::string &reason) const;
+  void reply_state(const PendingRequest &request);
+  void reply_ended(RequestId req, const std::string &id, const EndRecord &end, bool short_reply);
+  void reply_open(const PendingRequest &request, bool cancelled);
+  void remember_open(const OpenRecord &record, std::uint64_t mod_revision, bool cancelled);
+  const OpenJob *find_open_job(const std::string &id);
+  // Returns the cached status of a job.
+  JobStatus known_status(const std::string &id);
+  // Reads a job's status from the state service.
+  void look_up(const std::string &id, std::function<void(JobStatus)> callback);
+  void check_dependencies(std::shared_ptr<PendingSubmission> submission);
+  void finish_dependency_check(const std::shared_ptr<PendingSubmission> &submission);
+  void commit_submission(const PendingRequest &request, OpenRecord record);
+  void reject_unless_accepted(const PendingRequest &request, const JobSpec &spec, const std::string &reason);
+  void cancel_job(const PendingRequest &request);
+  std::size_t max_preconditions() const { return static_cast<std::size_t>(4 * settings_.state_txn_ops); }
+  std::optional<RevisionCheck> prepare_check(PendingRequest request, StoreCommit &commit);
+  std::string cancelled_dependency(const std::string &id);
+  void read_open_record(const PendingRequest &request);
+  void reclaim_job_id(const PendingRequest &request, std::uint64_t mod_revision, OpenRecord record);
+  void read_end_record(const PendingRequest &request, bool is_cancellation);
+  int choose_replica(std::uint64_t tried_replicas = 0, bool needs_dependency_support = false) const; // -1: none
+  bool forward(RequestId req, Verb verb, const std::string &id, double received_at, std::string body = {},
+               std::uint64_t tried_replicas = 0, bool has_dependencies = false);
+  // Forwards a request that the state service has not answered to another replica, or refuses it.
+  void forward_or_refuse(const PendingRequest &request, Verb verb, std::string_view reason, std::string body = {},
+                         bool has_dependencies = false);
+  void forward_or_refuse(const PendingRequest &request, const JobSpec &spec, std::string_view reason);
 
   Runtime &runtime_;
   const Settings &settings_;
@@ -111,13 +116,13 @@
   Cancellations &cancellations_;
   const Quotas &quotas_;
   const StatusReporter &status_reporter_;
-  int under_way_ = 0; // operations for users
-  std::deque<Question> questions_;
-  bool confirming_ = false;
-  double next_confirm_ = 0, next_sweep_ = 0;
-  std::unordered_map<std::string, KnownOpen> known_open_;
-  std::deque<std::string> known_order_;
-  ForwardedRequests<Passed> passed_;
+  int operations_in_flight_ = 0; // store operations on behalf of users
+  std::deque<PendingRequest> unverified_requests_;
+  bool check_in_flight_ = false;
+  double next_check_at_ = 0, next_timeout_scan_at_ = 0;
+  std::unordered_map<std::string, OpenJob> open_jobs_;
+  std::deque<std::string> open_job_order_;
+  ForwardedRequests<ForwardedRequest> forwarded_requests_;
 };
 
 } // namespace loftrouter::core
