--- a/include/loftrouter/core/api/job_api_handler.hpp
+++ b/include/loftrouter/core/api/job_api_handler.hpp
@@ -33,12 +33,12 @@
   void take(LookupCommand &&cmd);
   void take(CancelCommand &&cmd);
   // Checks the cached open records against the state service for the waiting requests. Called after each batch.
-  void confirm();
+  void check_open_records();
   void tick(); // refuses forwarded requests that timed out
   // Serves a request that another replica forwarded.
-  void take_asked(const PeerMessageCommand &cmd);
+  void handle_forwarded_request(const PeerMessageCommand &cmd);
   // Passes on to the user the reply to a request that this node forwarded.
-  void take_told(const wire::PeerMessage &message);
+  void relay_forwarded_reply(const wire::PeerMessage &message);
   bool can_answer() const; // directly or through another replica
   void on(const JobEndLearned &event) { open_jobs_.erase(event.id); }
 
--- a/include/loftrouter/core/api/status_reporter.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -41,7 +41,7 @@
   void log_summary(); // rate-limited
 
   void publish_to_replicas();
-  void take_digest(const wire::PeerMessage &message);
+  void handle_digest(const wire::PeerMessage &message);
   void on(const JobAccepted &event) { get_or_create(published_, event.job) = {}; }
   void on(const JobEndLearned &event) { digests_.erase(event.id); }
   void on(const TermStarted &);
--- a/src/core/api/job_api_handler.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -111,7 +111,7 @@
   forward_or_refuse(request, Verb::Submit, reason, wire::encode(wire::to_json(spec)), !spec.dependencies.empty());
 }
 
-void JobApiHandler::take_asked(const PeerMessageCommand &cmd) {
+void JobApiHandler::handle_forwarded_request(const PeerMessageCommand &cmd) {
   const auto &message = cmd.message;
   if (!replicas_.by_sender(message.sender).valid()) return; // not a configured replica
   const auto req = runtime_.proxy_request(cmd.link, message.nonce);
@@ -126,7 +126,7 @@
 
 // The replica's reply is based on a read made after the request arrived. What this node has learned since then is newer
 // and takes precedence.
-void JobApiHandler::take_told(const wire::PeerMessage &message) {
+void JobApiHandler::relay_forwarded_reply(const wire::PeerMessage &message) {
   const auto item = forwarded_requests_.complete(message.nonce);
   if (!item) return; // timed out
   const auto &[verb, id, body, received_at, tried_replicas, has_dependencies] = item->context;
@@ -464,7 +464,7 @@
 
 // One transaction with revision preconditions answers many requests: a record with an unchanged revision is the
 // record that was cached. It is sent after the requests arrived, so the replies are no older than the requests.
-void JobApiHandler::confirm() {
+void JobApiHandler::check_open_records() {
   const double now = runtime_.now();
   if (!unverified_requests_.empty() && now >= next_timeout_scan_at_) {
     next_timeout_scan_at_ = now + kTimeoutScanIntervalS;
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -296,7 +296,7 @@
   replicas_.broadcast(message);
 }
 
-void StatusReporter::take_digest(const wire::PeerMessage &message) {
+void StatusReporter::handle_digest(const wire::PeerMessage &message) {
   if (message.term < digest_term_ || leadership_.leading()) return;
   if (message.term > digest_term_) {
     digests_.clear();
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -67,7 +67,7 @@
     std::visit([this](auto &&cmd) { on(std::move(cmd)); }, std::move(command));
     deliver_events();
   }
-  job_api_.confirm();
+  job_api_.check_open_records();
   deliver_events();
   if (leadership_.leading()) {
     scheduler_.place_if_something_changed();
@@ -182,7 +182,7 @@
   leadership_.observe_term(message.term, "another replica knows a higher term");
   switch (message.kind) {
   case Kind::Digest:
-    return status_reporter_.take_digest(message);
+    return status_reporter_.handle_digest(message);
   case Kind::Commands:
     return heartbeats_.handle_response(message);
   case Kind::Heartbeat:
@@ -192,9 +192,9 @@
   case Kind::CellResponse:
     return federation_.take_back(message);
   case Kind::UserRequest:
-    return job_api_.take_asked(cmd);
+    return job_api_.handle_forwarded_request(cmd);
   case Kind::UserResponse:
-    return job_api_.take_told(message);
+    return job_api_.relay_forwarded_reply(message);
   case Kind::Ping:
     return replicas_.answer_ping(cmd, heartbeats_.service_status());
   case Kind::Pong:
