--- a/include/loftrouter/core/api/status_reporter.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -1,5 +1,5 @@
 // StatusReporter describes jobs to users: progress, why a job waits or was stopped, and whether it will be late. The
-// leader sends these digests to the other replicas.
+// leader sends digests of its jobs to the other replicas.
 //
 // It owns the digests received (on a follower) and the counts last sent (on the leader), and changes nothing else.
 // Counts may be some seconds old; job states come only from the state service (docs/safety.md "went_back").
--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -256,19 +256,19 @@
   if (statement.ends == 0)
     return reply_error(request_id, 404, "no such period: give the date on which it begins, within the last 400 days");
   runtime_.store(StoreList{std::string(wire::kProgressPrefix), ""}, kStoreReadTimeoutS,
-                 [this, request_id, request, statement](const wire::StoreReply &r) {
-                   if (r.status != 200 || r.more)
+                 [this, request_id, request, statement](const wire::StoreReply &progress_reply) {
+                   if (progress_reply.status != 200 || progress_reply.more)
                      return reply_error(request_id, 503, "the state service did not answer");
                    SumsByTeam sums;
-                   for (const auto &e : r.entries)
+                   for (const auto &e : progress_reply.entries)
                      if (auto shard = wire::progress_from_json(e.key, e.value)) add_sums(sums, shard->sums);
                    runtime_.store(StoreGet{wire::accounts_key(statement.period)}, kStoreReadTimeoutS,
                                   [this, request_id, request, statement, sums](const wire::StoreReply &reply) mutable {
                                     if (reply.status != 200 && reply.status != 404)
                                       return reply_error(request_id, 503, "the state service did not answer");
                                     if (reply.status == 200 && reply.entries.size() == 1)
-                                      if (auto kept = wire::sums_from_json(reply.entries[0].value))
-                                        add_sums(sums, *kept);
+                                      if (auto stored = wire::sums_from_json(reply.entries[0].value))
+                                        add_sums(sums, *stored);
                                     const auto &budgets = operators_.budgets().teams;
                                     for (const auto &t : settings_.teams) {
                                       if (!request.team.empty() && request.team != t.name) continue;
