--- a/src/core/api/administration_api_handler.cpp
+++ b/src/core/api/administration_api_handler.cpp
@@ -59,7 +59,7 @@
 void AdministrationApiHandler::status(RequestId request_id, const wire::AdminRequest &request) {
   wire::AdminStatus status;
   const bool leading = leadership_.leading();
-  auto seconds_since = [this](double at) { return at < -1e8 ? -1.0 : runtime_.now() - at; };
+  auto seconds_since = [this](double time) { return time < -1e8 ? -1.0 : runtime_.now() - time; };
   status.node = settings_.node;
   status.role = leading                                ? (leadership_.active() ? "leading" : "leading, paused")
                 : leadership_.role() == Role::Follower ? "following"
@@ -71,11 +71,11 @@
   status.cloud_age_s = seconds_since(runtime_.provider_answered_at());
   status.heartbeat_age_s = seconds_since(connectivity_.last_heartbeat_at());
   status.connectivity = {connectivity_.own_record(), connectivity_.workers_by_zone()};
-  for (const ReplicaIndex i : replicas_.indices()) {
-    const auto &replica = replicas_[i];
-    const auto learned = connectivity_.connectivity_of(i);
-    status.replicas.push_back({replicas_.name(i), seconds_since(replica.status_as_of), replica.state_service_lost,
-                               replica.service_status.can_forward, leading ? workers_.available_count(i) : 0,
+  for (const ReplicaIndex index : replicas_.indices()) {
+    const auto &replica = replicas_[index];
+    const auto learned = connectivity_.connectivity_of(index);
+    status.replicas.push_back({replicas_.name(index), seconds_since(replica.status_as_of), replica.state_service_lost,
+                               replica.service_status.can_forward, leading ? workers_.available_count(index) : 0,
                                learned ? learned->record : ConnectivityRecord{},
                                !learned                  ? "nothing"
                                : learned->over_peer_link ? "link"
@@ -117,8 +117,8 @@
     for (const auto &c : federation_.states())
       status.cells.push_back({c.name, c.heard_s, c.delegates, c.delegated_out_tasks, c.delegated_in_tasks});
   if (leading) {
-    for (const auto &t : settings_.teams)
-      status.queues.push_back({.team = t.name});
+    for (const auto &team : settings_.teams)
+      status.queues.push_back({.team = team.name});
     jobs_.each([&](JobIndex job_index, const Job &job) {
       if (job.cancelled || job.team < 0) return;
       auto &queue = status.queues[static_cast<std::size_t>(job.team)];
@@ -171,21 +171,21 @@
       out.push_back(fmt::format("replica {} does not answer", replica.node));
   if (leading && status.cloud_age_s > 15) out.push_back("the cloud provider does not answer: no scale-out or scale-in");
   std::string out_of_capacity;
-  for (const auto &k : status.fleet)
-    if (k.refused)
-      out_of_capacity +=
-          fmt::format("{}{}{} in {}", out_of_capacity.empty() ? "" : ", ", k.spot ? "spot " : "", k.type, k.zone);
+  for (const auto &kind : status.fleet)
+    if (kind.refused)
+      out_of_capacity += fmt::format("{}{}{} in {}", out_of_capacity.empty() ? "" : ", ", kind.spot ? "spot " : "",
+                                     kind.type, kind.zone);
   if (!out_of_capacity.empty()) out.push_back("the cloud provider has no capacity for: " + out_of_capacity);
   if (silent_machines) out.push_back(fmt::format("machines without a recent heartbeat: {}", silent_machines));
   if (excluded_machines)
     out.push_back(fmt::format("machines that an operator has excluded from placement: {}", excluded_machines));
-  for (int t = 0; leading && t < static_cast<int>(settings_.teams.size()); ++t)
-    if (ledger_.budget_warning_due(t))
+  for (int team = 0; leading && team < static_cast<int>(settings_.teams.size()); ++team)
+    if (ledger_.budget_warning_due(team))
       out.push_back(fmt::format("team {} has used {:.1f} of its {:g} CPU hours of this period{}",
-                                settings_.teams[static_cast<std::size_t>(t)].name,
-                                static_cast<double>(ledger_.used(t)) / accounts::kSumsPerHour,
-                                ledger_.budget(t)->cpu_hours,
-                                ledger_.budget_exhausted(t) ? ": its new tasks are not started" : ""));
+                                settings_.teams[static_cast<std::size_t>(team)].name,
+                                static_cast<double>(ledger_.used(team)) / accounts::kSumsPerHour,
+                                ledger_.budget(team)->cpu_hours,
+                                ledger_.budget_exhausted(team) ? ": its new tasks are not started" : ""));
   if (suspects) out.push_back(fmt::format("jobs that fail on every machine: {}; see /admin/v1/jobs", suspects));
   if (const auto late = status_reporter_.predicted_late_count())
     out.push_back(fmt::format("jobs that are or will be late: {}; see /admin/v1/foreseen", late));
@@ -200,8 +200,8 @@
                    if (reply.status != 200) return reply_error(request_id, 503, "the state service did not answer");
                    std::vector<wire::AdminJob> out;
                    std::string next;
-                   for (const auto &e : reply.entries) {
-                     auto open = wire::open_from_json(e.value);
+                   for (const auto &entry : reply.entries) {
+                     auto open = wire::open_from_json(entry.value);
                      if (!open) continue;
                      next = open->spec.id;
                      if (!request.team.empty() && request.team != open->spec.team) continue;
@@ -227,9 +227,9 @@
                    if (reply.status != 200) return reply_error(request_id, 503, "the state service did not answer");
                    std::vector<wire::AdminJob> out;
                    std::string next;
-                   for (const auto &e : reply.entries) {
-                     next = e.key.substr(e.key.find('/') + 1);
-                     auto end = wire::end_from_json(e.value);
+                   for (const auto &entry : reply.entries) {
+                     next = entry.key.substr(entry.key.find('/') + 1);
+                     auto end = wire::end_from_json(entry.value);
                      if (!end || (!request.team.empty() && request.team != end->team) ||
                          end->end_wall < runtime_.wall() - request.period_s)
                        continue;
@@ -260,8 +260,8 @@
                    if (progress_reply.status != 200 || progress_reply.more)
                      return reply_error(request_id, 503, "the state service did not answer");
                    SumsByTeam sums;
-                   for (const auto &e : progress_reply.entries)
-                     if (auto shard = wire::progress_from_json(e.key, e.value)) add_sums(sums, shard->sums);
+                   for (const auto &entry : progress_reply.entries)
+                     if (auto shard = wire::progress_from_json(entry.key, entry.value)) add_sums(sums, shard->sums);
                    runtime_.store(StoreGet{wire::accounts_key(statement.period)}, kStoreReadTimeoutS,
                                   [this, request_id, request, statement, sums](const wire::StoreReply &reply) mutable {
                                     if (reply.status != 200 && reply.status != 404)
@@ -270,12 +270,12 @@
                                       if (auto stored = wire::sums_from_json(reply.entries[0].value))
                                         add_sums(sums, *stored);
                                     const auto &budgets = operators_.budgets().teams;
-                                    for (const auto &t : settings_.teams) {
-                                      if (!request.team.empty() && request.team != t.name) continue;
-                                      const auto b = budgets.find(t.name);
+                                    for (const auto &team : settings_.teams) {
+                                      if (!request.team.empty() && request.team != team.name) continue;
+                                      const auto budget = budgets.find(team.name);
                                       statement.teams.push_back(
-                                          {t.name, sums[{statement.period, t.name}],
-                                           b == budgets.end() ? std::nullopt : std::optional(b->second)});
+                                          {team.name, sums[{statement.period, team.name}],
+                                           budget == budgets.end() ? std::nullopt : std::optional(budget->second)});
                                     }
                                     statement_jobs(request_id, request, std::move(statement));
                                   });
@@ -289,9 +289,9 @@
                  [this, request_id, request, statement = std::move(statement)](const wire::StoreReply &reply) mutable {
                    if (reply.status != 200) return reply_error(request_id, 503, "the state service did not answer");
                    std::string last;
-                   for (const auto &e : reply.entries) {
-                     last = e.key.substr(e.key.find('/') + 1);
-                     const auto end = wire::end_from_json(e.value);
+                   for (const auto &entry : reply.entries) {
+                     last = entry.key.substr(entry.key.find('/') + 1);
+                     const auto end = wire::end_from_json(entry.value);
                      if (!end || (!request.team.empty() && request.team != end->team)) continue;
                      if (end->end_wall < statement.begins || end->end_wall >= statement.ends) continue;
                      statement.jobs.push_back({to_admin_job(last, *end), end->usage, end->need});
--- a/src/core/api/configuration_api_handler.cpp
+++ b/src/core/api/configuration_api_handler.cpp
@@ -126,8 +126,8 @@
   out.watch_open = configuration_.watch_open();
   out.current_s = configuration_.current_at() < -1e8 ? -1 : runtime_.now() - configuration_.current_at();
   out.nodes.push_back(settings_.node);
-  for (const auto &s : settings_.replicas)
-    out.nodes.push_back(s.node);
+  for (const auto &replica : settings_.replicas)
+    out.nodes.push_back(replica.node);
   std::map<std::string, wire::AppliedRecord> applied;
   configuration_.each(wire::kConfigApplied, [&applied](std::string_view node, const Configuration::Record &record) {
     if (const auto parsed = wire::applied_from_json(record.value)) applied[std::string(node)] = *parsed;
--- a/src/core/api/service_level_counters.cpp
+++ b/src/core/api/service_level_counters.cpp
@@ -64,8 +64,8 @@
   std::vector<wire::AdminStatus::ServiceLevel> out;
   std::vector<std::size_t> class_rows(classes_.size(), 0), largest_rows(classes_.size(), 0),
       team_rows(teams_.size(), 0);
-  auto append_row = [&](const char *of, const std::string &name, const JobCounts &count) {
-    out.push_back({of, name, count.accepted, count.started, count.done, count.cancelled, 0, 0});
+  auto append_row = [&](const char *group_kind, const std::string &name, const JobCounts &count) {
+    out.push_back({group_kind, name, count.accepted, count.started, count.done, count.cancelled, 0, 0});
     return out.size() - 1;
   };
   for (std::size_t i = 0; i < classes_.size(); ++i) {
@@ -93,16 +93,16 @@
 void ServiceLevelCounters::tick() {
   if (runtime_.now() < next_log_at_) return;
   next_log_at_ = runtime_.now() + kLogIntervalS;
-  for (const auto &r : rows())
-    if (r.waiting)
+  for (const auto &row : rows())
+    if (row.waiting)
       runtime_.log(LogLevel::Info, "service_levels_reported",
-                   {{"of", r.of},
-                    {"name", r.name},
-                    {"accepted", r.accepted},
-                    {"begun", r.begun},
-                    {"done", r.done},
-                    {"waiting", r.waiting},
-                    {"longest_wait_s", r.longest_wait_s}});
+                   {{"of", row.of},
+                    {"name", row.name},
+                    {"accepted", row.accepted},
+                    {"begun", row.begun},
+                    {"done", row.done},
+                    {"waiting", row.waiting},
+                    {"longest_wait_s", row.longest_wait_s}});
 }
 
 } // namespace loftrouter::core
