--- a/src/core/api/configuration_api_handler.cpp
+++ b/src/core/api/configuration_api_handler.cpp
@@ -162,7 +162,7 @@
     change.prefix = wire::kConfigBudget;
     if (request.change.contains(kTeamsField))
       for (const auto &[team, budget] : request.change[kTeamsField].items()) {
-        if (quotas_.find_team(team) < 0) return reply_error(request_id, 422, "teams: unknown team");
+        if (quotas_.find_team(team) < 0) return reply_error(request_id, 422, "teams: there is no such team");
         change.remaining[team] = budget.is_null() ? std::nullopt : std::optional(budget);
       }
     break;
