--- a/src/core/quotas/quotas.cpp
+++ b/src/core/quotas/quotas.cpp
@@ -71,19 +71,19 @@
 
 void Quotas::update_limits(int team) {
   const Team &team_quota = settings_.teams[static_cast<std::size_t>(team)];
-  const auto platform_limits = platform_limits(team);
-  const auto even = cells::even_share(platform_limits.most, cells_.size());
-  wire::QuotaLimits total = platform_limits, local = platform_limits;
+  const auto platform = platform_limits(team);
+  const auto even = cells::even_share(platform.most, cells_.size());
+  wire::QuotaLimits total = platform, local = platform;
   local.most = even;
   largest_share_[static_cast<std::size_t>(team)] = std::isfinite(even.cpus) ? even.cpus : 0;
   if (const auto stored = record(team_quota.name)) {
-    total.most = smaller(platform_limits.most, stored->limits.most);
+    total.most = smaller(platform.most, stored->limits.most);
     total.guaranteed = stored->limits.guaranteed;
     local.guaranteed = stored->limits.guaranteed;
     local.most = total.most;
     if (cells_.size() > 1) {
       const auto cap = stored->caps.find(this_cell());
-      local.most = smaller(platform_limits.most, cap != stored->caps.end() ? cap->second : Amounts{});
+      local.most = smaller(platform.most, cap != stored->caps.end() ? cap->second : Amounts{});
       double largest = 0;
       for (const auto &[cell, amounts] : stored->caps)
         largest = std::max(largest, amounts.cpus);
