--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -1,8 +1,8 @@
-// Model checking of the delegation protocol between an origin and a remote cell. Guards against a job that runs in both
+// Model-checks the delegation protocol between an origin cell and a remote cell. Guards against a job that runs in both
 // cells when messages are lost, delayed, duplicated or reordered, leaders fail over, or time passes at any point.
 //
-// The search drives the state machines that the core uses. The mutants break one rule of the protocol each and show
-// that the search detects it.
+// The search drives the state machines that the core uses. Each mutant breaks one rule of the protocol, to show that
+// the search detects it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,17 +21,20 @@
 
 enum class Mutant {
   None,
-  LeaseStartsAtAnswer,
-  IgnoresGeneration,
-  OffersBeforeRecording,
-  IgnoresRemoteTerm,
-  AcceptsOldAnswer,
-  IgnoresOriginTerm
+  LeaseStartsAtAnswer,   // instead of when the request was sent
+  IgnoresGeneration,     // of requests, grants and ends
+  OffersBeforeRecording, // before the origin cell's record is committed
+  IgnoresRemoteTerm,     // of ends
+  AcceptsOldAnswer,      // to a request sent before the delegation
+  IgnoresOriginTerm      // of ends
 };
 
-// Bounds of the search.
 struct Bounds {
-  int jobs = 1, generations = 1, messages = 2, terms = 2, requests = 2;
+  int jobs = 1;
+  int generations = 1; // delegations of each job
+  int messages = 2;    // in flight at once
+  int terms = 2;       // of the leaders of each cell
+  int requests = 2;    // for a grant, over all jobs
 };
 constexpr int kMaxJobs = 2;
 constexpr Terms kLeaseTermsTicks{2, 1, 0, 0};
@@ -43,7 +46,7 @@
   char remote_term;    // of the remote leader that sent the message or is answered by it
   char request_number; // 0: neither a request nor its answer
   char origin_term;    // of the origin leader that sent the message, or that the sender knows
-  bool accepted;       // a grant: may run; an end: the job finished
+  bool accepted;       // of a grant: the job may run; of an end: the job finished
   bool operator<(const Message &other) const { return std::memcmp(this, &other, sizeof other) < 0; }
 };
 
@@ -66,10 +69,11 @@
   char remote_term = 1;
   char request_number = 0; // latest of the remote leader
   char origin_term = 1;
-  char known_origin_term = 0; // by the remote leader
+  char known_origin_term = 0; // highest that the remote leader has seen
   Job jobs[kMaxJobs];
   std::vector<Message> messages; // sorted
 
+  // Identifies the state. 'L' and 'D' mark the fields of a delegation at the origin and at the remote cell.
   std::string key() const {
     std::string out{remote_term, request_number, origin_term, known_origin_term};
     auto ticks_until = [this](double time) {
@@ -117,7 +121,7 @@
       ++states;
       deepest = depth;
       for (auto &next : successors(state)) {
-        check(next);
+        check_invariant(next);
         if (seen.insert(next.key()).second) queue.emplace_back(std::move(next), depth + 1);
       }
     }
@@ -127,7 +131,7 @@
   bool exhaustive = false; // all states within the bounds were visited
 
 private:
-  void check(const State &state) {
+  void check_invariant(const State &state) {
     for (const auto &job : state.jobs)
       if (job.runs_at_origin && job.lease_ticks_left >= 0) violation = "runs in both cells";
   }
@@ -149,37 +153,37 @@
     };
     for (char job_number = 0; job_number < bounds_.jobs; ++job_number) {
       const Job &job = state.jobs[static_cast<std::size_t>(job_number)];
-      const auto at = static_cast<std::size_t>(job_number);
+      const auto job_position = static_cast<std::size_t>(job_number);
       // Origin cell.
       const bool idle = !job.delegation && !job.runs_at_origin && !job.done;
       if (idle && job.generation < bounds_.generations)
         add_successor([&](State &next) {
-          Job &next_job = next.jobs[at];
+          Job &next_job = next.jobs[job_position];
           next_job.delegation.emplace(static_cast<Generation>(++next_job.generation),
                                       static_cast<std::uint64_t>(next.origin_term));
           if (mutant_ == Mutant::OffersBeforeRecording) next_job.delegation->recorded();
         });
       if (job.delegation && job.recorded != job.generation && !job.delegation->over(state.now))
         add_successor([&](State &next) {
-          next.jobs[at].recorded = next.jobs[at].generation;
-          next.jobs[at].delegation->recorded();
+          next.jobs[job_position].recorded = next.jobs[job_position].generation;
+          next.jobs[job_position].delegation->recorded();
         });
       if (job.delegation && job.delegation->offers())
         add_successor([&](State &next) {
           send(next, {Message::Offer, job_number, job.generation, 0, 0, 0, next.origin_term, false});
         });
       if (job.delegation && !job.delegation->closing() && !job.delegation->over(state.now))
-        add_successor([&](State &next) { next.jobs[at].delegation->close(); });
+        add_successor([&](State &next) { next.jobs[job_position].delegation->close(); });
       if (job.delegation && job.delegation->over(state.now))
         add_successor([&](State &next) {
-          next.jobs[at].delegation.reset();
-          next.jobs[at].recorded = 0;
+          next.jobs[job_position].delegation.reset();
+          next.jobs[job_position].recorded = 0;
         });
-      if (idle) add_successor([&](State &next) { next.jobs[at].runs_at_origin = true; });
+      if (idle) add_successor([&](State &next) { next.jobs[job_position].runs_at_origin = true; });
       if (job.runs_at_origin)
         add_successor([&](State &next) {
-          next.jobs[at].runs_at_origin = false;
-          next.jobs[at].done = true;
+          next.jobs[job_position].runs_at_origin = false;
+          next.jobs[job_position].done = true;
         });
       // Remote cell.
       if (job.inbound && !job.inbound->closed() && state.request_number < bounds_.requests)
@@ -189,13 +193,13 @@
         });
       if (job.inbound && job.inbound->may_run(state.now) && job.lease_ticks_left < 0 && !job.finished)
         add_successor([&](State &next) {
-          next.jobs[at].lease_ticks_left = static_cast<char>(kLeaseTermsTicks.lease_s);
-          next.jobs[at].running_generation = job.stored_generation;
+          next.jobs[job_position].lease_ticks_left = static_cast<char>(kLeaseTermsTicks.lease_s);
+          next.jobs[job_position].running_generation = job.stored_generation;
         });
       if (job.lease_ticks_left >= 0)
         add_successor([&](State &next) { // the job ends
-          next.jobs[at].lease_ticks_left = -1;
-          next.jobs[at].finished |= job.running_generation == job.stored_generation;
+          next.jobs[job_position].lease_ticks_left = -1;
+          next.jobs[job_position].finished |= job.running_generation == job.stored_generation;
         });
       if (job.inbound && (job.inbound->closed() || job.finished) && job.lease_ticks_left < 0)
         add_successor([&](State &next) {
@@ -203,9 +207,9 @@
                       job.finished});
         });
       if (job.inbound && !job.inbound->closed())
-        add_successor([&](State &next) { next.jobs[at].inbound->close(); }); // returned to the origin
+        add_successor([&](State &next) { next.jobs[job_position].inbound->close(); }); // returned to the origin
     }
-    // Deliver a message; it may be delivered again.
+    // Delivers each message, which may stay in flight as a duplicate.
     for (std::size_t index = 0; index < state.messages.size(); ++index)
       for (const bool duplicate : {false, true}) {
         State next = state;
@@ -316,7 +320,7 @@
   return env ? static_cast<std::size_t>(std::atol(env)) : 20'000;
 }
 
-TEST(Handover, JobNeverRunsInBothCells) {
+TEST(DelegationModelCheck, JobNeverRunsInBothCells) {
   Search all(Mutant::None, {});
   all.run(1'000'000);
   EXPECT_EQ(all.violation, "");
@@ -333,7 +337,7 @@
   }
 }
 
-TEST(Handover, SearchDetectsEachMutant) {
+TEST(DelegationModelCheck, SearchDetectsEachMutant) {
   for (auto mutant : {Mutant::LeaseStartsAtAnswer, Mutant::IgnoresGeneration, Mutant::OffersBeforeRecording,
                       Mutant::IgnoresRemoteTerm, Mutant::AcceptsOldAnswer, Mutant::IgnoresOriginTerm}) {
     Bounds bounds;
