--- a/src/core/api/event_log.cpp
+++ b/src/core/api/event_log.cpp
@@ -44,7 +44,7 @@
 
 void EventLog::on(const JobSuspected &event) {
   runtime_.log(LogLevel::Info, "job_suspected",
-               {{"job", jobs_[event.job].spec.id}, {"machines", event.machines}, {"then", "tried seldom from now on"}});
+               {{"job", jobs_[event.job].spec.id}, {"machines", event.machines}, {"then", "retried at a low rate"}});
 }
 
 void EventLog::on(const TaskRunning &event) {
@@ -68,7 +68,7 @@
 
 void EventLog::on(const TasksAbandoned &event) {
   runtime_.log(LogLevel::Info, "tasks_abandoned",
-               {{"job", jobs_[event.job].spec.id}, {"tasks", event.tasks}, {"then", "they count as lost"}});
+               {{"job", jobs_[event.job].spec.id}, {"tasks", event.tasks}, {"then", "counted as lost"}});
 }
 
 void EventLog::on(const MachineLost &event) {
@@ -77,8 +77,9 @@
 }
 
 void EventLog::on(const MachineQuarantined &event) {
-  runtime_.log(LogLevel::Info, "machine_quarantined",
-               {{"machine", workers_[event.machine].name}, {"of_jobs", event.jobs}, {"then", "given back"}});
+  runtime_.log(
+      LogLevel::Info, "machine_quarantined",
+      {{"machine", workers_[event.machine].name}, {"of_jobs", event.jobs}, {"then", "returned to the provider"}});
 }
 
 void EventLog::on(const MachineRemoved &event) {
