--- a/include/loftrouter/core/api/administration_api_handler.hpp
+++ b/include/loftrouter/core/api/administration_api_handler.hpp
@@ -1,5 +1,5 @@
-// AdministrationApiHandler answers the operators' read requests, on any node. It forwards configuration requests to
-// ConfigurationApiHandler. Its only state is the requests in flight.
+// AdministrationApiHandler serves the administration API on any node: status, job lists and usage statements. It passes
+// configuration requests to ConfigurationApiHandler. Its only state is the requests in flight.
 #pragma once
 
 #include <string_view>
@@ -34,12 +34,14 @@
   void take(AdminCommand &&command);
 
 private:
-  void status(RequestId request_id, const wire::AdminRequest &request);
-  std::vector<std::string> troubles(const wire::AdminStatus &status, int silent_machines, int excluded_machines) const;
-  void jobs(RequestId request_id, const wire::AdminRequest &request, bool only_late);
-  void report(RequestId request_id, const wire::AdminRequest &request);
-  void statement(RequestId request_id, const wire::AdminRequest &request);
-  void statement_jobs(RequestId request_id, const wire::AdminRequest &request, wire::AdminStatement statement);
+  void reply_status(RequestId request_id, const wire::AdminRequest &request);
+  // Describes the problems that an operator should know of, one line each.
+  std::vector<std::string> describe_problems(const wire::AdminStatus &status, int silent_machines,
+                                             int excluded_machines) const;
+  void reply_jobs(RequestId request_id, const wire::AdminRequest &request, bool only_late);
+  void reply_report(RequestId request_id, const wire::AdminRequest &request);
+  void reply_statement(RequestId request_id, const wire::AdminRequest &request);
+  void reply_statement_jobs(RequestId request_id, const wire::AdminRequest &request, wire::AdminStatement statement);
   void reply_error(RequestId request_id, int status, std::string_view text);
 
   Runtime &runtime_;
--- a/include/loftrouter/core/api/configuration_api_handler.hpp
+++ b/include/loftrouter/core/api/configuration_api_handler.hpp
@@ -1,9 +1,9 @@
-// ConfigurationApiHandler reads and quota_changes the configuration for the administration API, on any node. Its only
-// state is the requests in flight.
+// ConfigurationApiHandler reads and changes the configuration for the administration API, on any node. Its only state
+// is the requests in flight.
 //
-// A change is answered with 200 only after the state service has committed it. Concurrent quota_changes don't overwrite
-// each other (409). Entries are also kept in the documents that the production version reads, as far as it can read
-// them (docs/configuration.md, "Side by side").
+// A change is answered with 200 only after the state service has committed it. A change that conflicts with a
+// concurrent one is answered with 409. Entries are also kept in the documents that the production version reads, as far
+// as they fit (docs/configuration.md, "Side by side").
 #pragma once
 
 #include <map>
@@ -38,14 +38,15 @@
 
   void reply_quotas(RequestId request_id) const;
   void handle_quota_change(RequestId request_id, const wire::QuotaChange &change);
-  void reply_status(RequestId request_id, const std::string &from) const;
+  void reply_configuration(RequestId request_id, const std::string &from) const;
   void reply_machine_state(RequestId request_id, const std::string &machine) const;
   void reply_settings_page(RequestId request_id, wire::MachineAdminStates::const_iterator first) const;
   void reply_history(RequestId request_id, const std::string &team) const;
   void handle_change(RequestId request_id, const wire::AdminRequest &request);
-  void write(Change change);
-  // Commits `edited` and a batch of entries. `before` is the document stored at `revision`.
-  void commit(Change change, const wire::Json &before, wire::Json edited, std::uint64_t revision);
+  // Reads the stored document, applies the change and commits it.
+  void write_change(Change change);
+  // Commits `edited`, a batch of entries, and then the remaining ones. `before` is the document stored at `revision`.
+  void commit_change(Change change, const wire::Json &before, wire::Json edited, std::uint64_t revision);
   // Returns the document with the requested fields, or replies with an error and returns nullopt.
   std::optional<wire::Json> edit_document(const Change &change, const wire::Json &before) const;
   bool can_hold_entry(const Change &change, const wire::Json &document, const std::string &name) const;
--- a/include/loftrouter/core/api/job_api_handler.hpp
+++ b/include/loftrouter/core/api/job_api_handler.hpp
@@ -2,9 +2,10 @@
 // answers lookups from a read made after the request arrived. If the state service does not answer this node, the
 // request is forwarded once to a replica that it does answer (docs/links.md).
 //
-// It owns the requests in flight and a cache of open records. Every reply is backed by the state service as of after
-// the request arrived, and never contradicts an earlier reply (docs/safety.md "forgotten", "not_done", "went_back").
-// A request that can't be served in time is refused at once.
+// It owns the requests in flight and a cache of open records. Every reply holds for a time after the request arrived
+// and never contradicts an earlier reply (docs/safety.md "forgotten", "not_done", "went_back"): a cached end or
+// cancellation is permanent, anything else is checked with the state service. A request that can't be served in time is
+// refused at once.
 #pragma once
 
 #include <deque>
@@ -29,15 +30,15 @@
         jobs_(jobs), ended_(ended), replicas_(replicas), cancellations_(cancellations), quotas_(quotas),
         status_reporter_(status_reporter), forwarded_requests_(kMaxForwarded, runtime.nonce()) {}
 
-  void take(SubmitCommand &&cmd);
-  void take(LookupCommand &&cmd);
-  void take(CancelCommand &&cmd);
+  void take(SubmitCommand &&command);
+  void take(LookupCommand &&command);
+  void take(CancelCommand &&command);
   // Checks the cached open records against the state service for the waiting requests. Called after each batch.
   void check_open_records();
   void tick(); // refuses forwarded requests that timed out
   // Serves a request that another replica forwarded.
-  void handle_forwarded_request(const PeerMessageCommand &cmd);
-  // Passes on to the user the reply to a request that this node forwarded.
+  void handle_forwarded_request(const PeerMessageCommand &command);
+  // Relays to the user the reply to a request that this node forwarded.
   void relay_forwarded_reply(const wire::PeerMessage &message);
   bool can_answer() const; // directly or through another replica
   void on(const JobEndLearned &event) { open_jobs_.erase(event.id); }
@@ -49,12 +50,12 @@
   using Verb = wire::PeerMessage::Verb;
   // A request about a job that is cached as open waits for the next revision check.
   struct PendingRequest {
-    RequestId req;
-    std::string id;
+    RequestId request_id;
+    std::string id; // of the job
     bool is_submission;
     double received_at;
     double max_wait_s = kLookupMaxWaitS;
-    std::vector<std::string> unchanged_keys = {}; // keys that a revision check has confirmed since
+    std::vector<std::string> unchanged_keys = {}; // confirmed by earlier revision checks of this request
   };
   struct RevisionCheck {
     PendingRequest request;
@@ -63,7 +64,7 @@
   };
   struct ForwardedRequest {
     Verb verb;
-    std::string id, body; // the body is kept only if it is short
+    std::string id, body; // of the job; the body is kept only if it is short
     double received_at;
     std::uint64_t tried_replicas; // bit set of replicas
     bool has_dependencies;
@@ -78,7 +79,7 @@
   enum class Feasibility : std::uint8_t { Feasible, Infeasible, Unknown };
   Feasibility check_feasibility(const JobSpec &spec, std::string &reason) const;
   void reply_state(const PendingRequest &request);
-  void reply_ended(RequestId req, const std::string &id, const EndRecord &end, bool short_reply);
+  void reply_ended(RequestId request_id, const std::string &id, const EndRecord &end, bool short_reply);
   void reply_open(const PendingRequest &request, bool cancelled);
   void remember_open(const OpenRecord &record, std::uint64_t mod_revision, bool cancelled);
   const OpenJob *find_open_job(const std::string &id);
@@ -93,12 +94,12 @@
   void cancel_job(const PendingRequest &request);
   std::size_t max_preconditions() const { return static_cast<std::size_t>(4 * settings_.state_txn_ops); }
   std::optional<RevisionCheck> prepare_check(PendingRequest request, StoreCommit &commit);
-  std::string cancelled_dependency(const std::string &id);
+  std::string find_cancelled_dependency(const std::string &id);
   void read_open_record(const PendingRequest &request);
   void reclaim_job_id(const PendingRequest &request, std::uint64_t mod_revision, OpenRecord record);
   void read_end_record(const PendingRequest &request, bool is_cancellation);
   int choose_replica(std::uint64_t tried_replicas = 0, bool needs_dependency_support = false) const; // -1: none
-  bool forward(RequestId req, Verb verb, const std::string &id, double received_at, std::string body = {},
+  bool forward(RequestId request_id, Verb verb, const std::string &id, double received_at, std::string body = {},
                std::uint64_t tried_replicas = 0, bool has_dependencies = false);
   // Forwards a request that the state service has not answered to another replica, or refuses it.
   void forward_or_refuse(const PendingRequest &request, Verb verb, std::string_view reason, std::string body = {},
--- a/include/loftrouter/core/api/service_level_counters.hpp
+++ b/include/loftrouter/core/api/service_level_counters.hpp
@@ -1,5 +1,5 @@
 // ServiceLevelCounters counts accepted, started, done and cancelled jobs since this node became leader: by class, by
-// team, and for the largest jobs of each class. It makes starvation of one of these groups visible.
+// team, and for the largest jobs of each class, so that operators can see starvation of one of these groups.
 //
 // It only listens to events. Names beyond kMaxNames are counted together as "others".
 #pragma once
@@ -21,7 +21,8 @@
       : runtime_(runtime), jobs_(jobs), ended_(ended), dependencies_(dependencies) {}
 
   std::vector<wire::AdminStatus::ServiceLevel> rows() const;
-  void tick(); // logs the groups with waiting jobs once a minute
+  // Logs the groups with waiting jobs once a minute.
+  void tick();
 
   void on(const JobAccepted &event);
   void on(const TaskRunning &event);
--- a/include/loftrouter/core/api/status_reporter.hpp
+++ b/include/loftrouter/core/api/status_reporter.hpp
@@ -1,8 +1,8 @@
 // StatusReporter describes jobs to users: progress, why a job waits or was stopped, and whether it will be late. The
 // leader sends digests of its jobs to the other replicas.
 //
-// It owns the digests received (on a follower) and the counts last sent (on the leader), and changes nothing else.
-// Counts may be some seconds old; job states come only from the state service (docs/safety.md "went_back").
+// It owns the digests received (on a follower) and the counts last sent (on the leader). Counts may be some seconds
+// old; job states come only from the state service (docs/safety.md "went_back").
 #pragma once
 
 #include <map>
@@ -38,11 +38,13 @@
   bool predicted_late(JobIndex job_index) const;
   bool predicted_late(const std::string &id) const; // works on any replica
   std::size_t predicted_late_count() const;
-  void log_summary(); // rate-limited
+  // Logs the numbers of open jobs, waiting tasks and machines. Rate-limited.
+  void log_summary();
 
+  // Sends digests of the open jobs to the other replicas. Rate-limited; does nothing on a follower.
   void publish_to_replicas();
   void handle_digest(const wire::PeerMessage &message);
-  void on(const JobAccepted &event) { get_or_create(published_, event.job) = {}; }
+  void on(const JobAccepted &event) { get_or_create(published_counts_, event.job) = {}; }
   void on(const JobEndLearned &event) { digests_.erase(event.id); }
   void on(const TermStarted &);
 
@@ -61,7 +63,7 @@
     std::uint32_t done = 0, running = 0;
   };
   static constexpr double kForecastMaxAgeS = 0.5;
-  // Returns the estimated start and completion of each open job, from its estimates and the queue.
+  // Returns the estimated start and completion of each open job, cached for kForecastMaxAgeS.
   const CriticalPath &forecast() const;
   // Names the dependency that is expected to make a waiting job miss its own deadline, and by how much.
   std::string deadline_risk(JobIndex job_index) const;
@@ -95,7 +97,7 @@
   std::unordered_map<std::string, ReceivedDigest> digests_;
   std::deque<std::string> digest_order_;
   std::uint64_t digest_term_ = 0;
-  std::vector<PublishedCounts> published_; // by job index
+  std::vector<PublishedCounts> published_counts_; // by job index
   double next_digest_at_ = 0, next_summary_at_ = 0;
   mutable CriticalPath forecast_;
   mutable double forecast_at_ = -1e9;
--- a/src/core/api/configuration_api_handler.cpp
+++ b/src/core/api/configuration_api_handler.cpp
@@ -10,8 +10,8 @@
 using Kind = wire::AdminRequest::Kind;
 constexpr double kReadTimeoutS = 1.0, kCommitTimeoutS = 1.0;
 constexpr std::size_t kMaxDocumentEntries = 100; // limit of the production version
-// Up to this many machine states, the reply to a change lists all of them; above it, only the changed one, because a
-// full page in each of thousands of replies would cost more than the changes.
+// The reply to a change lists all machine states up to this number; above it, only the changed one, because full pages
+// would cost more than the changes.
 constexpr std::size_t kMaxMachineStatesInReply = 100;
 
 // The budgets document keeps its entries under this key, beside the clock of the accounting periods.
@@ -36,7 +36,7 @@
   case Kind::ChangeQuota:
     return handle_quota_change(request_id, *request.quota);
   case Kind::Configuration:
-    return reply_status(request_id, request.from);
+    return reply_configuration(request_id, request.from);
   case Kind::QuotaHistory:
     return reply_history(request_id, request.team);
   case Kind::Settings:
@@ -68,7 +68,7 @@
 
 void ConfigurationApiHandler::reply_machine_state(RequestId request_id, const std::string &machine) const {
   wire::MachineAdminStates states;
-  if (const auto machine_admin_state = operators_.machine_admin_state(machine)) states[machine] = *machine_admin_state;
+  if (const auto state = operators_.machine_admin_state(machine)) states[machine] = *state;
   runtime_.reply_json(request_id, 200, wire::encode_settings(operators_.tunables(), states, ""));
 }
 
@@ -119,7 +119,7 @@
   runtime_.reply_json(request_id, 200, wire::encode_quota_history(team, record->history));
 }
 
-void ConfigurationApiHandler::reply_status(RequestId request_id, const std::string &from) const {
+void ConfigurationApiHandler::reply_configuration(RequestId request_id, const std::string &from) const {
   wire::AdminConfiguration out;
   out.node = settings_.node;
   out.revision = configuration_.revision();
@@ -179,25 +179,25 @@
     change.document = OperatorSettings::kTunablesKey;
     break;
   }
-  write(std::move(change));
+  write_change(std::move(change));
 }
 
-void ConfigurationApiHandler::write(Change change) {
+void ConfigurationApiHandler::write_change(Change change) {
   if (!state_limits_.take_write(runtime_.now()))
     return reply_error(change.request_id, 503, "too many concurrent requests");
   const auto key = change.document;
-  runtime_.store(StoreGet{key}, kReadTimeoutS,
-                 [this, change = std::move(change)](const wire::StoreReply &reply) mutable {
-                   if (reply.status != 200 && reply.status != 404)
-                     return reply_error(change.request_id, 503, "the state service did not answer");
-                   const bool found = reply.status == 200 && !reply.entries.empty();
-                   const auto before = found ? reply.entries[0].value : wire::Json::object();
-                   if (auto after = edit_document(change, before))
-                     commit(std::move(change), before, std::move(*after), found ? reply.entries[0].mod_revision : 0);
-                 });
+  runtime_.store(
+      StoreGet{key}, kReadTimeoutS, [this, change = std::move(change)](const wire::StoreReply &reply) mutable {
+        if (reply.status != 200 && reply.status != 404)
+          return reply_error(change.request_id, 503, "the state service did not answer");
+        const bool found = reply.status == 200 && !reply.entries.empty();
+        const auto before = found ? reply.entries[0].value : wire::Json::object();
+        if (auto after = edit_document(change, before))
+          commit_change(std::move(change), before, std::move(*after), found ? reply.entries[0].mod_revision : 0);
+      });
 }
 
-// Applies the requested fields of the document itself. `commit` adds the entries that have records of their own.
+// Applies the requested fields of the document itself. `commit_change` adds the entries that have records of their own.
 std::optional<wire::Json> ConfigurationApiHandler::edit_document(const Change &change, const wire::Json &before) const {
   const auto &request = change.request;
   wire::Json after;
@@ -246,8 +246,8 @@
          state_limits_.fits(document, 2 * name.size() + 200);
 }
 
-void ConfigurationApiHandler::commit(Change change, const wire::Json &before, wire::Json edited,
-                                     std::uint64_t revision) {
+void ConfigurationApiHandler::commit_change(Change change, const wire::Json &before, wire::Json edited,
+                                            std::uint64_t revision) {
   StoreCommit transaction{{{change.document, revision}}, {}};
   wire::Json after = std::move(edited);
   const auto max_writes = static_cast<std::size_t>(std::max(1, settings_.state_txn_ops - 1));
@@ -278,7 +278,7 @@
       transaction.writes.push_back({key, std::nullopt, 0});
   }
   if (!settings_.configuration) change.remaining.clear();
-  // Skips an unchanged (full) document: this saves a write, and concurrent changes don't conflict on it.
+  // An unchanged document is not written, so that concurrent changes don't conflict on it.
   if (!settings_.configuration || after != before) transaction.writes.push_back({change.document, after, 0});
   const auto writes = transaction.writes;
   runtime_.store(std::move(transaction), kCommitTimeoutS,
@@ -293,7 +293,7 @@
                    }
                    if (change.remaining.empty()) return reply_current(change.request_id, change.request);
                    change.request.change = wire::Json::object(); // the document's own fields are already written
-                   write(std::move(change));
+                   write_change(std::move(change));
                  });
 }
 
--- a/src/core/api/job_api_handler.cpp
+++ b/src/core/api/job_api_handler.cpp
@@ -77,18 +77,19 @@
   return !replicas_.state_service_lost() || choose_replica() >= 0;
 }
 
-// Never forwards a request that another replica forwarded: two replicas could send it back and forth.
-bool JobApiHandler::forward(RequestId req, Verb verb, const std::string &id, double received_at, std::string body,
-                            std::uint64_t tried_replicas, bool has_dependencies) {
+// Returns false if the request can't be forwarded. A request that another replica forwarded is not forwarded again: two
+// replicas could send it back and forth.
+bool JobApiHandler::forward(RequestId request_id, Verb verb, const std::string &id, double received_at,
+                            std::string body, std::uint64_t tried_replicas, bool has_dependencies) {
   const double deadline = received_at + (verb == Verb::Look ? kForwardedLookupTimeoutS : kForwardedChangeTimeoutS);
   const int target = choose_replica(tried_replicas, has_dependencies);
-  if (target < 0 || Runtime::is_proxied(req) || forwarded_requests_.full() ||
+  if (target < 0 || Runtime::is_proxied(request_id) || forwarded_requests_.full() ||
       runtime_.now() + kMinForwardTimeS > deadline || body.size() + 256 > wire::kPeerMaxForwardedBody)
     return false;
   wire::PeerMessage message;
   message.kind = wire::PeerMessage::Kind::UserRequest;
   message.nonce = forwarded_requests_.add(
-      req, deadline,
+      request_id, deadline,
       {verb, id, body.size() <= kMaxKeptBodyBytes ? body : std::string(), received_at,
        tried_replicas | std::uint64_t(1) << target | (body.size() <= kMaxKeptBodyBytes ? 0 : ~std::uint64_t(0)),
        has_dependencies});
@@ -103,60 +104,61 @@
 
 void JobApiHandler::forward_or_refuse(const PendingRequest &request, Verb verb, std::string_view reason,
                                       std::string body, bool has_dependencies) {
-  if (!forward(request.req, verb, request.id, request.received_at, std::move(body), 0, has_dependencies))
-    runtime_.refuse(request.req, reason);
+  if (!forward(request.request_id, verb, request.id, request.received_at, std::move(body), 0, has_dependencies))
+    runtime_.refuse(request.request_id, reason);
 }
 
 void JobApiHandler::forward_or_refuse(const PendingRequest &request, const JobSpec &spec, std::string_view reason) {
   forward_or_refuse(request, Verb::Submit, reason, wire::encode(wire::to_json(spec)), !spec.dependencies.empty());
 }
 
-void JobApiHandler::handle_forwarded_request(const PeerMessageCommand &cmd) {
-  const auto &message = cmd.message;
+void JobApiHandler::handle_forwarded_request(const PeerMessageCommand &command) {
+  const auto &message = command.message;
   if (!replicas_.by_sender(message.sender).valid()) return; // not a configured replica
-  const auto req = runtime_.proxy_request(cmd.link, message.nonce);
-  if (!req) return; // the other replica times out
-  if (message.verb == Verb::Look) return take(LookupCommand{*req, message.id});
-  if (message.verb == Verb::Abort) return take(CancelCommand{*req, message.id});
+  const auto request_id = runtime_.proxy_request(command.link, message.nonce);
+  if (!request_id) return; // the other replica times out
+  if (message.verb == Verb::Look) return take(LookupCommand{*request_id, message.id});
+  if (message.verb == Verb::Abort) return take(CancelCommand{*request_id, message.id});
   auto spec = wire::decode_job(message.body);
   auto *job = std::get_if<JobSpec>(&spec);
-  if (!job || job->id != message.id) return runtime_.refuse(*req, "a replica forwarded an invalid job");
-  take(SubmitCommand{*req, std::move(*job)});
+  if (!job || job->id != message.id) return runtime_.refuse(*request_id, "a replica forwarded an invalid job");
+  take(SubmitCommand{*request_id, std::move(*job)});
 }
 
-// The replica's reply is based on a read made after the request arrived. What this node has learned since then is newer
+// The replica's reply is based on a read made after the request arrived. What this node has cached since then is newer
 // and takes precedence.
 void JobApiHandler::relay_forwarded_reply(const wire::PeerMessage &message) {
-  const auto item = forwarded_requests_.complete(message.nonce);
-  if (!item) return; // timed out
-  const auto &[verb, id, body, received_at, tried_replicas, has_dependencies] = item->context;
+  const auto forwarded = forwarded_requests_.complete(message.nonce);
+  if (!forwarded) return; // timed out
+  const auto &[verb, id, body, received_at, tried_replicas, has_dependencies] = forwarded->context;
   // The replica may have lost the state service at the same time as this node.
-  if (message.status == 503 && forward(item->request, verb, id, received_at, body, tried_replicas, has_dependencies))
+  if (message.status == 503 &&
+      forward(forwarded->request, verb, id, received_at, body, tried_replicas, has_dependencies))
     return;
   if (message.status == 200) {
     const bool short_reply = verb != Verb::Look;
-    if (const auto *end = ended_.find(id)) return reply_ended(item->request, id, *end, short_reply);
+    if (const auto *end = ended_.find(id)) return reply_ended(forwarded->request, id, *end, short_reply);
     if (const auto it = open_jobs_.find(id);
-        it != open_jobs_.end() && (it->second.cancelled || !cancelled_dependency(id).empty()))
-      return reply_open({item->request, id, short_reply, runtime_.now()}, true);
+        it != open_jobs_.end() && (it->second.cancelled || !find_cancelled_dependency(id).empty()))
+      return reply_open({forwarded->request, id, short_reply, runtime_.now()}, true);
   }
-  runtime_.reply(item->request, message.status, message.body,
+  runtime_.reply(forwarded->request, message.status, message.body,
                  message.retry_s ? std::optional<int>(message.retry_s) : std::nullopt);
 }
 
 void JobApiHandler::tick() {
-  for (const auto &item : forwarded_requests_.expire(runtime_.now()))
-    runtime_.refuse(item.request, "neither the state service nor another replica answered in time");
+  for (const auto &forwarded : forwarded_requests_.expire(runtime_.now()))
+    runtime_.refuse(forwarded.request, "neither the state service nor another replica answered in time");
 }
 
 struct JobApiHandler::PendingSubmission {
   PendingRequest request;
   OpenRecord record;
-  std::size_t lookups_left = 1; // one more while check_dependencies starts them
+  std::size_t lookups_left = 1; // plus one until check_dependencies has started all of them
   std::string never_accepted = {}, service = {};
   bool unknown = false, cancelled = false;
 
-  void add(const std::string &name, JobStatus status) {
+  void add_dependency(const std::string &name, JobStatus status) {
     switch (status) {
     case JobStatus::NeverAccepted:
       never_accepted = name;
@@ -177,26 +179,27 @@
   }
 };
 
-void JobApiHandler::take(SubmitCommand &&cmd) {
-  const PendingRequest request{cmd.req, cmd.spec.id, true, runtime_.now()};
+void JobApiHandler::take(SubmitCommand &&command) {
+  const PendingRequest request{command.req, command.spec.id, true, runtime_.now()};
   // A known job has been accepted before and stays accepted; reply with its state.
   if (ended_.find(request.id) || find_open_job(request.id)) return reply_state(request);
-  const bool has_dependencies = !cmd.spec.dependencies.empty();
-  std::string reason;
-  switch (check_feasibility(cmd.spec, reason)) {
+  const bool has_dependencies = !command.spec.dependencies.empty();
+  std::string infeasible_reason;
+  switch (check_feasibility(command.spec, infeasible_reason)) {
   case Feasibility::Infeasible:
-    return reject_unless_accepted(request, cmd.spec, reason);
+    return reject_unless_accepted(request, command.spec, infeasible_reason);
   case Feasibility::Unknown:
-    return forward_or_refuse(request, cmd.spec, "the machine types are not known yet");
+    return forward_or_refuse(request, command.spec, "the machine types are not known yet");
   case Feasibility::Feasible:
     break;
   }
-  OpenRecord record{std::move(cmd.spec), runtime_.wall(), false, {}};
+  OpenRecord record{std::move(command.spec), runtime_.wall(), false, {}};
   if (!state_limits_.fits(wire::to_json(record), StateServiceLimits::kCancellationMarkRoom))
     return reject_unless_accepted(request, record.spec, "the job's description is too long to be stored");
   // An earlier version ignores dependencies and would start the job at once.
   if (has_dependencies && replicas_.some_replica_lacks_dependencies())
-    return runtime_.refuse(request.req, "jobs with dependencies are accepted once all nodes run this version", 2);
+    return runtime_.refuse(request.request_id, "jobs with dependencies are accepted once all nodes run this version",
+                           2);
   if (replicas_.state_service_lost()) return forward_or_refuse(request, record.spec, kUnreachable);
   if (!has_dependencies) return commit_submission(request, std::move(record));
   check_dependencies(std::make_shared<PendingSubmission>(PendingSubmission{request, std::move(record)}));
@@ -208,7 +211,7 @@
                                            const std::string &reason) {
   if (replicas_.state_service_lost()) return forward_or_refuse(request, spec, kUnreachable);
   look_up(request.id, [this, request, spec, reason](JobStatus status) {
-    if (status == JobStatus::NeverAccepted) return runtime_.reply(request.req, 422, wire::encode_error(reason));
+    if (status == JobStatus::NeverAccepted) return runtime_.reply(request.request_id, 422, wire::encode_error(reason));
     if (status != JobStatus::Unknown) return reply_state(request);
     forward_or_refuse(request, spec, "it is not known at present whether this job was accepted before");
   });
@@ -216,7 +219,7 @@
 
 void JobApiHandler::commit_submission(const PendingRequest &request, OpenRecord record) {
   if (operations_in_flight_ >= kMaxUserOperations || !state_limits_.take_write(runtime_.now()))
-    return runtime_.refuse(request.req, "too many concurrent submissions");
+    return runtime_.refuse(request.request_id, "too many concurrent submissions");
   ++operations_in_flight_;
   auto value = wire::to_json(record);
   runtime_.store(StoreCommit{{{wire::open_key(request.id), 0}, {wire::end_key(request.id), 0}},
@@ -226,7 +229,7 @@
                    if (reply.status == 200) {
                      remember_open(record, reply.revision, record.cancelled);
                      return runtime_.reply(
-                         request.req, 201,
+                         request.request_id, 201,
                          wire::encode_accepted(request.id, record.cancelled ? JobState::Cancelled : JobState::Queued));
                    }
                    if (reply.status == 409) return reply_state(request);
@@ -235,17 +238,17 @@
                  });
 }
 
-// Acceptance is permanent, so a cached status is enough. That a job was never accepted takes a read made after the
-// request arrived.
+// Acceptance is permanent, so a cached status proves it. That a job was never accepted is proved only by a read made
+// after the request arrived.
 void JobApiHandler::check_dependencies(std::shared_ptr<PendingSubmission> submission) {
   for (const auto &name : submission->record.spec.dependencies) {
     if (const JobStatus status = known_status(name); status != JobStatus::Unknown) {
-      submission->add(name, status);
+      submission->add_dependency(name, status);
       continue;
     }
     ++submission->lookups_left;
     look_up(name, [this, submission, name](JobStatus status) {
-      submission->add(name, status);
+      submission->add_dependency(name, status);
       if (--submission->lookups_left == 0) finish_dependency_check(submission);
     });
   }
@@ -321,27 +324,27 @@
                  });
 }
 
-void JobApiHandler::take(LookupCommand &&cmd) {
-  if (!wire::valid_job_id(cmd.id)) return runtime_.reply(cmd.req, 404, wire::encode_error("no such job"));
-  reply_state({cmd.req, cmd.id, false, runtime_.now()});
+void JobApiHandler::take(LookupCommand &&command) {
+  if (!wire::valid_job_id(command.id)) return runtime_.reply(command.req, 404, wire::encode_error("no such job"));
+  reply_state({command.req, command.id, false, runtime_.now()});
 }
 
 void JobApiHandler::reply_state(const PendingRequest &request) {
   if (const auto *end = ended_.find(request.id))
-    return reply_ended(request.req, request.id, *end, request.is_submission);
+    return reply_ended(request.request_id, request.id, *end, request.is_submission);
   auto cached = open_jobs_.find(request.id);
   // Cancellation is permanent; that a job is still open has to be checked.
   if (cached != open_jobs_.end() && cached->second.cancelled) return reply_open(request, true);
   if (replicas_.state_service_lost()) return forward_or_refuse(request, Verb::Look, kUnreachable);
   if (cached == open_jobs_.end()) return read_open_record(request);
   if (unverified_requests_.size() >= kMaxUserOperations)
-    return runtime_.refuse(request.req, "too many concurrent requests");
+    return runtime_.refuse(request.request_id, "too many concurrent requests");
   unverified_requests_.push_back(request);
 }
 
 void JobApiHandler::read_open_record(const PendingRequest &request) {
   if (operations_in_flight_ >= kMaxUserOperations || !state_limits_.take_read(runtime_.now(), 1.3))
-    return runtime_.refuse(request.req, "too many concurrent requests");
+    return runtime_.refuse(request.request_id, "too many concurrent requests");
   ++operations_in_flight_;
   runtime_.store(
       StoreGet{wire::open_key(request.id)}, kStoreTimeoutS / 2, [this, request](const wire::StoreReply &reply) {
@@ -349,7 +352,7 @@
         if (reply.status == 404) return read_end_record(request, false);
         if (auto end = reply.entries.size() == 1 ? wire::final_from_json(reply.entries[0].value) : std::nullopt) {
           ended_.remember(request.id, *end);
-          return reply_ended(request.req, request.id, *end, request.is_submission);
+          return reply_ended(request.request_id, request.id, *end, request.is_submission);
         }
         auto open = reply.status == 200 && reply.entries.size() == 1 ? wire::open_from_json(reply.entries[0].value)
                                                                      : std::nullopt;
@@ -367,7 +370,7 @@
 }
 
 // Returns a dependency that this node knows to be cancelled, or an empty string.
-std::string JobApiHandler::cancelled_dependency(const std::string &id) {
+std::string JobApiHandler::find_cancelled_dependency(const std::string &id) {
   const auto it = open_jobs_.find(id);
   if (it == open_jobs_.end()) return {};
   const auto dependencies = it->second.dependencies;
@@ -377,20 +380,20 @@
 }
 
 void JobApiHandler::reply_open(const PendingRequest &request, bool cancelled) {
-  // What this node learned while the request was in flight is newer than what was read.
+  // The caches were updated while the request was in flight and are newer than what was read.
   if (const auto *end = ended_.find(request.id))
-    return reply_ended(request.req, request.id, *end, request.is_submission);
+    return reply_ended(request.request_id, request.id, *end, request.is_submission);
   if (auto it = open_jobs_.find(request.id); it != open_jobs_.end()) cancelled |= it->second.cancelled;
-  const auto cancelled_dep = cancelled_dependency(request.id);
-  auto view = status_reporter_.view(request.id, cancelled || !cancelled_dep.empty());
-  if (!cancelled_dep.empty()) view.reason = dependency_cancelled_reason(cancelled_dep);
-  runtime_.reply(request.req, 200,
+  const auto cancelled_dependency = find_cancelled_dependency(request.id);
+  auto view = status_reporter_.view(request.id, cancelled || !cancelled_dependency.empty());
+  if (!cancelled_dependency.empty()) view.reason = dependency_cancelled_reason(cancelled_dependency);
+  runtime_.reply(request.request_id, 200,
                  request.is_submission ? wire::encode_accepted(request.id, view.state) : wire::encode_job_view(view));
 }
 
 void JobApiHandler::remember_open(const OpenRecord &record, std::uint64_t mod_revision, bool cancelled) {
   const std::string &id = record.spec.id;
-  // The leader has to learn of any cancellation that a user is told of, whichever node wrote it.
+  // The leader has to learn of every cancellation that was reported to a user, whichever node wrote it.
   const auto previous = open_jobs_.find(id);
   if (cancelled && (previous == open_jobs_.end() || !previous->second.cancelled)) cancellations_.record(id);
   auto [it, inserted] = open_jobs_.try_emplace(
@@ -406,20 +409,19 @@
   open_job_order_.pop_front();
 }
 
-// Adds to `commit` the records that must be unchanged for the request: that of its job, and those of the
-// dependencies that are not known to be done. Returns nullopt if the request was answered or deferred. A job
-// with a cancelled dependency is permanently cancelled too; every replica derives that from the same records, without
-// waiting for the leader to record it.
+// Adds preconditions to `commit`: that the records of the request's job, and of its dependencies that are not known to
+// be done, are unchanged. Returns nullopt if the request was answered or deferred. A job with a cancelled dependency is
+// cancelled too; every replica derives that from the same records, without waiting for the leader to record it.
 std::optional<JobApiHandler::RevisionCheck> JobApiHandler::prepare_check(PendingRequest request, StoreCommit &commit) {
   std::vector<std::pair<std::string, std::uint64_t>> expected;
-  const auto own = open_jobs_.find(request.id);
-  if (own == open_jobs_.end() || own->second.cancelled) { // ended, cancelled or evicted meanwhile
+  const auto own_entry = open_jobs_.find(request.id);
+  if (own_entry == open_jobs_.end() || own_entry->second.cancelled) { // ended, cancelled or evicted meanwhile
     reply_state(request);
     return std::nullopt;
   }
-  RevisionCheck out;
-  expected.emplace_back(wire::open_key(request.id), own->second.mod_revision);
-  const auto dependencies = own->second.dependencies; // a copy: the calls below may move the entry
+  RevisionCheck check;
+  expected.emplace_back(wire::open_key(request.id), own_entry->second.mod_revision);
+  const auto dependencies = own_entry->second.dependencies; // a copy: the calls below may move the entry
   std::vector<std::string> done_dependencies;
   for (const auto &name : dependencies) {
     const JobStatus status = known_status(name);
@@ -451,28 +453,28 @@
     if (std::none_of(commit.preconditions.begin(), commit.preconditions.end(),
                      [&key = key](const auto &precondition) { return precondition.key == key; })) {
       if (commit.preconditions.size() >= max_preconditions()) {
-        out.complete = false; // the remaining keys go into the next check
+        check.complete = false; // the remaining keys go into the next check
         break;
       }
       commit.preconditions.push_back({key, mod_revision});
     }
-    out.keys.push_back(key);
+    check.keys.push_back(key);
   }
-  out.request = std::move(request);
-  return out;
+  check.request = std::move(request);
+  return check;
 }
 
-// One transaction with revision preconditions answers many requests: a record with an unchanged revision is the
-// record that was cached. It is sent after the requests arrived, so the replies are no older than the requests.
+// Answers many requests with one transaction of revision preconditions: a cached record whose revision is unchanged is
+// current. The transaction is sent after the requests arrived, so the replies are not stale.
 void JobApiHandler::check_open_records() {
   const double now = runtime_.now();
   if (!unverified_requests_.empty() && now >= next_timeout_scan_at_) {
     next_timeout_scan_at_ = now + kTimeoutScanIntervalS;
-    for (std::size_t k = unverified_requests_.size(); k-- > 0;) {
+    for (std::size_t left = unverified_requests_.size(); left-- > 0;) {
       PendingRequest request = std::move(unverified_requests_.front());
       unverified_requests_.pop_front();
       if (now - request.received_at > request.max_wait_s)
-        runtime_.refuse(request.req, "too many concurrent requests");
+        runtime_.refuse(request.request_id, "too many concurrent requests");
       else
         unverified_requests_.push_back(std::move(request));
     }
@@ -483,8 +485,8 @@
   StoreCommit commit;
   std::vector<RevisionCheck> checks;
   const std::size_t limit = max_preconditions();
-  for (std::size_t k = unverified_requests_.size();
-       k-- > 0 && checks.size() < limit && commit.preconditions.size() < limit;) {
+  for (std::size_t left = unverified_requests_.size();
+       left-- > 0 && checks.size() < limit && commit.preconditions.size() < limit;) {
     PendingRequest request = std::move(unverified_requests_.front());
     unverified_requests_.pop_front();
     auto check = prepare_check(std::move(request), commit);
@@ -532,8 +534,8 @@
       });
 }
 
-// Frees the id of a submission that a job delegated from another cell holds here, by cancelling the delegated job:
-// local users have priority.
+// Cancels a job delegated from another cell whose id a local user has submitted: local users have priority. The user
+// has to retry.
 void JobApiHandler::reclaim_job_id(const PendingRequest &request, std::uint64_t mod_revision, OpenRecord record) {
   const std::string reason =
       "a job delegated from cell " + record.delegated->origin + " holds this id; it is being returned";
@@ -541,7 +543,7 @@
     runtime_.store(StoreCommit{{{wire::open_key(request.id), mod_revision}},
                                {{wire::open_key(request.id), wire::to_json(record), 0}}},
                    kStoreTimeoutS, [](const wire::StoreReply &) {});
-  runtime_.refuse(request.req, reason, 2);
+  runtime_.refuse(request.request_id, reason, 2);
 }
 
 void JobApiHandler::read_end_record(const PendingRequest &request, bool is_cancellation) {
@@ -550,7 +552,7 @@
                  [this, request, is_cancellation](const wire::StoreReply &reply) {
                    --operations_in_flight_;
                    if (reply.status == 404 && !request.is_submission)
-                     return runtime_.reply(request.req, 404, wire::encode_error("no such job"));
+                     return runtime_.reply(request.request_id, 404, wire::encode_error("no such job"));
                    auto end = reply.status == 200 && reply.entries.size() == 1
                                   ? wire::end_from_json(reply.entries[0].value)
                                   : std::nullopt;
@@ -558,29 +560,29 @@
                      return forward_or_refuse(request, is_cancellation ? Verb::Abort : Verb::Look,
                                               "the state service did not answer");
                    ended_.remember(request.id, *end);
-                   reply_ended(request.req, request.id, *end, request.is_submission || is_cancellation);
+                   reply_ended(request.request_id, request.id, *end, request.is_submission || is_cancellation);
                  });
 }
 
-void JobApiHandler::reply_ended(RequestId req, const std::string &id, const EndRecord &end, bool short_reply) {
+void JobApiHandler::reply_ended(RequestId request_id, const std::string &id, const EndRecord &end, bool short_reply) {
   JobState state = end.cancelled ? JobState::Cancelled : JobState::Done;
-  if (short_reply) return runtime_.reply(req, 200, wire::encode_accepted(id, state));
+  if (short_reply) return runtime_.reply(request_id, 200, wire::encode_accepted(id, state));
   JobView view{id, state, end.cancelled ? 0 : end.tasks, 0, end.reason};
-  runtime_.reply(req, 200, wire::encode_job_view(view));
+  runtime_.reply(request_id, 200, wire::encode_job_view(view));
 }
 
-void JobApiHandler::take(CancelCommand &&cmd) {
-  const auto &id = cmd.id;
-  if (!wire::valid_job_id(id)) return runtime_.reply(cmd.req, 404, wire::encode_error("no such job"));
-  if (const auto *end = ended_.find(id)) return reply_ended(cmd.req, id, *end, true);
-  const PendingRequest request{cmd.req, id, false, runtime_.now()};
+void JobApiHandler::take(CancelCommand &&command) {
+  const auto &id = command.id;
+  if (!wire::valid_job_id(id)) return runtime_.reply(command.req, 404, wire::encode_error("no such job"));
+  if (const auto *end = ended_.find(id)) return reply_ended(command.req, id, *end, true);
+  const PendingRequest request{command.req, id, false, runtime_.now()};
   cancel_job(request);
 }
 
 void JobApiHandler::cancel_job(const PendingRequest &request) {
   if (replicas_.state_service_lost()) return forward_or_refuse(request, Verb::Abort, kUnreachable);
   if (operations_in_flight_ >= kMaxUserOperations || !state_limits_.take_write(runtime_.now()))
-    return runtime_.refuse(request.req, "too many concurrent requests");
+    return runtime_.refuse(request.request_id, "too many concurrent requests");
   ++operations_in_flight_;
   runtime_.store(
       StoreGet{wire::open_key(request.id)}, kStoreTimeoutS / 2, [this, request](const wire::StoreReply &open_reply) {
@@ -589,7 +591,7 @@
         if (auto end =
                 open_reply.entries.size() == 1 ? wire::final_from_json(open_reply.entries[0].value) : std::nullopt) {
           ended_.remember(request.id, *end);
-          return reply_ended(request.req, request.id, *end, true);
+          return reply_ended(request.request_id, request.id, *end, true);
         }
         auto open = open_reply.status == 200 && open_reply.entries.size() == 1
                         ? wire::open_from_json(open_reply.entries[0].value)
@@ -598,7 +600,7 @@
         if (open->delegated) return read_end_record(request, true); // not a job of a local user
         if (open->cancelled) {
           remember_open(*open, open_reply.entries[0].mod_revision, true);
-          return runtime_.reply(request.req, 200, wire::encode_accepted(request.id, JobState::Cancelled));
+          return runtime_.reply(request.request_id, 200, wire::encode_accepted(request.id, JobState::Cancelled));
         }
         open->cancelled = true;
         ++operations_in_flight_;
@@ -615,13 +617,14 @@
                          --operations_in_flight_;
                          if (reply.status == 200) {
                            remember_open(record, reply.revision, true);
-                           return runtime_.reply(request.req, 200,
+                           return runtime_.reply(request.request_id, 200,
                                                  wire::encode_accepted(request.id, JobState::Cancelled));
                          }
                          // The job's end or another cancellation came first; reply with that.
                          if (reply.status == 409 && runtime_.now() - request.received_at < kCancelRetryWindowS)
                            return cancel_job(request);
-                         if (reply.status == 409) return runtime_.refuse(request.req, "the job keeps changing; retry");
+                         if (reply.status == 409)
+                           return runtime_.refuse(request.request_id, "the job keeps changing; retry");
                          forward_or_refuse(request, Verb::Abort, "the state service did not confirm the cancellation");
                        });
       });
--- a/src/core/api/service_level_counters.cpp
+++ b/src/core/api/service_level_counters.cpp
@@ -28,25 +28,25 @@
   const double cpus = job->spec.tasks * job->spec.need.cpus;
   open_job.largest = cpus >= kLargestJobShare * group.max_job_cpus;
   group.max_job_cpus = std::max(group.max_job_cpus, cpus);
-  for_each_count(open_job, [&](JobCounts &count) {
-    ++count.accepted;
-    count.started += open_job.started;
+  for_each_count(open_job, [&](JobCounts &counts) {
+    ++counts.accepted;
+    counts.started += open_job.started;
   });
 }
 
 void ServiceLevelCounters::on(const TaskRunning &event) {
   OpenJob &open_job = get_or_create(open_jobs_, event.job);
   if (open_job.job_class < 0 || std::exchange(open_job.started, true)) return;
-  for_each_count(open_job, [](JobCounts &count) { ++count.started; });
+  for_each_count(open_job, [](JobCounts &counts) { ++counts.started; });
 }
 
 void ServiceLevelCounters::on(const JobFinalized &event) {
   const OpenJob open_job = std::exchange(get_or_create(open_jobs_, event.job), {});
   const auto *end = ended_.find(event.id);
-  for_each_count(open_job, [&](JobCounts &count) {
+  for_each_count(open_job, [&](JobCounts &counts) {
     const bool cancelled = end && end->cancelled;
-    ++(cancelled ? count.cancelled : count.done);
-    count.started += !open_job.started && !cancelled; // too short to be seen running
+    ++(cancelled ? counts.cancelled : counts.done);
+    counts.started += !open_job.started && !cancelled; // too short to be seen running
   });
 }
 
@@ -64,8 +64,8 @@
   std::vector<wire::AdminStatus::ServiceLevel> out;
   std::vector<std::size_t> class_rows(classes_.size(), 0), largest_rows(classes_.size(), 0),
       team_rows(teams_.size(), 0);
-  auto append_row = [&](const char *group_kind, const std::string &name, const JobCounts &count) {
-    out.push_back({group_kind, name, count.accepted, count.started, count.done, count.cancelled, 0, 0});
+  auto append_row = [&](const char *group_kind, const std::string &name, const JobCounts &counts) {
+    out.push_back({group_kind, name, counts.accepted, counts.started, counts.done, counts.cancelled, 0, 0});
     return out.size() - 1;
   };
   for (std::size_t i = 0; i < classes_.size(); ++i) {
--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -13,7 +13,7 @@
 constexpr double kDigestIntervalS = 0.5;
 constexpr double kSummaryIntervalS = 10.0;
 constexpr double kDigestMaxAgeS = 10.0;     // older digests are not shown to users
-constexpr std::size_t kMaxDigests = 12'000; // same as the cache of open records; about 2.9 MB
+constexpr std::size_t kMaxDigests = 12'000; // as JobApiHandler's cache of open records; about 2.9 MB
 
 std::string plural(std::uint64_t count, std::string_view noun) {
   return fmt::format("{} {}{}", count, noun, count == 1 ? "" : "s");
@@ -54,45 +54,46 @@
                        std::max(0.0, failure_attribution_.retry_at(job_index) - runtime_.now()));
   }
   const std::string &last_event = job_reasons_.last_event(job_index);
-  std::string wait;
+  std::string wait_reason;
   if (!leadership_.lease_valid())
-    wait = fmt::format("nothing is started: the state service has not answered since {}",
-                       wire::clock_time(runtime_.state_service_answered_at_wall()));
+    wait_reason = fmt::format("nothing is started: the state service has not answered since {}",
+                              wire::clock_time(runtime_.state_service_answered_at_wall()));
   else if (!cancellations_.may_renew_leases())
-    wait = fmt::format("nothing is started: the state service has told of no cancellations since {}",
-                       wire::clock_time(cancellations_.known_until_wall()));
+    wait_reason = fmt::format("nothing is started: the state service has told of no cancellations since {}",
+                              wire::clock_time(cancellations_.known_until_wall()));
   else if (job.pending() && ledger_.budget_exhausted(job.team))
-    wait = explain_exhausted_budget(job);
+    wait_reason = explain_exhausted_budget(job);
   else if (job.unaccounted)
-    wait = fmt::format("{} started by an earlier leader {} looked for on the machines; what is not found by {} starts "
-                       "again",
-                       plural(job.unaccounted, "task"), job.unaccounted == 1 ? "is" : "are",
-                       wire::clock_time(runtime_.wall() + std::max(0.0, jobs_.unaccounted_until() - runtime_.now())));
+    wait_reason =
+        fmt::format("{} started by an earlier leader {} looked for on the machines; what is not found by {} starts "
+                    "again",
+                    plural(job.unaccounted, "task"), job.unaccounted == 1 ? "is" : "are",
+                    wire::clock_time(runtime_.wall() + std::max(0.0, jobs_.unaccounted_until() - runtime_.now())));
   else if (job.pending())
-    wait = explain_pending(job_index, machines);
-  if (wait.empty() && job.placed && job.done == 0 && last_event.empty() && !any_running(job_index))
-    wait = job.placed == 1 ? "its task has a machine and fetches its image"
-                           : fmt::format("its {} tasks have machines and fetch their images", job.placed);
+    wait_reason = explain_pending(job_index, machines);
+  if (wait_reason.empty() && job.placed && job.done == 0 && last_event.empty() && !any_running(job_index))
+    wait_reason = job.placed == 1 ? "its task has a machine and fetches its image"
+                                  : fmt::format("its {} tasks have machines and fetch their images", job.placed);
   if (job.delegated) {
     std::string cells;
     for (const auto &delegation : job.delegations)
       if (!delegation.expired) cells += (cells.empty() ? "" : " and ") + delegation.cell;
-    const auto where =
+    const auto delegated_part =
         fmt::format("{} of it {} in cell {}", plural(job.delegated, "task"), job.delegated == 1 ? "is" : "are", cells);
-    wait = wait.empty() ? where : wait + "; " + where;
+    wait_reason = wait_reason.empty() ? delegated_part : wait_reason + "; " + delegated_part;
   }
-  if (wait.empty()) return last_event;
-  return last_event.empty() ? wait : wait + "; " + last_event;
+  if (wait_reason.empty()) return last_event;
+  return last_event.empty() ? wait_reason : wait_reason + "; " + last_event;
 }
 
 std::string StatusReporter::explain_dependencies(JobIndex job_index) const {
   const auto &open = dependencies_.open_dependencies(job_index);
-  const std::size_t others = open.size() + dependencies_.unresolved_count(job_index) - !open.empty();
-  if (open.empty()) return fmt::format("waits for {} that this leader is still looking up", plural(others, "job"));
+  const std::size_t other_count = open.size() + dependencies_.unresolved_count(job_index) - !open.empty();
+  if (open.empty()) return fmt::format("waits for {} that this leader is still looking up", plural(other_count, "job"));
   const Job &first = jobs_[open.front()];
   return fmt::format("waits for job {}, of which {} of {} tasks {} done{}", first.spec.id, first.done, first.spec.tasks,
                      first.spec.tasks == 1 ? "is" : "are",
-                     others ? fmt::format(", and for {}", plural(others, "other job")) : "") +
+                     other_count ? fmt::format(", and for {}", plural(other_count, "other job")) : "") +
          deadline_risk(job_index);
 }
 
@@ -108,15 +109,15 @@
   if (job.team < 0) return "";
   const Team &local_quota = quotas_.local_quota(job.team);
   if (local_quota.cpus_max <= 0) return "";
-  const bool shared = quotas_.cells().size() > 1;
-  const std::string limit =
-      fmt::format("{} of {:g} CPUs{}", shared ? "share" : "limit", local_quota.cpus_max, shared ? " in this cell" : "");
+  const bool several_cells = quotas_.cells().size() > 1;
+  const std::string limit = fmt::format("{} of {:g} CPUs{}", several_cells ? "share" : "limit", local_quota.cpus_max,
+                                        several_cells ? " in this cell" : "");
   const double concurrent_cpus = job.spec.need.cpus * (job.spec.shape == Shape::Array ? 1 : job.spec.tasks);
   if (concurrent_cpus > local_quota.cpus_max) {
-    const double largest = quotas_.largest_share(job.team);
-    const bool nowhere = shared && concurrent_cpus > largest;
+    const double largest_share = quotas_.largest_share(job.team);
+    const bool exceeds_all_shares = several_cells && concurrent_cpus > largest_share;
     return fmt::format("its {:g} CPUs at once are more than team {}'s {}{}", concurrent_cpus, job.spec.team, limit,
-                       nowhere ? fmt::format("; no cell has a larger share than {:g}", largest) : "");
+                       exceeds_all_shares ? fmt::format("; no cell has a larger share than {:g}", largest_share) : "");
   }
   if (quotas_.headroom()[static_cast<std::size_t>(job.team)].cpus >= job.spec.need.cpus) return "";
   return fmt::format("team {} uses all of its {}", job.spec.team, limit);
@@ -129,14 +130,14 @@
   PlacementJob placement_job = scheduler_.queue().placement_job(job_index);
   placement_job.avoided_machines.clear();
   const auto &types = catalog_.types();
-  for (std::size_t t = 0; t < types.size(); ++t)
-    for (const auto &zone : types[t].zones)
+  for (std::size_t type = 0; type < types.size(); ++type)
+    for (const auto &zone : types[type].zones)
       for (bool spot : {false, true}) {
         PlacementMachine machine;
-        machine.type = static_cast<int>(t);
+        machine.type = static_cast<int>(type);
         machine.zone = catalog_.find_zone(zone);
         machine.spot = spot;
-        if (!allowed(placement_job, machine) || !placement_job.need.fits(types[t].size)) continue;
+        if (!allowed(placement_job, machine) || !placement_job.need.fits(types[type].size)) continue;
         const MachineKind kind(machine.type, machine.zone, spot);
         if (auto counts = machines.find(kind); counts != machines.end()) {
           up += counts->second.up;
@@ -146,23 +147,24 @@
       }
   const std::string size = fmt::format("{:g} CPUs and {:g} GB{}", job.spec.need.cpus, job.spec.need.memory,
                                        job.spec.zone ? " in " + *job.spec.zone : "");
-  std::string wait;
+  std::string wait_reason;
   if (const auto quota_reason = explain_quota(job); !quota_reason.empty())
-    wait = quota_reason;
+    wait_reason = quota_reason;
   else if (placement_job.gang && job.placed)
-    wait = "the tasks of its earlier attempt have to stop first";
+    wait_reason = "the tasks of its earlier attempt have to stop first";
   else if (up == 0 && starting == 0)
-    wait = no_capacity ? "the cloud has no machine to give with " + size : "no machine with " + size + " is up yet";
+    wait_reason =
+        no_capacity ? "the cloud has no machine to give with " + size : "no machine with " + size + " is up yet";
   else if (up == 0)
-    wait = fmt::format("{} with {} {} starting", plural(static_cast<std::uint64_t>(starting), "machine"), size,
-                       starting == 1 ? "is" : "are");
+    wait_reason = fmt::format("{} with {} {} starting", plural(static_cast<std::uint64_t>(starting), "machine"), size,
+                              starting == 1 ? "is" : "are");
   else
-    wait = fmt::format("all {} with {} are in use{}", plural(static_cast<std::uint64_t>(up), "machine"), size,
-                       starting ? fmt::format("; {} more starting", starting)
-                                : (no_capacity ? "; the cloud has no more to give" : ""));
+    wait_reason = fmt::format("all {} with {} are in use{}", plural(static_cast<std::uint64_t>(up), "machine"), size,
+                              starting ? fmt::format("; {} more starting", starting)
+                                       : (no_capacity ? "; the cloud has no more to give" : ""));
   return (job.pending() == job.spec.tasks ? "waiting: "
                                           : fmt::format("{} of {} tasks wait: ", job.pending(), job.spec.tasks)) +
-         wait;
+         wait_reason;
 }
 
 const CriticalPath &StatusReporter::forecast() const {
@@ -261,8 +263,8 @@
                 {"spot_cpus", totals[1].cpus}});
 }
 
-// Sends one digest message per interval: jobs with changed counts first, then the others in rotation. Jobs that don't
-// fit are sent in a later message.
+// The message lists jobs with changed counts first, then the others in rotation. Jobs that don't fit are sent in a
+// later message.
 void StatusReporter::publish_to_replicas() {
   if (!leadership_.leading() || runtime_.now() < next_digest_at_ || replicas_.count() == 0) return;
   next_digest_at_ = runtime_.now() + kDigestIntervalS;
@@ -273,8 +275,8 @@
     const JobIndex job_index((publish_cursor_ + offset) % limit);
     const Job *job = jobs_.find(job_index);
     if (!job || job->cancelled) continue;
-    const bool changed = get_or_create(published_, job_index).done != job->done ||
-                         get_or_create(published_, job_index).running != running[job_index.position()];
+    const bool changed = get_or_create(published_counts_, job_index).done != job->done ||
+                         get_or_create(published_counts_, job_index).running != running[job_index.position()];
     (changed ? changed_jobs : unchanged_jobs).push_back(job_index);
   }
   const auto machines = count_machines();
@@ -282,15 +284,15 @@
   message.kind = wire::PeerMessage::Kind::Digest;
   message.term = leadership_.term();
   std::size_t free_bytes = wire::kPeerMaxBody - 64;
-  for (const auto *list : {&changed_jobs, &unchanged_jobs})
-    for (JobIndex job_index : *list) {
+  for (const auto *job_list : {&changed_jobs, &unchanged_jobs})
+    for (JobIndex job_index : *job_list) {
       if (message.jobs.size() >= wire::kPeerMaxDigestJobs || free_bytes < 256) break;
       wire::PeerMessage::JobDigest digest{jobs_[job_index].spec.id, jobs_[job_index].done,
                                           running[job_index.position()], predicted_late(job_index),
                                           explain(job_index, machines)};
-      get_or_create(published_, job_index) = {digest.done, digest.running};
+      get_or_create(published_counts_, job_index) = {digest.done, digest.running};
       free_bytes -= std::min(free_bytes, wire::job_digest_size(digest));
-      if (list == &unchanged_jobs) publish_cursor_ = job_index.position() + 1;
+      if (job_list == &unchanged_jobs) publish_cursor_ = job_index.position() + 1;
       message.jobs.push_back(std::move(digest));
     }
   replicas_.broadcast(message);
