--- a/src/core/api/status_reporter.cpp
+++ b/src/core/api/status_reporter.cpp
@@ -125,7 +125,7 @@
 
 std::string StatusReporter::explain_pending(JobIndex job_index, const MachineCountsByKind &machines) const {
   const Job &job = jobs_[job_index];
-  int up = 0, starting = 0;
+  int machines_up = 0, machines_starting = 0;
   bool no_capacity = true;
   PlacementJob placement_job = scheduler_.queue().placement_job(job_index);
   placement_job.avoided_machines.clear();
@@ -140,8 +140,8 @@
         if (!allowed(placement_job, machine) || !placement_job.need.fits(types[type].size)) continue;
         const MachineKind kind(machine.type, machine.zone, spot);
         if (auto counts = machines.find(kind); counts != machines.end()) {
-          up += counts->second.up;
-          starting += counts->second.starting;
+          machines_up += counts->second.up;
+          machines_starting += counts->second.starting;
         }
         no_capacity &= autoscaler_.lacks_capacity(kind);
       }
@@ -152,16 +152,18 @@
     wait_reason = quota_reason;
   else if (placement_job.gang && job.placed)
     wait_reason = "the tasks of its earlier attempt have to stop first";
-  else if (up == 0 && starting == 0)
+  else if (machines_up == 0 && machines_starting == 0)
     wait_reason =
         no_capacity ? "the cloud has no machine to give with " + size : "no machine with " + size + " is up yet";
-  else if (up == 0)
-    wait_reason = fmt::format("{} with {} {} starting", plural(static_cast<std::uint64_t>(starting), "machine"), size,
-                              starting == 1 ? "is" : "are");
+  else if (machines_up == 0)
+    wait_reason =
+        fmt::format("{} with {} {} starting", plural(static_cast<std::uint64_t>(machines_starting), "machine"), size,
+                    machines_starting == 1 ? "is" : "are");
   else
-    wait_reason = fmt::format("all {} with {} are in use{}", plural(static_cast<std::uint64_t>(up), "machine"), size,
-                              starting ? fmt::format("; {} more starting", starting)
-                                       : (no_capacity ? "; the cloud has no more to give" : ""));
+    wait_reason =
+        fmt::format("all {} with {} are in use{}", plural(static_cast<std::uint64_t>(machines_up), "machine"), size,
+                    machines_starting ? fmt::format("; {} more starting", machines_starting)
+                                      : (no_capacity ? "; the cloud has no more to give" : ""));
   return (job.pending() == job.spec.tasks ? "waiting: "
                                           : fmt::format("{} of {} tasks wait: ", job.pending(), job.spec.tasks)) +
          wait_reason;
