--- a/include/loftrouter/core/api/administration_api_handler.hpp
+++ b/include/loftrouter/core/api/administration_api_handler.hpp
@@ -1,6 +1,5 @@
-// The administration API: what an operator asks of any node. What is configured is ConfigurationApiHandler's.
-//
-// Owns nothing but the questions under way.
+// AdministrationApiHandler serves the administration API on any node: status, job lists and usage statements. It passes
+// configuration requests to ConfigurationApiHandler. Its only state is the requests in flight.
 #pragma once
 
 #include <string_view>
@@ -32,16 +31,18 @@
         connectivity_(connectivity), federation_(cells), heartbeats_(heartbeats), service_levels_(service_levels),
         status_reporter_(status_reporter), ledger_(ledger), configuration_(configuration) {}
 
-  void take(AdminCommand &&cmd);
+  void take(AdminCommand &&command);
 
 private:
-  void status(RequestId req, const wire::AdminRequest &ask);
-  std::vector<std::string> troubles(const wire::AdminStatus &status, int silent, int ordered) const;
-  void jobs(RequestId req, const wire::AdminRequest &ask, bool foreseen);
-  void report(RequestId req, const wire::AdminRequest &ask);
-  void statement(RequestId req, const wire::AdminRequest &ask);
-  void statement_jobs(RequestId req, const wire::AdminRequest &ask, wire::AdminStatement statement);
-  void fail(RequestId req, int status, std::string_view text);
+  void reply_status(RequestId request_id, const wire::AdminRequest &request);
+  // Describes the problems that an operator should know of, one line each.
+  std::vector<std::string> describe_problems(const wire::AdminStatus &status, int silent_machines,
+                                             int excluded_machines) const;
+  void reply_jobs(RequestId request_id, const wire::AdminRequest &request, bool only_late);
+  void reply_report(RequestId request_id, const wire::AdminRequest &request);
+  void reply_statement(RequestId request_id, const wire::AdminRequest &request);
+  void reply_statement_jobs(RequestId request_id, const wire::AdminRequest &request, wire::AdminStatement statement);
+  void reply_error(RequestId request_id, int status, std::string_view text);
 
   Runtime &runtime_;
   const Settings &settings_;
