--- a/src/wire/protocol_names.hpp
+++ b/src/wire/protocol_names.hpp
@@ -152,7 +152,7 @@
 // Progress record of one job.
 inline constexpr const char *kStarted = "s";       // set of tasks that were started
 inline constexpr const char *kFinished = "f";      // set of tasks that have completed
-inline constexpr const char *kFailedOn = "x";      // machines that its tasks failed on
+inline constexpr const char *kFailedOn = "x";      // number of machines that its tasks failed on
 inline constexpr const char *kProgressUsage = "u"; // packed usage
 inline constexpr const char *kRunningMs = "h";     // time that attempts in progress have held resources
 inline constexpr const char *kWrittenAtMs = "t";   // wall time of the usage and attempts
