--- a/include/loftrouter/wire/job.hpp
+++ b/include/loftrouter/wire/job.hpp
@@ -1,7 +1,7 @@
-// Jobs as users and stored records spell them: the description that is submitted, and the answers to users.
+// Encodes and decodes job specifications, in submissions and stored records, and the responses to users.
 //
-// All functions are pure. What decode_job accepts is the protocol's POST /api/jobs and nothing else: a job that is
-// accepted with a field misread could be placed where its user forbids it (rule `wrong_place`).
+// All functions are pure. decode_job accepts only valid bodies of POST /api/jobs: a misread field could place a job
+// where its user forbids it (docs/safety.md "wrong_place").
 #pragma once
 
 #include <string>
@@ -14,17 +14,17 @@
 
 namespace loftrouter::wire {
 
-// Whether an id has the form of the protocol, "j-" and digits, at most 40 bytes.
+// Returns whether the id is "j-" followed by digits, at most 40 bytes in all.
 [[nodiscard]] bool valid_job_id(std::string_view id);
 
-// The body of a submission, CBOR.
+// Decodes the CBOR body of a submission.
 [[nodiscard]] std::variant<JobSpec, FieldError> decode_job(std::string_view body);
 
-// A job's description in a message or record. Fields that are not known are ignored.
+// Converts a job specification from and to its form in messages and records. Unknown fields are ignored.
 [[nodiscard]] std::variant<JobSpec, FieldError> job_from_json(const Json &json);
 [[nodiscard]] Json to_json(const JobSpec &spec);
 
-// Answers to users, CBOR: to a query, to a submission or cancellation, and a refusal.
+// Encode the CBOR responses to a query, to an accepted submission or cancellation, and to a rejected request.
 [[nodiscard]] std::string encode_job_view(const JobView &view);
 [[nodiscard]] std::string encode_accepted(std::string_view id, JobState state);
 [[nodiscard]] std::string encode_error(std::string_view text);
--- a/include/loftrouter/wire/job_records.hpp
+++ b/include/loftrouter/wire/job_records.hpp
@@ -1,9 +1,8 @@
-// Records of single jobs in the state service: the open record of a job that is not over, and the end record of one
-// that is.
+// Encodes and decodes the state service's records of single jobs: open records of unfinished jobs, and end records.
 //
-// All functions are pure. A record that can't be read is nothing, never a guess: an accepted job that is dropped or
-// misread would be `forgotten` or `went_back`. Fields are only ever added, so that a node of an earlier version can
-// still read what a later one has written.
+// All functions are pure. Decoding returns nullopt for an unreadable record, as guessing could lose an accepted job or
+// revert its state (docs/safety.md "forgotten", "went_back"). Fields are only ever added, so that nodes of earlier
+// versions can read records of later ones.
 #pragma once
 
 #include <optional>
@@ -21,7 +20,7 @@
 [[nodiscard]] Json to_json(const EndRecord &end);
 [[nodiscard]] std::optional<EndRecord> end_from_json(const Json &json);
 
-// The value of `open/<job>` between the job's end and the move of its end record.
+// The value of `open/<job>` after the job has ended, until its end record is moved to `end/<job>`.
 [[nodiscard]] Json final_json(const EndRecord &end);
 [[nodiscard]] std::optional<EndRecord> final_from_json(const Json &json);
 
--- a/include/loftrouter/wire/worker.hpp
+++ b/include/loftrouter/wire/worker.hpp
@@ -1,7 +1,7 @@
-// Messages between workers and controllers: heartbeats with status, and commands.
+// Encodes and decodes the messages between workers and controllers: heartbeats and task commands.
 //
-// All functions are pure. The fencing token in every answer is what a worker judges its sender by; an answer without
-// one, or with an old one, is dropped by the worker and doesn't renew its lease.
+// All functions are pure. A worker drops a response whose fencing token is missing or stale and doesn't renew its
+// lease.
 #pragma once
 
 #include <cstdint>
@@ -14,25 +14,26 @@
 
 namespace loftrouter::wire {
 
-// The body of a heartbeat, CBOR; nothing if it is malformed. Reads straight into the struct, as heartbeats are most
-// of what a leader reads.
+// Decodes a CBOR heartbeat; returns nullopt if it is malformed. Parses without an intermediate tree, as heartbeats are
+// most of a leader's incoming traffic.
 [[nodiscard]] std::optional<Heartbeat> decode_heartbeat(std::string_view body);
 
-// The answer to a heartbeat.
+// Encodes the response to a heartbeat.
 [[nodiscard]] std::string encode_commands(std::uint64_t fencing_token, const std::vector<TaskCommand> &commands);
 
-// Commands sent to a worker directly, which it executes only in this incarnation: such a request may arrive minutes
-// late.
+// Encodes commands that a controller sends to a worker on its own initiative. The worker executes them only in the
+// given incarnation, as the request may arrive minutes late.
 [[nodiscard]] std::string encode_direct_commands(std::uint64_t fencing_token, std::uint64_t incarnation,
                                                  const std::vector<TaskCommand> &commands);
 
-// The answer of a node that doesn't take heartbeats: where they should go. An empty name names no node.
+// Encodes the response of a node that doesn't accept heartbeats. `node` is the node to send them to, or empty if it is
+// unknown.
 [[nodiscard]] std::string encode_redirect(std::string_view node);
 
-// The worker's side of a heartbeat and its answer, for load tools and tests.
+// The worker's side of the protocol, for load generators and tests.
 struct WorkerCommands {
   std::uint64_t fencing_token = 0;
-  std::vector<TaskCommand> commands; // in the order of execution
+  std::vector<TaskCommand> commands; // in execution order
 };
 [[nodiscard]] std::string encode_heartbeat(const Heartbeat &heartbeat);
 [[nodiscard]] std::optional<WorkerCommands> decode_commands(std::string_view body);
--- a/src/wire/heartbeat_reader.cpp
+++ b/src/wire/heartbeat_reader.cpp
@@ -1,7 +1,7 @@
-// The streaming reader of heartbeats: CBOR straight into the struct, without a tree in between.
+// Decodes heartbeats with a streaming (SAX) CBOR parser that fills the struct without an intermediate tree.
 //
-// It refuses what `decode` refuses, and what a tree would show to be missing or of the wrong kind; the tests compare
-// it with a model that reads a whole tree.
+// It rejects whatever `decode` rejects, and missing or mistyped fields. The tests compare it with a decoder that reads
+// the tree.
 #include <algorithm>
 #include <array>
 #include <bitset>
@@ -19,43 +19,46 @@
 
 class HeartbeatReader final : public nlohmann::json_sax<Json> {
 public:
-  // The heartbeat, if the message was complete and all required fields were there.
+  // Returns the heartbeat if the message was complete and had all required fields.
   std::optional<Heartbeat> take() {
-    if (!complete_ || (read_ & kRequired) != kRequired) return std::nullopt;
+    if (!complete_ || (fields_read_ & kRequired) != kRequired) return std::nullopt;
     return std::move(heartbeat_);
   }
 
-  // A null counts as a field that is not there.
+  // Treats null as a missing field.
   bool null() override { return depth_ > 0 && !in_task_list(); }
 
   bool boolean(bool value) override {
     if (in_heartbeat() && key_ == Key::Spot) {
       heartbeat_.spot = value;
-      mark_read();
+      mark_field_read();
     } else if (in_task() && task_key_ == TaskKey::Saved) {
       heartbeat_.tasks.back().saved = value;
     }
-    return may_be_value();
+    return value_allowed();
   }
 
   bool number_integer(number_integer_t value) override {
-    return value >= 0 ? number_unsigned(static_cast<number_unsigned_t>(value)) : number(static_cast<double>(value));
+    return value >= 0 ? number_unsigned(static_cast<number_unsigned_t>(value))
+                      : read_number(static_cast<double>(value));
   }
 
   bool number_unsigned(number_unsigned_t value) override {
     if (in_heartbeat()) {
-      if (std::uint64_t *const out = counter()) {
-        *out = value;
-        mark_read();
+      if (std::uint64_t *const target = integer_target()) {
+        *target = value;
+        mark_field_read();
       }
     } else if (in_task() && task_key_ == TaskKey::Attempt) {
       heartbeat_.tasks.back().attempt = value;
-      mark_task_read();
+      mark_task_field_read();
     }
-    return number(static_cast<double>(value));
+    return read_number(static_cast<double>(value));
   }
 
-  bool number_float(number_float_t value, const string_t &) override { return std::isfinite(value) && number(value); }
+  bool number_float(number_float_t value, const string_t &) override {
+    return std::isfinite(value) && read_number(value);
+  }
 
   bool string(string_t &value) override {
     if (!valid_utf8(value)) return false;
@@ -63,18 +66,18 @@
       read_heartbeat_text(value);
     else if (in_task())
       read_task_text(value);
-    return may_be_value();
+    return value_allowed();
   }
 
   bool binary(binary_t &) override { return false; }
 
   bool key(string_t &name) override {
     if (!valid_utf8(name)) return false;
-    key_ = in_heartbeat() ? find(name, kKeys) : Key::Unknown;
-    task_key_ = in_task() ? find(name, kTaskKeys) : TaskKey::Unknown;
+    key_ = in_heartbeat() ? find_key(name, kKeys) : Key::Unknown;
+    task_key_ = in_task() ? find_key(name, kTaskKeys) : TaskKey::Unknown;
     Level &level = levels_[depth_];
-    if (key_ != Key::Unknown) return first_use(level, static_cast<std::size_t>(key_));
-    if (task_key_ != TaskKey::Unknown) return first_use(level, static_cast<std::size_t>(task_key_));
+    if (key_ != Key::Unknown) return mark_key_seen(level, static_cast<std::size_t>(key_));
+    if (task_key_ != TaskKey::Unknown) return mark_key_seen(level, static_cast<std::size_t>(task_key_));
     auto &names = level.unknown_names;
     if (std::find(names.begin(), names.end(), name) != names.end()) return false;
     names.push_back(std::move(name));
@@ -83,11 +86,11 @@
 
   bool start_object(std::size_t) override {
     const bool task = in_task_list();
-    if (depth_ > 0 && !task && !may_be_value()) return false;
+    if (depth_ > 0 && !task && !value_allowed()) return false;
     if (!open_level()) return false;
     if (task) {
       heartbeat_.tasks.emplace_back();
-      task_read_.reset();
+      task_fields_read_.reset();
     }
     return true;
   }
@@ -95,9 +98,9 @@
   bool start_array(std::size_t) override {
     if (depth_ == 0) return false;
     const bool task_list = in_heartbeat() && key_ == Key::Tasks;
-    if (!task_list && !may_be_value()) return false;
+    if (!task_list && !value_allowed()) return false;
     if (!open_level()) return false;
-    tasks_open_ |= task_list;
+    task_list_open_ |= task_list;
     return true;
   }
 
@@ -110,7 +113,7 @@
 
   bool end_array() override {
     --depth_;
-    if (in_heartbeat()) tasks_open_ = false;
+    if (in_heartbeat()) task_list_open_ = false;
     return true;
   }
 
@@ -152,39 +155,39 @@
                                                     {field::kState, TaskKey::Phase},
                                                     {field::kExitCause, TaskKey::Cause},
                                                     {field::kSaved, TaskKey::Saved}};
-  // The keys that come before Notice are required, of a task those that come before Cause.
+  // A heartbeat requires the keys declared before Notice, a task those before Cause.
   static constexpr KeySet kRequired{(1U << static_cast<unsigned>(Key::Notice)) - 1};
   static constexpr KeySet kTaskRequired{(1U << static_cast<unsigned>(TaskKey::Cause)) - 1};
   static constexpr std::size_t kMaxDepth = DecodeLimits{}.depth;
 
-  // The names that a map has shown, as a name that comes twice is refused.
+  // Keys seen so far in an open map; duplicate keys are rejected.
   struct Level {
     KeySet known_keys;
     std::vector<std::string> unknown_names;
   };
 
   template <class Enum, std::size_t Count>
-  static Enum find(std::string_view name, const NamedKey<Enum> (&keys)[Count]) {
+  static Enum find_key(std::string_view name, const NamedKey<Enum> (&keys)[Count]) {
     for (const auto &candidate : keys)
       if (name == candidate.name) return candidate.key;
     return Enum::Unknown;
   }
 
-  static bool first_use(Level &level, std::size_t key) {
+  static bool mark_key_seen(Level &level, std::size_t key) {
     if (level.known_keys[key]) return false;
     level.known_keys.set(key);
     return true;
   }
 
-  // Where the parser stands: among the heartbeat's own fields, in its list of tasks, or among a task's fields. The
-  // list takes nothing but maps, so what is open one level below it is a task.
+  // The parser's position: in the heartbeat's map, in its task list, or in a task's map. The list accepts only maps, so
+  // an open level below it is a task.
   bool in_heartbeat() const { return depth_ == 1; }
-  bool in_task_list() const { return depth_ == 2 && tasks_open_; }
-  bool in_task() const { return depth_ == 3 && tasks_open_; }
+  bool in_task_list() const { return depth_ == 2 && task_list_open_; }
+  bool in_task() const { return depth_ == 3 && task_list_open_; }
 
-  // Whether a value that is neither null nor a map of a task may stand here: the list of tasks has to be a list, and
-  // a notice a number.
-  bool may_be_value() const {
+  // Returns whether a value may occur here unless its callback accepts it first. Rejects anything but an array as the
+  // task list, a number as the notice and a map as a task.
+  bool value_allowed() const {
     if (depth_ == 0 || in_task_list()) return false;
     return !in_heartbeat() || (key_ != Key::Tasks && key_ != Key::Notice);
   }
@@ -197,11 +200,11 @@
     return true;
   }
 
-  void mark_read() { read_.set(static_cast<std::size_t>(key_)); }
-  void mark_task_read() { task_read_.set(static_cast<std::size_t>(task_key_)); }
+  void mark_field_read() { fields_read_.set(static_cast<std::size_t>(key_)); }
+  void mark_task_field_read() { task_fields_read_.set(static_cast<std::size_t>(task_key_)); }
 
-  // Where the number of the present field belongs, or null.
-  std::uint64_t *counter() {
+  // Returns the member for the current integer field, or null.
+  std::uint64_t *integer_target() {
     switch (key_) {
     case Key::Incarnation:
       return &heartbeat_.incarnation;
@@ -214,8 +217,8 @@
     }
   }
 
-  // Where the text of the present field belongs, or null.
-  std::string *text() {
+  // Returns the member for the current text field, or null.
+  std::string *text_target() {
     switch (key_) {
     case Key::Machine:
       return &heartbeat_.machine;
@@ -230,17 +233,17 @@
     }
   }
 
-  bool number(double value) {
-    if (!in_heartbeat() || key_ != Key::Notice) return may_be_value();
+  bool read_number(double value) {
+    if (!in_heartbeat() || key_ != Key::Notice) return value_allowed();
     heartbeat_.notice_s = std::max(0.0, value);
     return true;
   }
 
   void read_heartbeat_text(std::string &value) {
-    std::string *const out = text();
-    if (!out || value.empty() || value.size() > kMaxTextBytes) return;
-    *out = std::move(value);
-    mark_read();
+    std::string *const target = text_target();
+    if (!target || value.empty() || value.size() > kMaxTextBytes) return;
+    *target = std::move(value);
+    mark_field_read();
   }
 
   void read_task_text(const std::string &value) {
@@ -251,12 +254,12 @@
       const auto phase = spelling::kTaskPhases.find(value);
       if (!phase) return;
       task.phase = *phase;
-      mark_task_read();
+      mark_task_field_read();
     } else if (task_key_ == TaskKey::Cause) {
       const auto cause = spelling::kExitCauses.find(value);
       if (!cause) return;
       task.cause = *cause;
-      mark_task_read();
+      mark_task_field_read();
     }
   }
 
@@ -266,25 +269,25 @@
     if (!name) return;
     task.job = std::move(name->job);
     task.index = name->index;
-    mark_task_read();
+    mark_task_field_read();
   }
 
-  // A task that exited for a cause that this version doesn't know is taken to have failed.
+  // Treats an exit without a cause known to this version as a failure.
   bool end_task() {
-    if ((task_read_ & kTaskRequired) != kTaskRequired) return false;
+    if ((task_fields_read_ & kTaskRequired) != kTaskRequired) return false;
     TaskStatus &task = heartbeat_.tasks.back();
-    const bool cause_read = task_read_[static_cast<std::size_t>(TaskKey::Cause)];
+    const bool cause_read = task_fields_read_[static_cast<std::size_t>(TaskKey::Cause)];
     if (!cause_read && task.phase == TaskPhase::Exited) task.cause = ExitCause::Error;
     return true;
   }
 
   Heartbeat heartbeat_;
-  std::size_t depth_ = 0;               // of open maps and lists
-  Key key_ = Key::Unknown;              // the heartbeat's field that is read
-  TaskKey task_key_ = TaskKey::Unknown; // the task's field that is read
-  KeySet read_;                         // fields with a valid value
-  KeySet task_read_;                    // the same, of the present task
-  bool tasks_open_ = false;
+  std::size_t depth_ = 0;               // open maps and lists
+  Key key_ = Key::Unknown;              // current field of the heartbeat
+  TaskKey task_key_ = TaskKey::Unknown; // current field of the task
+  KeySet fields_read_;                  // fields with a valid value
+  KeySet task_fields_read_;             // fields of the current task with a valid value
+  bool task_list_open_ = false;
   bool complete_ = false;
   std::array<Level, kMaxDepth + 1> levels_;
 };
--- a/src/wire/job.cpp
+++ b/src/wire/job.cpp
@@ -53,7 +53,7 @@
   if (!spec.deadline_s) reader.refuse(field::kDeadlineS);
 }
 
-// Each dependency once, in the order given; a job that depends on itself would never start.
+// Reads the dependencies in order, without duplicates. Rejects a job that depends on itself, as it would never start.
 void read_dependencies(FieldReader &reader, JobSpec &spec) {
   const Json *list = reader.optional(field::kDependencies);
   if (!list) return;
@@ -75,7 +75,7 @@
   return std::all_of(id.begin(), id.end(), [](char character) { return character >= '0' && character <= '9'; });
 }
 
-// The order of the fields decides which of several invalid ones an error names.
+// The error names the first invalid field in the order read here.
 std::variant<JobSpec, FieldError> job_from_json(const Json &json) {
   if (!json.is_object()) return FieldError{"not a map"};
   JobSpec spec;
--- a/src/wire/job_records.cpp
+++ b/src/wire/job_records.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::size_t kMaxReasonBytes = 1000;
-constexpr double kMaxCpus = 1e6;     // of a task, also for GPUs
-constexpr double kMaxMemoryGb = 1e9; // of a task
+constexpr double kMaxCpus = 1e6;     // per task; also the limit for GPUs
+constexpr double kMaxMemoryGb = 1e9; // per task
 
 Json to_json(const DelegationSource &source) {
   return {{stored::kOriginCell, source.origin},
@@ -27,7 +27,7 @@
   return DelegationSource{std::move(*origin), *generation, std::move(*tasks)};
 }
 
-// Usage and need are read together or not at all, as one means nothing without the other.
+// Reads usage and need only if both are present, as neither is meaningful alone.
 void read_usage(const Json &json, EndRecord &end) {
   const auto usage = read_text(member(json, stored::kUsage));
   const Json &need = member(json, stored::kNeed);
--- a/src/wire/worker.cpp
+++ b/src/wire/worker.cpp
@@ -81,14 +81,14 @@
   const auto fencing_token = read_count(member(*json, field::kFencingToken));
   const Json &list = member(*json, field::kCommands);
   if (!fencing_token || !list.is_array()) return std::nullopt;
-  WorkerCommands out;
-  out.fencing_token = *fencing_token;
+  WorkerCommands decoded;
+  decoded.fencing_token = *fencing_token;
   for (const auto &element : list) {
     auto command = command_from_json(element);
     if (!command) return std::nullopt;
-    out.commands.push_back(std::move(*command));
+    decoded.commands.push_back(std::move(*command));
   }
-  return out;
+  return decoded;
 }
 
 } // namespace loftrouter::wire
--- a/tests/wire_fixtures.hpp
+++ b/tests/wire_fixtures.hpp
@@ -1,11 +1,11 @@
-// Messages that the tests of src/wire start from.
+// Valid messages for the tests of src/wire.
 #pragma once
 
 #include "loftrouter/wire/cbor.hpp"
 
 namespace loftrouter::wire {
 
-// A submission with every field that is not optional, and some that are.
+// Returns a submission with all required and some optional fields.
 inline Json valid_job() {
   return {{"id", "j-000412"}, {"jobclass", "train"}, {"crew", "vision"},   {"shape", "gang"},  {"urgency", "urgent"},
           {"pieces", 16},     {"cores", 8.0},        {"cards", 1.0},       {"ram_gb", 64.0},   {"bundle", "img-07"},
@@ -13,7 +13,7 @@
           {"standby", true},  {"guess_s", 240.0},    {"bookmark_s", 30.0}, {"stash_s", 4.0},   {"due_s", 900.0}};
 }
 
-// A worker's heartbeat with one running task.
+// Returns a heartbeat with one running task.
 inline Json valid_heartbeat() {
   return {{"box", "n-1"},
           {"address", "1.2.3.4:5"},
--- a/tests/wire_heartbeat_test.cpp
+++ b/tests/wire_heartbeat_test.cpp
@@ -17,30 +17,30 @@
   const std::string heartbeat = encode(valid_heartbeat());
   const std::string job = encode(valid_job());
   ASSERT_TRUE(decode_heartbeat(heartbeat));
-  int read = 0;
+  int accepted = 0;
   for (int i = 0; i < 20000; ++i) {
     std::string body = i % 2 ? heartbeat : job;
     for (unsigned count = 1 + rng() % 3; count-- > 0;)
       body[rng() % body.size()] = static_cast<char>(rng());
     if (i % 5 == 0) body.resize(rng() % body.size());
-    read += decode_heartbeat(body).has_value() || std::holds_alternative<JobSpec>(decode_job(body));
+    accepted += decode_heartbeat(body).has_value() || std::holds_alternative<JobSpec>(decode_job(body));
   }
-  EXPECT_GT(read, 0);
+  EXPECT_GT(accepted, 0);
 }
 
 namespace {
 
-// What a heartbeat says, read slowly from a whole tree: the model that the streaming reader has to agree with.
-class HeartbeatModel {
+// Decodes heartbeats from a parsed tree, as the reference for the streaming reader.
+class ReferenceDecoder {
 public:
   static std::optional<Heartbeat> read(std::string_view bytes) {
     const auto tree = decode(bytes);
     if (!tree || !tree->is_object()) return std::nullopt;
-    HeartbeatModel model;
-    model.read_fields(*tree);
-    if (!model.failed_) model.read_tasks(tree->value("pieces", Json()));
-    if (model.failed_) return std::nullopt;
-    return model.heartbeat_;
+    ReferenceDecoder decoder;
+    decoder.read_fields(*tree);
+    if (!decoder.failed_) decoder.read_tasks(tree->value("pieces", Json()));
+    if (decoder.failed_) return std::nullopt;
+    return decoder.heartbeat_;
   }
 
 private:
@@ -123,7 +123,7 @@
     task.index = static_cast<std::uint32_t>(index);
   }
 
-  // The number of names if there is none.
+  // Returns names.size() if the value is not among the names.
   static std::size_t index_of(const std::vector<std::string> &names, const Json &json) {
     if (!json.is_string()) return names.size();
     const auto found = std::find(names.begin(), names.end(), json.get<std::string>());
@@ -134,7 +134,7 @@
   bool failed_ = false;
 };
 
-// Heartbeats with some of their fields replaced, and some of their bytes.
+// Generates heartbeats with random fields and bytes replaced.
 class HeartbeatMutations {
 public:
   std::string next() {
@@ -194,13 +194,13 @@
 
 } // namespace
 
-TEST(WireHeartbeat, StreamingReaderAgreesWithTheModel) {
+TEST(WireHeartbeat, StreamingReaderMatchesReferenceDecoder) {
   HeartbeatMutations mutations;
   int valid = 0;
   int invalid = 0;
   for (int i = 0; i < 6000; ++i) {
     const auto bytes = mutations.next();
-    const auto expected = HeartbeatModel::read(bytes);
+    const auto expected = ReferenceDecoder::read(bytes);
     const auto actual = decode_heartbeat(bytes);
     ASSERT_EQ(expected.has_value(), actual.has_value()) << testing::PrintToString(bytes);
     ++(expected ? valid : invalid);
--- a/tests/wire_job_test.cpp
+++ b/tests/wire_job_test.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST(WireJob, DescriptionSurvivesItsRecord) {
+TEST(WireJob, SpecRoundTripsThroughJson) {
   const auto decoded = decode_job(encode(valid_job()));
   ASSERT_TRUE(std::holds_alternative<JobSpec>(decoded));
   const auto &spec = std::get<JobSpec>(decoded);
@@ -29,7 +29,7 @@
   EXPECT_EQ(to_json(std::get<JobSpec>(again)), to_json(spec));
 }
 
-TEST(WireJob, NoDependenciesLeaveTheRecordAsItWas) {
+TEST(WireJob, NullAndEmptyDependenciesEncodeLikeNone) {
   auto json = valid_job();
   const auto plain = to_json(std::get<JobSpec>(decode_job(encode(json)))).dump();
   for (Json none : {Json(), Json(Json::array())}) {
@@ -38,14 +38,14 @@
   }
 }
 
-TEST(WireJob, EachDependencyIsKeptOnce) {
+TEST(WireJob, DuplicateDependenciesAreRemoved) {
   auto json = valid_job();
   json["waits_on"] = {"j-000398", "j-000405", "j-000398"};
   const auto spec = std::get<JobSpec>(decode_job(encode(json)));
   EXPECT_EQ(spec.dependencies, (std::vector<std::string>{"j-000398", "j-000405"}));
 }
 
-TEST(WireJob, InvalidDependenciesAreRefused) {
+TEST(WireJob, InvalidDependenciesAreRejected) {
   auto json = valid_job();
   Json too_many = Json::array();
   for (std::size_t i = 0; i <= kMaxDependencies; ++i)
@@ -56,7 +56,7 @@
   }
 }
 
-TEST(WireJob, MissingOrInvalidFieldIsNamed) {
+TEST(WireJob, ErrorNamesMissingOrInvalidField) {
   for (const std::string field :
        {"id", "jobclass", "crew", "shape", "urgency", "pieces", "cores", "cards", "ram_gb", "bundle", "image_gb",
         "one_zone", "apart", "standby", "guess_s", "bookmark_s", "stash_s"}) {
@@ -75,7 +75,7 @@
   }
 }
 
-TEST(WireJob, FieldsThatMayBeNullMayBeLeftOut) {
+TEST(WireJob, NullableFieldsMayBeOmitted) {
   for (const char *nullable : {"hulls", "yard", "due_s"}) {
     auto json = valid_job();
     json.erase(nullable);
@@ -83,7 +83,7 @@
   }
 }
 
-TEST(WireJob, MoreTasksThanTheLimitAreRefused) {
+TEST(WireJob, TaskCountAboveLimitIsRejected) {
   auto json = valid_job();
   json["pieces"] = 100001;
   EXPECT_FALSE(accepted(json));
