--- a/include/loftrouter/wire/cloud_api.hpp
+++ b/include/loftrouter/wire/cloud_api.hpp
@@ -1,7 +1,7 @@
-// Requests to the cloud's API and its answers, and the catalog of instance types as it is stored.
+// Encodes requests to the cloud provider's API, decodes its replies, and converts the stored catalog of instance types.
 //
-// All functions are pure; CloudClient carries the requests. A CloudReply with status 0 proves nothing: machines may
-// have been rented, or may yet be, and show in the machine list or by their heartbeats.
+// All functions are pure; CloudClient sends the requests. A CloudReply with status 0 means that the outcome is unknown:
+// machines may have been rented or may still be, and appear in the machine list or through their heartbeats.
 #pragma once
 
 #include <cstdint>
@@ -17,28 +17,28 @@
 
 enum class CloudCall : std::uint8_t { MachineTypes, ListMachines, ScaleOut, ScaleIn };
 
-// An answer to any request; what the request doesn't ask for stays empty.
+// A reply to any request; fields that don't apply to the request stay empty.
 struct CloudReply {
-  int status = 0;                      // HTTP; 0: no answer, or one that can't be read: the outcome is unknown
-  bool no_capacity = false;            // ScaleOut, 503: none of this type, zone and kind to be had
+  int status = 0;                      // HTTP status; 0: no reply or an invalid one, outcome unknown
+  bool no_capacity = false;            // ScaleOut, 503: no capacity for this type, zone and spot setting
   std::vector<MachineType> types;      // MachineTypes
-  std::vector<std::string> names;      // ScaleOut: the machines rented
+  std::vector<std::string> names;      // ScaleOut: rented machines
   std::vector<ListedMachine> machines; // ListMachines
-  bool more = false;                   // ListMachines: the list goes on after its last entry
+  bool more = false;                   // ListMachines: further entries follow the last one
 };
 
-// Rents up to `count` machines. `request` names it and must never be used again, not even by another node: a request
-// that is repeated rents nothing.
-[[nodiscard]] std::string encode_scale_out(std::string_view request, std::string_view type, std::string_view zone,
+// Encodes a request to rent up to `count` machines. `request_name` is an idempotency key and must be unique across all
+// nodes: a repeated request rents nothing.
+[[nodiscard]] std::string encode_scale_out(std::string_view request_name, std::string_view type, std::string_view zone,
                                            bool spot, int count);
-// Returns machines, with everything on them.
+// Encodes a request to return machines; anything still running on them is lost.
 [[nodiscard]] std::string encode_scale_in(const std::vector<std::string> &names);
 
-// `status` is HTTP's, or 0 if there was no answer.
+// `status` is the HTTP status, or 0 if there was no reply.
 [[nodiscard]] CloudReply decode_cloud_reply(CloudCall call, int status, std::string_view body);
 
-// The catalog of instance types. One entry that can't be read makes the whole catalog invalid: a job must not be
-// refused as one that can never run because its machine type is missing.
+// Encode and decode the catalog of instance types. One invalid entry invalidates the whole catalog: with a machine type
+// missing, a job could be rejected as one that can never run.
 [[nodiscard]] Json to_json(const std::vector<MachineType> &types);
 [[nodiscard]] std::optional<std::vector<MachineType>> types_from_json(const Json &json);
 
--- a/include/loftrouter/wire/node_records.hpp
+++ b/include/loftrouter/wire/node_records.hpp
@@ -1,6 +1,6 @@
-// Records of the controller nodes themselves in the state service: who leads, and what each node reaches.
+// Stored records about the controller nodes: which node is the leader, and the connectivity of each node.
 //
-// All functions are pure. What can't be read is nothing.
+// All functions are pure. Decoders return nullopt for an invalid record.
 #pragma once
 
 #include <optional>
@@ -15,7 +15,7 @@
 
 [[nodiscard]] Json to_json(const StoredConnectivityRecord &record);
 [[nodiscard]] std::optional<StoredConnectivityRecord> connectivity_from_json(const Json &json);
-// The same without its time, as status answers show it.
+// Encodes the record without its timestamp, for status replies.
 [[nodiscard]] Json to_json(const ConnectivityRecord &connectivity);
 
 } // namespace loftrouter::wire
--- a/include/loftrouter/wire/progress_record.hpp
+++ b/include/loftrouter/wire/progress_record.hpp
@@ -1,8 +1,8 @@
-// Records of how far jobs have got, in the state service: which tasks were started and have completed, what was used,
-// and what other cells run. The records of many jobs share a key, a shard.
+// Stored job progress: started and finished tasks, resource usage, and delegations to other cells. One key holds a
+// shard with the records of many jobs.
 //
-// All functions are pure. A record that can't be read whole is nothing: a task whose start is forgotten could be
-// started a second time (rule `ran_twice`).
+// All functions are pure. Decoders reject a record if any part is invalid: losing the start of a task could start it
+// twice (docs/safety.md "ran_twice").
 #pragma once
 
 #include <optional>
@@ -18,15 +18,17 @@
 
 [[nodiscard]] Json to_json(const ProgressRecord &progress);
 
-// Usage by period and team, packed.
+// Encodes packed usage sums by accounting period and team.
 [[nodiscard]] Json to_json(const SumsByTeam &sums);
 [[nodiscard]] std::optional<SumsByTeam> sums_from_json(const Json &json);
 
-// `progress/<shard>`, from the records of its jobs by id. Without sums it has the format of earlier versions.
-[[nodiscard]] Json progress_shard(std::vector<std::pair<std::string, Json>> jobs, const SumsByTeam &sums = {});
+// Builds the value of `progress/<shard>` from job ids and their encoded records. Without sums, the value has the
+// format of earlier versions.
+[[nodiscard]] Json progress_shard(std::vector<std::pair<std::string, Json>> records_by_job,
+                                  const SumsByTeam &sums = {});
 
-// `key` names the job of a record that is of one job alone, as earlier versions wrote them. A format version later
-// than this one's is refused, as what it means can't be known.
+// Decodes a shard. Earlier versions stored one job per key; `key` then supplies the job id. Rejects newer format
+// versions.
 [[nodiscard]] std::optional<ProgressShard> progress_from_json(std::string_view key, const Json &json);
 
 } // namespace loftrouter::wire
--- a/include/loftrouter/wire/state_service.hpp
+++ b/include/loftrouter/wire/state_service.hpp
@@ -1,7 +1,8 @@
-// Requests to the state service, a consensus-backed key-value store, and its answers.
+// Encodes requests to the state service, a consensus-backed key-value store, and decodes its replies.
 //
-// All functions are pure; StoreClient carries the requests. A StoreReply with status 0 proves nothing: the request may
-// have been executed, or may yet be. Whoever reads it as a refusal could start a task twice (rule `ran_twice`).
+// All functions are pure; StoreClient sends the requests. A StoreReply with status 0 means that the outcome is unknown:
+// the request may have been executed or may still be. Treating it as a failure could start a task twice
+// (docs/safety.md "ran_twice").
 #pragma once
 
 #include <cstdint>
@@ -14,52 +15,52 @@
 
 namespace loftrouter::wire {
 
-// A condition of a transaction: the key was last changed at this revision.
+// A transaction precondition: the key was last modified at this revision.
 struct Precondition {
   std::string key;
   std::uint64_t mod_revision = 0; // 0: the key does not exist
 };
 
-// A change that a transaction makes.
+// A put or delete in a transaction.
 struct Mutation {
   std::string key;
-  std::optional<Json> value; // nothing: the key is deleted
-  std::uint64_t lease = 0;   // that the key is attached to; 0: none
+  std::optional<Json> value; // nullopt: delete the key
+  std::uint64_t lease = 0;   // lease to attach the key to; 0: none
 };
 
 struct KeyValue {
   std::string key;
   Json value;
-  std::uint64_t mod_revision = 0; // of the key's last change
+  std::uint64_t mod_revision = 0; // revision of the last modification
   std::uint64_t lease = 0;        // 0: none
 };
 
 struct WatchEvent {
   std::string key;
-  std::optional<Json> value; // nothing: the key was deleted
+  std::optional<Json> value; // nullopt: the key was deleted
   std::uint64_t mod_revision = 0;
 };
 
-// An answer to any request; what the request doesn't ask for stays empty.
+// A reply to any request; fields that don't apply to the request stay empty.
 struct StoreReply {
-  int status = 0;                  // HTTP; 0: no answer, or one that can't be read: the outcome is unknown
-  std::uint64_t revision = 0;      // of the whole store
-  std::uint64_t lease = 0;         // that was granted
-  bool more = false;               // the list goes on after its last entry
-  std::vector<std::string> failed; // keys whose precondition did not hold (409)
-  std::vector<KeyValue> entries;   // of a list; of a get, one
-  std::vector<WatchEvent> events;  // of a watch
+  int status = 0;                  // HTTP status; 0: no reply or an invalid one, outcome unknown
+  std::uint64_t revision = 0;      // store-wide revision
+  std::uint64_t lease = 0;         // granted lease
+  bool more = false;               // further entries follow the last one
+  std::vector<std::string> failed; // keys with a failed precondition (409)
+  std::vector<KeyValue> entries;   // from a list; one from a get
+  std::vector<WatchEvent> events;  // from a watch
 };
 
-// A transaction: compare, then swap, atomically.
+// Encodes an atomic compare-and-swap transaction.
 [[nodiscard]] std::string encode_commit(const std::vector<Precondition> &preconditions,
                                         const std::vector<Mutation> &mutations);
-// The request for a lease. `ttl_s` is cut to whole milliseconds.
+// Encodes a lease grant. `ttl_s` is truncated to whole milliseconds.
 [[nodiscard]] std::string encode_lease_grant(double ttl_s);
-// The request to renew a lease; its path names the lease.
+// Encodes the body of a lease renewal; the request path identifies the lease.
 [[nodiscard]] std::string encode_lease_renew();
 
-// `status` is HTTP's, or 0 if there was no answer.
+// `status` is the HTTP status, or 0 if there was no reply.
 [[nodiscard]] StoreReply decode_store_reply(int status, std::string_view body);
 
 } // namespace loftrouter::wire
--- a/include/loftrouter/wire/storage_keys.hpp
+++ b/include/loftrouter/wire/storage_keys.hpp
@@ -1,5 +1,5 @@
-// Keys of the records in the state service. They are part of the stored format and never change: records of earlier
-// versions are found under them.
+// Keys of the records in the state service. They are part of the stored format and must not change, so that records
+// of earlier versions are found.
 #pragma once
 
 #include <string>
@@ -13,27 +13,26 @@
 inline constexpr std::string_view kProgressPrefix = "progress/"; // ProgressShard: progress of many jobs
 inline constexpr std::string_view kAccountsPrefix = "accounts/"; // SumsByTeam of one past accounting period
 
-// The open record of the job with this id.
-inline std::string open_key(std::string_view id) {
-  return std::string(kOpenPrefix).append(id);
+inline std::string open_key(std::string_view job_id) {
+  return std::string(kOpenPrefix).append(job_id);
 }
 
-// The end record of the job with this id.
-inline std::string end_key(std::string_view id) {
-  return std::string(kEndPrefix).append(id);
+inline std::string end_key(std::string_view job_id) {
+  return std::string(kEndPrefix).append(job_id);
 }
 
-// The progress record with this name.
-inline std::string progress_key(std::string_view name) {
-  return std::string(kProgressPrefix).append(name);
+// `shard` is the shard name, or a job id in records of earlier versions.
+inline std::string progress_key(std::string_view shard) {
+  return std::string(kProgressPrefix).append(shard);
 }
 
-// The sums of the accounting period with this name (accounts::Clock::name).
+// `period` is a period name from accounts::Clock::name.
 inline std::string accounts_key(std::string_view period) {
   return std::string(kAccountsPrefix).append(period);
 }
 
-// What follows the prefix of a key: of an open or end record the job's id. The whole key if it has no prefix.
+// Returns the key without its prefix, which is the job id for open and end records. Returns the whole key if it has
+// no prefix.
 inline std::string record_name(std::string_view key) {
   return std::string(key.substr(key.find('/') + 1));
 }
--- a/src/wire/cloud_api.cpp
+++ b/src/wire/cloud_api.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr DecodeLimits kReplyLimits{32, 2'000'000}; // answers have no size limit
-constexpr double kDefaultBootS = 60;                // of a type that gives no boot time
+constexpr DecodeLimits kReplyLimits{32, 2'000'000}; // depth, items; replies have no limit in bytes
+constexpr double kDefaultBootS = 60;                // if a type has no boot time
 
 std::optional<MachineType> type_from_json(const Json &json) {
   MachineType type;
@@ -37,9 +37,9 @@
           {field::kBootS, type.boot_s},     {field::kZones, type.zones}};
 }
 
-MachineStatus parse_machine_status(std::string_view spelled) {
-  if (spelled == spelling::kMachineFailed) return MachineStatus::Failed;
-  if (spelled == spelling::kMachineRunning) return MachineStatus::Running;
+MachineStatus parse_machine_status(std::string_view text) {
+  if (text == spelling::kMachineFailed) return MachineStatus::Failed;
+  if (text == spelling::kMachineRunning) return MachineStatus::Running;
   return MachineStatus::Booting;
 }
 
@@ -99,9 +99,9 @@
   return types;
 }
 
-std::string encode_scale_out(std::string_view request, std::string_view type, std::string_view zone, bool spot,
+std::string encode_scale_out(std::string_view request_name, std::string_view type, std::string_view zone, bool spot,
                              int count) {
-  return encode({{field::kRequestName, request},
+  return encode({{field::kRequestName, request_name},
                  {field::kMachineType, type},
                  {field::kZone, zone},
                  {field::kSpot, spot},
@@ -117,7 +117,7 @@
   reply.status = status;
   const auto json = body.empty() ? std::nullopt : decode(body, kReplyLimits);
   if (!json || !json->is_object()) {
-    // Returning machines answers with nothing that would have to be read.
+    // A scale-in reply has no body that matters.
     if (status == 200 && call != CloudCall::ScaleIn) reply.status = 0;
     return reply;
   }
--- a/src/wire/node_records.cpp
+++ b/src/wire/node_records.cpp
@@ -38,13 +38,16 @@
   const auto cloud = read_spelling(member(json, stored::kCloud), spelling::kProviderHealth);
   const auto machines = read_count(member(json, stored::kMachines));
   const auto last_heartbeat_age_s = read_amount(member(json, stored::kQuietS), ConnectivityRecord::kMaxAgeS);
-  const auto forwarded_s = read_amount(member(json, stored::kForwardedS), ConnectivityRecord::kMaxAgeS);
-  const auto observed_at = read_amount(member(json, stored::kObservedAt), kMaxWallTimeS);
-  if (!workers || !cloud || !machines || !last_heartbeat_age_s || !forwarded_s || !observed_at) return std::nullopt;
+  const auto last_forwardable_heartbeat_age_s =
+      read_amount(member(json, stored::kForwardedS), ConnectivityRecord::kMaxAgeS);
+  const auto recorded_at_wall = read_amount(member(json, stored::kObservedAt), kMaxWallTimeS);
+  if (!workers || !cloud || !machines || !last_heartbeat_age_s || !last_forwardable_heartbeat_age_s ||
+      !recorded_at_wall)
+    return std::nullopt;
   constexpr std::uint64_t max_machines = std::numeric_limits<std::uint16_t>::max();
   const auto capped_machines = static_cast<std::uint16_t>(std::min(*machines, max_machines));
-  return StoredConnectivityRecord{{*workers, capped_machines, *last_heartbeat_age_s, *forwarded_s, *cloud},
-                                  *observed_at};
+  return StoredConnectivityRecord{
+      {*workers, capped_machines, *last_heartbeat_age_s, *last_forwardable_heartbeat_age_s, *cloud}, *recorded_at_wall};
 }
 
 } // namespace loftrouter::wire
--- a/src/wire/progress_record.cpp
+++ b/src/wire/progress_record.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::uint64_t kFirstShardVersion = 1; // without sums, and without a version in the record
+constexpr std::uint64_t kFirstShardVersion = 1; // has neither sums nor a version field
 constexpr std::uint64_t kShardVersion = 2;
 constexpr std::uint64_t kMaxFailedOn = 1'000'000;
-constexpr std::uint64_t kMaxMilliseconds = 1ULL << 53; // whole numbers that a double holds exactly
+constexpr std::uint64_t kMaxMilliseconds = 1ULL << 53; // largest range of integers that a double represents exactly
 constexpr std::size_t kMaxPackedSumsBytes = 300;
 
 std::uint64_t capped_count(const Json &json, std::uint64_t max) {
@@ -35,7 +35,7 @@
   return json;
 }
 
-// Usage charged to a delegation that has used nothing yet packs to an empty text, so it isn't read as a name is.
+// Accepts an empty string, which read_text rejects: zero usage packs to an empty string.
 std::optional<accounts::Usage> charged_usage_from_json(const Json &json) {
   if (!json.is_string()) return std::nullopt;
   return accounts::unpack<accounts::kUsageColumns>(json.get_ref<const std::string &>());
@@ -52,7 +52,7 @@
   return DelegationRecord{*generation, std::move(*cell), std::move(*tasks), *lease_s, expired, *charged};
 }
 
-// False: the record says that usage was kept, and it can't be read.
+// Returns false if usage is present but invalid.
 bool read_usage(const Json &json, ProgressRecord &progress) {
   const Json &packed = member(json, stored::kProgressUsage);
   if (packed.is_null()) return true;
@@ -65,9 +65,9 @@
 }
 
 bool read_delegations(const Json &json, ProgressRecord &progress) {
-  const Json &list = member(json, stored::kDelegations);
-  if (!list.is_array()) return true;
-  for (const auto &element : list) {
+  const Json &delegations = member(json, stored::kDelegations);
+  if (!delegations.is_array()) return true;
+  for (const auto &element : delegations) {
     auto delegation = delegation_from_json(element);
     if (!delegation) return false;
     progress.delegations.push_back(std::move(*delegation));
@@ -89,19 +89,19 @@
   return progress;
 }
 
-bool add_job(std::string_view id, const Json &json, ProgressShard &shard) {
+bool add_job(std::string_view job_id, const Json &json, ProgressShard &shard) {
   auto progress = progress_record_from_json(json);
   if (!progress) return false;
-  shard.jobs.emplace_back(std::string(id), std::move(*progress));
+  shard.jobs.emplace_back(std::string(job_id), std::move(*progress));
   return true;
 }
 
 bool read_sums(const Json &json, ProgressShard &shard) {
   const Json &sums = member(json, stored::kShardSums);
   if (sums.is_null()) return true;
-  auto read = sums_from_json(sums);
-  if (!read) return false;
-  shard.sums = std::move(*read);
+  auto decoded_sums = sums_from_json(sums);
+  if (!decoded_sums) return false;
+  shard.sums = std::move(*decoded_sums);
   return true;
 }
 
@@ -146,11 +146,11 @@
   return sums;
 }
 
-Json progress_shard(std::vector<std::pair<std::string, Json>> jobs, const SumsByTeam &sums) {
-  Json by_id = Json::object();
-  for (auto &job : jobs)
-    by_id[job.first] = std::move(job.second);
-  Json json = {{stored::kShardJobs, std::move(by_id)}};
+Json progress_shard(std::vector<std::pair<std::string, Json>> records_by_job, const SumsByTeam &sums) {
+  Json jobs = Json::object();
+  for (auto &[job_id, record] : records_by_job)
+    jobs[job_id] = std::move(record);
+  Json json = {{stored::kShardJobs, std::move(jobs)}};
   if (!sums.empty()) {
     json[stored::kShardVersion] = kShardVersion;
     json[stored::kShardSums] = to_json(sums);
@@ -164,12 +164,12 @@
   if (!read_sums(json, shard)) return std::nullopt;
   const Json &jobs = member(json, stored::kShardJobs);
   if (!jobs.is_object()) {
-    const auto job = key.substr(key.find('/') + 1);
-    if (!add_job(job, json, shard)) return std::nullopt;
+    const auto job_id = key.substr(key.find('/') + 1);
+    if (!add_job(job_id, json, shard)) return std::nullopt;
     return shard;
   }
-  for (const auto &[id, progress] : jobs.items())
-    if (!add_job(id, progress, shard)) return std::nullopt;
+  for (const auto &[job_id, progress] : jobs.items())
+    if (!add_job(job_id, progress, shard)) return std::nullopt;
   return shard;
 }
 
--- a/src/wire/state_service.cpp
+++ b/src/wire/state_service.cpp
@@ -7,8 +7,7 @@
 
 namespace {
 
-// Answers of the state service and the cloud have no size limit.
-constexpr DecodeLimits kReplyLimits{32, 2'000'000};
+constexpr DecodeLimits kReplyLimits{32, 2'000'000}; // depth, items; replies have no limit in bytes
 constexpr double kMillisecondsPerSecond = 1000;
 
 Json to_json(const Precondition &precondition) {
@@ -39,7 +38,7 @@
   return std::nullopt;
 }
 
-// The elements of a list that can be read.
+// Appends the valid elements of `list` to `out`; skips invalid ones.
 template <class Element>
 void read_list(const Json &list, std::optional<Element> (*read)(const Json &), std::vector<Element> &out) {
   if (!list.is_array()) return;
@@ -50,13 +49,14 @@
 } // namespace
 
 std::string encode_commit(const std::vector<Precondition> &preconditions, const std::vector<Mutation> &mutations) {
-  Json compare = Json::array();
+  Json encoded_preconditions = Json::array();
   for (const auto &precondition : preconditions)
-    compare.push_back(to_json(precondition));
-  Json change = Json::array();
+    encoded_preconditions.push_back(to_json(precondition));
+  Json encoded_mutations = Json::array();
   for (const auto &mutation : mutations)
-    change.push_back(to_json(mutation));
-  return encode({{field::kPreconditions, std::move(compare)}, {field::kMutations, std::move(change)}});
+    encoded_mutations.push_back(to_json(mutation));
+  return encode(
+      {{field::kPreconditions, std::move(encoded_preconditions)}, {field::kMutations, std::move(encoded_mutations)}});
 }
 
 std::string encode_lease_grant(double ttl_s) {
@@ -73,7 +73,7 @@
   if (status == 0 || body.empty()) return reply;
   const auto json = decode(body, kReplyLimits);
   if (!json || !json->is_object()) {
-    // An answer that cannot be read proves nothing about what was executed.
+    // With an invalid reply, it is unknown whether the request was executed.
     if (status == 200) reply.status = 0;
     return reply;
   }
@@ -82,7 +82,7 @@
   reply.more = read_flag(member(*json, field::kMore));
   for (const auto &key : member(*json, field::kFailed))
     if (key.is_string()) reply.failed.push_back(key.get<std::string>());
-  if (auto single = key_value_from_json(*json)) reply.entries.push_back(std::move(*single));
+  if (auto entry = key_value_from_json(*json)) reply.entries.push_back(std::move(*entry));
   read_list(member(*json, field::kEntries), key_value_from_json, reply.entries);
   read_list(member(*json, field::kEvents), event_from_json, reply.events);
   return reply;
