--- a/include/loftrouter/wire/cbor.hpp
+++ b/include/loftrouter/wire/cbor.hpp
@@ -20,8 +20,8 @@
   std::size_t items = 200'000; // maps, arrays and scalars in total
 };
 
-// Returns nullopt for truncated or trailing input, exceeded limits, duplicate or non-text keys, byte strings, tags,
-// NaN, infinity and text that is not UTF-8.
+// Decodes one CBOR value. Returns nullopt for truncated or trailing input, exceeded limits, duplicate or non-text keys,
+// byte strings, tags, NaN, infinity and text that is not UTF-8.
 [[nodiscard]] std::optional<Json> decode(std::string_view bytes, DecodeLimits limits = {});
 
 [[nodiscard]] std::string encode(const Json &value);
--- a/include/loftrouter/wire/cloud_api.hpp
+++ b/include/loftrouter/wire/cloud_api.hpp
@@ -17,7 +17,7 @@
 
 enum class CloudCall : std::uint8_t { MachineTypes, ListMachines, ScaleOut, ScaleIn };
 
-// A reply to any request; fields that don't apply to the request stay empty.
+// Holds the reply to any request; fields that don't apply to the request stay empty.
 struct CloudReply {
   int status = 0;                      // HTTP status; 0: no reply or an invalid one, outcome unknown
   bool no_capacity = false;            // ScaleOut, 503: no capacity for this type, zone and spot setting
--- a/include/loftrouter/wire/job.hpp
+++ b/include/loftrouter/wire/job.hpp
@@ -1,7 +1,7 @@
 // Encodes and decodes job specifications, in submissions and stored records, and the responses to users.
 //
-// All functions are pure. decode_job accepts only valid bodies of POST /api/jobs: a misread field could place a job
-// where its user forbids it (docs/safety.md "wrong_place").
+// All functions are pure. decode_job rejects a body of POST /api/jobs with any invalid field, as a misread field could
+// place a job where its user forbids it (docs/safety.md "wrong_place").
 #pragma once
 
 #include <string>
--- a/include/loftrouter/wire/job_records.hpp
+++ b/include/loftrouter/wire/job_records.hpp
@@ -1,4 +1,5 @@
-// Encodes and decodes the state service's records of single jobs: open records of unfinished jobs, and end records.
+// Encodes and decodes the state service's records of single jobs: open records of unfinished jobs and end records of
+// ended ones.
 //
 // All functions are pure. Decoding returns nullopt for an unreadable record, as guessing could lose an accepted job or
 // revert its state (docs/safety.md "forgotten", "went_back"). Fields are only ever added, so that nodes of earlier
@@ -12,15 +13,15 @@
 
 namespace loftrouter::wire {
 
-// `open/<job>`
+// Encode and decode the value of `open/<job>`.
 [[nodiscard]] Json to_json(const OpenRecord &record);
 [[nodiscard]] std::optional<OpenRecord> open_from_json(const Json &json);
 
-// `end/<job>`
+// Encode and decode the value of `end/<job>`.
 [[nodiscard]] Json to_json(const EndRecord &end);
 [[nodiscard]] std::optional<EndRecord> end_from_json(const Json &json);
 
-// The value of `open/<job>` after the job has ended, until its end record is moved to `end/<job>`.
+// Encode and decode the value of `open/<job>` after the job has ended, until its end record is moved to `end/<job>`.
 [[nodiscard]] Json final_json(const EndRecord &end);
 [[nodiscard]] std::optional<EndRecord> final_from_json(const Json &json);
 
--- a/include/loftrouter/wire/node_records.hpp
+++ b/include/loftrouter/wire/node_records.hpp
@@ -1,4 +1,5 @@
-// Stored records about the controller nodes: which node is the leader, and the connectivity of each node.
+// Encodes and decodes the stored records about the controller nodes: which node is the leader, and the connectivity of
+// each node.
 //
 // All functions are pure. Decoders return nullopt for an invalid record.
 #pragma once
--- a/include/loftrouter/wire/progress_record.hpp
+++ b/include/loftrouter/wire/progress_record.hpp
@@ -1,5 +1,5 @@
-// Stored job progress: started and finished tasks, resource usage, and delegations to other cells. One key holds a
-// shard with the records of many jobs.
+// Encodes and decodes stored job progress: started and finished tasks, resource usage, and delegations to other cells.
+// One key holds a shard with the records of many jobs.
 //
 // All functions are pure. Decoders reject a record if any part is invalid: losing the start of a task could start it
 // twice (docs/safety.md "ran_twice").
@@ -18,7 +18,7 @@
 
 [[nodiscard]] Json to_json(const ProgressRecord &progress);
 
-// Encodes packed usage sums by accounting period and team.
+// Encode and decode usage sums by accounting period and team.
 [[nodiscard]] Json to_json(const SumsByTeam &sums);
 [[nodiscard]] std::optional<SumsByTeam> sums_from_json(const Json &json);
 
--- a/include/loftrouter/wire/state_service.hpp
+++ b/include/loftrouter/wire/state_service.hpp
@@ -15,13 +15,13 @@
 
 namespace loftrouter::wire {
 
-// A transaction precondition: the key was last modified at this revision.
+// Makes a transaction fail unless the key was last modified at this revision.
 struct Precondition {
   std::string key;
   std::uint64_t mod_revision = 0; // 0: the key does not exist
 };
 
-// A put or delete in a transaction.
+// Puts or deletes a key in a transaction.
 struct Mutation {
   std::string key;
   std::optional<Json> value; // nullopt: delete the key
@@ -41,15 +41,15 @@
   std::uint64_t mod_revision = 0;
 };
 
-// A reply to any request; fields that don't apply to the request stay empty.
+// Holds the reply to any request; fields that don't apply to the request stay empty.
 struct StoreReply {
   int status = 0;                  // HTTP status; 0: no reply or an invalid one, outcome unknown
   std::uint64_t revision = 0;      // store-wide revision
   std::uint64_t lease = 0;         // granted lease
   bool more = false;               // further entries follow the last one
   std::vector<std::string> failed; // keys with a failed precondition (409)
-  std::vector<KeyValue> entries;   // from a list; one from a get
-  std::vector<WatchEvent> events;  // from a watch
+  std::vector<KeyValue> entries;   // of a list request; at most one of a get
+  std::vector<WatchEvent> events;  // of a watch
 };
 
 // Encodes an atomic compare-and-swap transaction.
--- a/include/loftrouter/wire/storage_keys.hpp
+++ b/include/loftrouter/wire/storage_keys.hpp
@@ -1,5 +1,5 @@
-// Keys of the records in the state service. They are part of the stored format and must not change, so that records
-// of earlier versions are found.
+// Defines the keys of the records in the state service. They are part of the stored format and must not change, so that
+// records of earlier versions are found.
 #pragma once
 
 #include <string>
--- a/include/loftrouter/wire/worker.hpp
+++ b/include/loftrouter/wire/worker.hpp
@@ -1,7 +1,7 @@
 // Encodes and decodes the messages between workers and controllers: heartbeats and task commands.
 //
-// All functions are pure. A worker drops a response whose fencing token is missing or stale and doesn't renew its
-// lease.
+// All functions are pure. A worker ignores a response whose fencing token is missing or stale; such a response doesn't
+// renew the worker's lease.
 #pragma once
 
 #include <cstdint>
@@ -21,8 +21,8 @@
 // Encodes the response to a heartbeat.
 [[nodiscard]] std::string encode_commands(std::uint64_t fencing_token, const std::vector<TaskCommand> &commands);
 
-// Encodes commands that a controller sends to a worker on its own initiative. The worker executes them only in the
-// given incarnation, as the request may arrive minutes late.
+// Encodes commands that a controller sends to a worker outside a heartbeat response. The worker executes them only in
+// the given incarnation, as the request may arrive minutes late.
 [[nodiscard]] std::string encode_direct_commands(std::uint64_t fencing_token, std::uint64_t incarnation,
                                                  const std::vector<TaskCommand> &commands);
 
@@ -30,7 +30,8 @@
 // unknown.
 [[nodiscard]] std::string encode_redirect(std::string_view node);
 
-// The worker's side of the protocol, for load generators and tests.
+// Holds the commands received by a worker. This struct and the functions below are the worker's side of the protocol,
+// for load generators and tests.
 struct WorkerCommands {
   std::uint64_t fencing_token = 0;
   std::vector<TaskCommand> commands; // in execution order
--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -48,23 +48,25 @@
   return 0;
 }
 
-// Builds a JSON tree from parser events and stops the parse by returning false. The parser is recursive, so the depth
-// limit also bounds its stack.
+// Builds a JSON tree from parser events. A callback that returns false aborts the parse. The parser is recursive, so
+// the depth limit also bounds its stack.
 class BoundedTreeBuilder final : public nlohmann::json_sax<Json> {
 public:
   BoundedTreeBuilder(Json &root, DecodeLimits limits) : root_(root), limits_(limits) {}
 
-  bool null() override { return put(nullptr); }
-  bool boolean(bool value) override { return put(value); }
-  bool number_integer(number_integer_t value) override { return put(value); }
-  bool number_unsigned(number_unsigned_t value) override { return put(value); }
-  bool number_float(number_float_t value, const string_t &) override { return std::isfinite(value) && put(value); }
-  bool string(string_t &value) override { return valid_utf8(value) && put(std::move(value)); }
+  bool null() override { return add_value(nullptr); }
+  bool boolean(bool value) override { return add_value(value); }
+  bool number_integer(number_integer_t value) override { return add_value(value); }
+  bool number_unsigned(number_unsigned_t value) override { return add_value(value); }
+  bool number_float(number_float_t value, const string_t &) override {
+    return std::isfinite(value) && add_value(value);
+  }
+  bool string(string_t &value) override { return valid_utf8(value) && add_value(std::move(value)); }
   bool binary(binary_t &) override { return false; }
-  bool start_object(std::size_t) override { return open(Json::object()); }
-  bool start_array(std::size_t) override { return open(Json::array()); }
-  bool end_object() override { return close(); }
-  bool end_array() override { return close(); }
+  bool start_object(std::size_t) override { return open_container(Json::object()); }
+  bool start_array(std::size_t) override { return open_container(Json::array()); }
+  bool end_object() override { return close_container(); }
+  bool end_array() override { return close_container(); }
   bool key(string_t &name) override {
     if (!valid_utf8(name) || open_containers_.back()->contains(name)) return false;
     next_key_ = std::move(name);
@@ -73,7 +75,7 @@
   bool parse_error(std::size_t, const std::string &, const nlohmann::detail::exception &) override { return false; }
 
 private:
-  template <class Value> bool put(Value &&value) { return add(Json(std::forward<Value>(value))) != nullptr; }
+  template <class Value> bool add_value(Value &&value) { return add(Json(std::forward<Value>(value))) != nullptr; }
 
   // Returns the value's place in the tree, or null if the item limit is exceeded.
   Json *add(Json &&value) {
@@ -92,7 +94,7 @@
     return &member;
   }
 
-  bool open(Json &&empty) {
+  bool open_container(Json &&empty) {
     if (open_containers_.size() >= limits_.depth) return false;
     Json *const added = add(std::move(empty));
     if (!added) return false;
@@ -100,7 +102,7 @@
     return true;
   }
 
-  bool close() {
+  bool close_container() {
     open_containers_.pop_back();
     return true;
   }
--- a/src/wire/frame.hpp
+++ b/src/wire/frame.hpp
@@ -3,7 +3,7 @@
 //   magic u32 | version u16 | kind u16 | body length u32 | body
 //
 // All integers are little-endian. The body length is checked against the limit of the message kind before the body is
-// buffered, so that a client cannot exhaust a node's memory.
+// buffered, so that a sender cannot exhaust a node's memory.
 #pragma once
 
 #include <cstddef>
@@ -22,6 +22,7 @@
   std::size_t (*max_body)(std::uint16_t kind); // bytes
 };
 
+// Refers to a frame in a receive buffer.
 struct FrameView {
   std::uint16_t kind = 0;
   std::string_view body;
--- a/src/wire/heartbeat_reader.cpp
+++ b/src/wire/heartbeat_reader.cpp
@@ -21,7 +21,7 @@
 public:
   // Returns the heartbeat if the message was complete and had all required fields.
   std::optional<Heartbeat> take() {
-    if (!complete_ || (fields_read_ & kRequired) != kRequired) return std::nullopt;
+    if (!complete_ || (fields_read_ & kRequiredKeys) != kRequiredKeys) return std::nullopt;
     return std::move(heartbeat_);
   }
 
@@ -73,7 +73,7 @@
 
   bool key(string_t &name) override {
     if (!valid_utf8(name)) return false;
-    key_ = in_heartbeat() ? find_key(name, kKeys) : Key::Unknown;
+    key_ = in_heartbeat() ? find_key(name, kHeartbeatKeys) : Key::Unknown;
     task_key_ = in_task() ? find_key(name, kTaskKeys) : TaskKey::Unknown;
     Level &level = levels_[depth_];
     if (key_ != Key::Unknown) return mark_key_seen(level, static_cast<std::size_t>(key_));
@@ -140,27 +140,27 @@
     const char *name;
     Enum key;
   };
-  static constexpr NamedKey<Key> kKeys[] = {{field::kMachine, Key::Machine},
-                                            {field::kAddress, Key::Address},
-                                            {field::kMachineType, Key::Type},
-                                            {field::kZone, Key::Zone},
-                                            {field::kIncarnation, Key::Incarnation},
-                                            {field::kSequence, Key::Sequence},
-                                            {field::kFencingToken, Key::FencingToken},
-                                            {field::kSpot, Key::Spot},
-                                            {field::kNoticeS, Key::Notice},
-                                            {field::kTasks, Key::Tasks}};
+  static constexpr NamedKey<Key> kHeartbeatKeys[] = {{field::kMachine, Key::Machine},
+                                                     {field::kAddress, Key::Address},
+                                                     {field::kMachineType, Key::Type},
+                                                     {field::kZone, Key::Zone},
+                                                     {field::kIncarnation, Key::Incarnation},
+                                                     {field::kSequence, Key::Sequence},
+                                                     {field::kFencingToken, Key::FencingToken},
+                                                     {field::kSpot, Key::Spot},
+                                                     {field::kNoticeS, Key::Notice},
+                                                     {field::kTasks, Key::Tasks}};
   static constexpr NamedKey<TaskKey> kTaskKeys[] = {{field::kTask, TaskKey::Name},
                                                     {field::kAttempt, TaskKey::Attempt},
                                                     {field::kState, TaskKey::Phase},
                                                     {field::kExitCause, TaskKey::Cause},
                                                     {field::kSaved, TaskKey::Saved}};
   // A heartbeat requires the keys declared before Notice, a task those before Cause.
-  static constexpr KeySet kRequired{(1U << static_cast<unsigned>(Key::Notice)) - 1};
-  static constexpr KeySet kTaskRequired{(1U << static_cast<unsigned>(TaskKey::Cause)) - 1};
+  static constexpr KeySet kRequiredKeys{(1U << static_cast<unsigned>(Key::Notice)) - 1};
+  static constexpr KeySet kRequiredTaskKeys{(1U << static_cast<unsigned>(TaskKey::Cause)) - 1};
   static constexpr std::size_t kMaxDepth = DecodeLimits{}.depth;
 
-  // Keys seen so far in an open map; duplicate keys are rejected.
+  // Holds the keys seen so far in an open map, to reject duplicates.
   struct Level {
     KeySet known_keys;
     std::vector<std::string> unknown_names;
@@ -179,14 +179,14 @@
     return true;
   }
 
-  // The parser's position: in the heartbeat's map, in its task list, or in a task's map. The list accepts only maps, so
-  // an open level below it is a task.
+  // These functions return whether the parser is in the heartbeat's map, in its task list, or in a task's map. The list
+  // accepts only maps, so an open level below it is a task.
   bool in_heartbeat() const { return depth_ == 1; }
   bool in_task_list() const { return depth_ == 2 && task_list_open_; }
   bool in_task() const { return depth_ == 3 && task_list_open_; }
 
-  // Returns whether a value may occur here unless its callback accepts it first. Rejects anything but an array as the
-  // task list, a number as the notice and a map as a task.
+  // Returns whether a value of any type may occur here. The task list, the notice and the tasks require a certain type:
+  // their callbacks accept an array, a number and maps before they call this function.
   bool value_allowed() const {
     if (depth_ == 0 || in_task_list()) return false;
     return !in_heartbeat() || (key_ != Key::Tasks && key_ != Key::Notice);
@@ -233,6 +233,7 @@
     }
   }
 
+  // Stores the notice; returns whether a number may occur here.
   bool read_number(double value) {
     if (!in_heartbeat() || key_ != Key::Notice) return value_allowed();
     heartbeat_.notice_s = std::max(0.0, value);
@@ -272,9 +273,9 @@
     mark_task_field_read();
   }
 
-  // Treats an exit without a cause known to this version as a failure.
+  // Returns whether the task has all required fields. An exit with a missing or unknown cause counts as an error.
   bool end_task() {
-    if ((task_fields_read_ & kTaskRequired) != kTaskRequired) return false;
+    if ((task_fields_read_ & kRequiredTaskKeys) != kRequiredTaskKeys) return false;
     TaskStatus &task = heartbeat_.tasks.back();
     const bool cause_read = task_fields_read_[static_cast<std::size_t>(TaskKey::Cause)];
     if (!cause_read && task.phase == TaskPhase::Exited) task.cause = ExitCause::Error;
--- a/src/wire/job_records.cpp
+++ b/src/wire/job_records.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::size_t kMaxReasonBytes = 1000;
-constexpr double kMaxCpus = 1e6;     // per task; also the limit for GPUs
-constexpr double kMaxMemoryGb = 1e9; // per task
+constexpr double kMaxCpusOrGpus = 1e6; // per task
+constexpr double kMaxMemoryGb = 1e9;   // per task
 
 Json to_json(const DelegationSource &source) {
   return {{stored::kOriginCell, source.origin},
@@ -33,8 +33,8 @@
   const Json &need = member(json, stored::kNeed);
   if (!usage || !need.is_array() || need.size() != 3) return;
   end.usage = accounts::unpack<accounts::kUsageColumns>(*usage);
-  end.need.cpus = read_amount(need[0], kMaxCpus).value_or(0);
-  end.need.gpus = read_amount(need[1], kMaxCpus).value_or(0);
+  end.need.cpus = read_amount(need[0], kMaxCpusOrGpus).value_or(0);
+  end.need.gpus = read_amount(need[1], kMaxCpusOrGpus).value_or(0);
   end.need.memory = read_amount(need[2], kMaxMemoryGb).value_or(0);
 }
 
--- a/src/wire/json_fields.cpp
+++ b/src/wire/json_fields.cpp
@@ -7,8 +7,8 @@
 const Json &member(const Json &json, const char *name) {
   static const Json kNull;
   if (!json.is_object()) return kNull;
-  const auto it = json.find(name);
-  return it == json.end() ? kNull : *it;
+  const auto found = json.find(name);
+  return found == json.end() ? kNull : *found;
 }
 
 std::optional<std::string> read_text(const Json &json, std::size_t max_bytes) {
--- a/src/wire/json_fields.hpp
+++ b/src/wire/json_fields.hpp
@@ -36,6 +36,7 @@
 // Returns true only for the boolean true; missing fields and other types count as false.
 [[nodiscard]] bool read_flag(const Json &json);
 
+// Returns the enum value with this spelling; otherwise nullopt.
 template <class Enum, std::size_t Count>
 [[nodiscard]] std::optional<Enum> read_spelling(const Json &json, const EnumSpellings<Enum, Count> &spellings) {
   if (!json.is_string()) return std::nullopt;
@@ -58,7 +59,7 @@
 
   // Returns the value of an optional field, or nullptr if it is missing or null.
   [[nodiscard]] const Json *optional(const char *name) const;
-  // Marks a field as invalid after a check by the caller.
+  // Records a field that the caller found to be invalid.
   void refuse(const char *name) {
     if (!refused_) refused_ = name;
   }
--- a/src/wire/node_records.cpp
+++ b/src/wire/node_records.cpp
@@ -22,8 +22,8 @@
 Json to_json(const ConnectivityRecord &connectivity) {
   return {{stored::kWorkers, spelling::kWorkerReachability[connectivity.workers]},
           {stored::kMachines, connectivity.machines},
-          {stored::kQuietS, connectivity.last_heartbeat_age_s},
-          {stored::kForwardedS, connectivity.last_forwardable_heartbeat_age_s},
+          {stored::kLastHeartbeatAgeS, connectivity.last_heartbeat_age_s},
+          {stored::kForwardableHeartbeatAgeS, connectivity.last_forwardable_heartbeat_age_s},
           {stored::kCloud, spelling::kProviderHealth[connectivity.cloud]}};
 }
 
@@ -37,9 +37,9 @@
   const auto workers = read_spelling(member(json, stored::kWorkers), spelling::kWorkerReachability);
   const auto cloud = read_spelling(member(json, stored::kCloud), spelling::kProviderHealth);
   const auto machines = read_count(member(json, stored::kMachines));
-  const auto last_heartbeat_age_s = read_amount(member(json, stored::kQuietS), ConnectivityRecord::kMaxAgeS);
+  const auto last_heartbeat_age_s = read_amount(member(json, stored::kLastHeartbeatAgeS), ConnectivityRecord::kMaxAgeS);
   const auto last_forwardable_heartbeat_age_s =
-      read_amount(member(json, stored::kForwardedS), ConnectivityRecord::kMaxAgeS);
+      read_amount(member(json, stored::kForwardableHeartbeatAgeS), ConnectivityRecord::kMaxAgeS);
   const auto recorded_at_wall = read_amount(member(json, stored::kObservedAt), kMaxWallTimeS);
   if (!workers || !cloud || !machines || !last_heartbeat_age_s || !last_forwardable_heartbeat_age_s ||
       !recorded_at_wall)
--- a/src/wire/packed.hpp
+++ b/src/wire/packed.hpp
@@ -1,4 +1,4 @@
-// Serializes and parses frames: little-endian integers and length-prefixed strings.
+// Serializes and parses binary messages: little-endian integers and length-prefixed strings.
 //
 // The reader checks every length against the remaining input. After the first error `ok` stays false and later values
 // are meaningless: callers may check once at the end, but must check before they use a count as a loop bound.
@@ -79,6 +79,7 @@
     return true;
   }
 
+  // Fails unless the length that was written is that of all remaining input.
   bool body(std::string &out) {
     const std::size_t size = u32();
     if (!ok_ || size != rest_.size()) return fail();
--- a/src/wire/progress_record.cpp
+++ b/src/wire/progress_record.cpp
@@ -11,11 +11,12 @@
 namespace {
 
 constexpr std::uint64_t kFirstShardVersion = 1; // has neither sums nor a version field
-constexpr std::uint64_t kShardVersion = 2;
-constexpr std::uint64_t kMaxFailedOn = 1'000'000;
-constexpr std::uint64_t kMaxMilliseconds = 1ULL << 53; // largest range of integers that a double represents exactly
+constexpr std::uint64_t kCurrentShardVersion = 2;
+constexpr std::uint64_t kMaxFailedMachines = 1'000'000;
+constexpr std::uint64_t kMaxMilliseconds = 1ULL << 53; // doubles represent integers up to here exactly
 constexpr std::size_t kMaxPackedSumsBytes = 300;
 
+// Returns 0 for a missing or invalid count.
 std::uint64_t capped_count(const Json &json, std::uint64_t max) {
   return std::min(read_count(json).value_or(0), max);
 }
@@ -82,7 +83,7 @@
   ProgressRecord progress;
   progress.started = std::move(*started);
   progress.finished = std::move(*finished);
-  progress.failed_on = static_cast<std::uint32_t>(capped_count(member(json, stored::kFailedOn), kMaxFailedOn));
+  progress.failed_on = static_cast<std::uint32_t>(capped_count(member(json, stored::kFailedOn), kMaxFailedMachines));
   if (!read_usage(json, progress)) return std::nullopt;
   progress.delegated_here = read_count(member(json, stored::kDelegatedHere)).value_or(0);
   if (!read_delegations(json, progress)) return std::nullopt;
@@ -152,18 +153,19 @@
     jobs[job_id] = std::move(record);
   Json json = {{stored::kShardJobs, std::move(jobs)}};
   if (!sums.empty()) {
-    json[stored::kShardVersion] = kShardVersion;
+    json[stored::kShardVersion] = kCurrentShardVersion;
     json[stored::kShardSums] = to_json(sums);
   }
   return json;
 }
 
 std::optional<ProgressShard> progress_from_json(std::string_view key, const Json &json) {
-  if (read_count(member(json, stored::kShardVersion)).value_or(kFirstShardVersion) > kShardVersion) return std::nullopt;
+  if (read_count(member(json, stored::kShardVersion)).value_or(kFirstShardVersion) > kCurrentShardVersion)
+    return std::nullopt;
   ProgressShard shard;
   if (!read_sums(json, shard)) return std::nullopt;
   const Json &jobs = member(json, stored::kShardJobs);
-  if (!jobs.is_object()) {
+  if (!jobs.is_object()) { // a single job's record, written by an earlier version
     const auto job_id = key.substr(key.find('/') + 1);
     if (!add_job(job_id, json, shard)) return std::nullopt;
     return shard;
--- a/src/wire/protocol_names.hpp
+++ b/src/wire/protocol_names.hpp
@@ -35,7 +35,7 @@
 inline constexpr const char *kTeam = "crew";              // team whose quota applies
 inline constexpr const char *kShape = "shape";            // job array, gang or service
 inline constexpr const char *kPriority = "urgency";       // priority class
-inline constexpr const char *kTaskCount = "pieces";       // number of tasks; in a heartbeat, the list of tasks
+inline constexpr const char *kTaskCount = "pieces";       // number of tasks
 inline constexpr const char *kCpus = "cores";             // CPUs of a task or machine
 inline constexpr const char *kGpus = "cards";             // GPUs of a task or machine
 inline constexpr const char *kMemoryGb = "ram_gb";        // memory of a task or machine
@@ -52,8 +52,8 @@
 inline constexpr const char *kDeadlineS = "due_s";        // deadline, from the submission
 inline constexpr const char *kDependencies = "waits_on";  // jobs that must complete first
 inline constexpr const char *kState = "status";           // of a job, a task or a machine
-inline constexpr const char *kTasksDone = "done";         // completed tasks
-inline constexpr const char *kTasksRunning = "running";   // running tasks
+inline constexpr const char *kTasksDone = "done";         // number of completed tasks
+inline constexpr const char *kTasksRunning = "running";   // number of running tasks
 inline constexpr const char *kPendingReason = "reason";   // why a job waits
 inline constexpr const char *kError = "error";            // error message
 
@@ -63,9 +63,9 @@
 inline constexpr const char *kMachineType = "hull";   // type of the machine
 inline constexpr const char *kIncarnation = "shift";  // incarnation of the worker; grows when its lease expires
 inline constexpr const char *kSequence = "tick";      // sequence number of the heartbeat in its incarnation
-inline constexpr const char *kFencingToken = "baton"; // fencing token
+inline constexpr const char *kFencingToken = "baton"; // in a heartbeat, the highest that the worker has seen
 inline constexpr const char *kNoticeS = "warning_s";  // time until the cloud reclaims the machine
-inline constexpr const char *kTasks = "pieces";       // tasks on the machine
+inline constexpr const char *kTasks = "pieces";       // list of the tasks on the machine
 inline constexpr const char *kTask = "piece";         // name of a task: job/index
 inline constexpr const char *kAttempt = "try";        // attempt of a task
 inline constexpr const char *kExitCause = "cause";    // why a task exited
@@ -76,11 +76,11 @@
 inline constexpr const char *kRedirect = "answer_to"; // node that heartbeats should go to
 
 // State service.
-inline constexpr const char *kRevision = "epoch";       // revision of the whole store
-inline constexpr const char *kModRevision = "stamp";    // revision of a key's last change
-inline constexpr const char *kLease = "permit";         // lease that a key is attached to
-inline constexpr const char *kKey = "k";                // key
-inline constexpr const char *kValue = "v";              // value
+inline constexpr const char *kRevision = "epoch";    // revision of the whole store
+inline constexpr const char *kModRevision = "stamp"; // revision of a key's last change
+inline constexpr const char *kLease = "permit";      // lease that a key is attached to, or that was granted
+inline constexpr const char *kKey = "k";
+inline constexpr const char *kValue = "v";
 inline constexpr const char *kEntries = "entries";      // keys and values of a list
 inline constexpr const char *kMore = "truncated";       // the list has further entries
 inline constexpr const char *kPreconditions = "guards"; // of a transaction
@@ -130,7 +130,7 @@
 namespace stored {
 
 // Open record: a job that has not ended.
-inline constexpr const char *kSpec = "spec";                // the job's description
+inline constexpr const char *kSpec = "spec";                // job specification
 inline constexpr const char *kSubmittedAt = "at";           // wall time of the submission
 inline constexpr const char *kCancelled = "cancelled";      // in an open record written only if true
 inline constexpr const char *kDelegationSource = "lent";    // delegated here by another cell
@@ -154,8 +154,8 @@
 inline constexpr const char *kFinished = "f";      // set of tasks that have completed
 inline constexpr const char *kFailedOn = "x";      // number of machines that its tasks failed on
 inline constexpr const char *kProgressUsage = "u"; // packed usage
-inline constexpr const char *kRunningMs = "h";     // time that attempts in progress have held resources
-inline constexpr const char *kWrittenAtMs = "t";   // wall time of the usage and attempts
+inline constexpr const char *kRunningMs = "h";     // time that the attempts then in progress had held resources
+inline constexpr const char *kWrittenAtMs = "t";   // wall time of writing
 inline constexpr const char *kDelegatedHere = "b"; // generation of the delegation from the origin cell
 inline constexpr const char *kDelegations = "l";   // tasks delegated to other cells
 
@@ -174,22 +174,22 @@
 
 // Leader record.
 inline constexpr const char *kLeaderNode = "node";   // leader
-inline constexpr const char *kLeaderNonce = "nonce"; // of the election
+inline constexpr const char *kLeaderNonce = "nonce"; // distinguishes elections of the same node
 
 // Connectivity record of a node.
-inline constexpr const char *kWorkers = "workers";      // whether heartbeats arrive
-inline constexpr const char *kMachines = "machines";    // approximate number of reporting machines
-inline constexpr const char *kQuietS = "quiet_s";       // since the last heartbeat
-inline constexpr const char *kForwardedS = "carried_s"; // since the last heartbeat to a forwarding replica
-inline constexpr const char *kCloud = "cloud";          // provider health
-inline constexpr const char *kObservedAt = "at";        // wall time of the observation
+inline constexpr const char *kWorkers = "workers";                    // whether heartbeats arrive
+inline constexpr const char *kMachines = "machines";                  // approximate number of reporting machines
+inline constexpr const char *kLastHeartbeatAgeS = "quiet_s";          // since the last heartbeat
+inline constexpr const char *kForwardableHeartbeatAgeS = "carried_s"; // since the last at a forwarding replica
+inline constexpr const char *kCloud = "cloud";                        // provider health
+inline constexpr const char *kObservedAt = "at";                      // wall time of the observation
 
 } // namespace stored
 
 // Fields of operator configuration in admin requests and stored records.
 namespace setting {
 
-// Scheduling parameters, and MachineAdminState for machines drained or quarantined by operators.
+// Scheduling parameters, and the changes that operators make to the state of machines.
 inline constexpr const char *kFullPlanBonus = "whole_bonus";         // for filling a machine completely
 inline constexpr const char *kAgeWeight = "age_weight";              // weight of a job's waiting time
 inline constexpr const char *kImageWeight = "image_weight";          // weight of cached images
--- a/src/wire/task_sets.cpp
+++ b/src/wire/task_sets.cpp
@@ -12,18 +12,19 @@
 namespace {
 
 constexpr std::uint32_t kTasksPerDigit = 4;
-constexpr std::uint64_t kMaxIndex = 1'000'000; // range end; jobs have at most 100,000 tasks
+constexpr std::uint64_t kMaxRangeEnd = 1'000'000; // exceeds the 100,000 tasks that a job may have
 constexpr std::string_view kDigits = "0123456789abcdef";
 
-std::size_t list_characters(const Ranges &ranges) {
-  std::size_t characters = 2; // brackets
+// Returns the size of the ranges as JSON text, with a trailing comma.
+std::size_t list_text_length(const Ranges &ranges) {
+  std::size_t length = 2; // brackets
   for (auto [begin, end] : ranges)
-    characters += fmt::formatted_size("{},{},", begin, end);
-  return characters;
+    length += fmt::formatted_size("{},{},", begin, end);
+  return length;
 }
 
 std::string format_bitmap(const Ranges &ranges, std::size_t digit_count) {
-  std::string digits(digit_count, '\0');
+  std::string digits(digit_count, '\0'); // values 0 to 15, replaced by characters at the end
   for (auto [begin, end] : ranges)
     for (auto index = begin; index < end; ++index) {
       char &digit = digits[index / kTasksPerDigit];
@@ -38,10 +39,10 @@
   Ranges ranges;
   std::uint32_t index = 0;
   for (char digit : digits) {
-    const auto value = kDigits.find(digit);
-    if (value == std::string_view::npos) return std::nullopt;
+    const auto bits = kDigits.find(digit);
+    if (bits == std::string_view::npos) return std::nullopt;
     for (std::uint32_t bit = 0; bit < kTasksPerDigit; ++bit, ++index) {
-      if (!(value >> bit & 1)) continue;
+      if (!(bits >> bit & 1)) continue;
       if (!ranges.empty() && ranges.back().second == index)
         ranges.back().second = index + 1;
       else
@@ -57,7 +58,7 @@
   for (std::size_t i = 0; i < list.size(); i += 2) {
     const auto begin = read_count(list[i]);
     const auto end = read_count(list[i + 1]);
-    if (!begin || !end || *begin >= *end || *end > kMaxIndex) return std::nullopt;
+    if (!begin || !end || *begin >= *end || *end > kMaxRangeEnd) return std::nullopt;
     ranges.emplace_back(*begin, *end);
   }
   return ranges;
@@ -82,7 +83,7 @@
 
 Json task_set_to_json(const Ranges &ranges) {
   const std::size_t digit_count = ranges.empty() ? 0 : (ranges.back().second + kTasksPerDigit - 1) / kTasksPerDigit;
-  if (digit_count + 2 < list_characters(ranges)) return format_bitmap(ranges, digit_count);
+  if (digit_count + 2 < list_text_length(ranges)) return format_bitmap(ranges, digit_count);
   Json list = Json::array();
   for (auto [begin, end] : ranges) {
     list.push_back(begin);
--- a/src/wire/task_sets.hpp
+++ b/src/wire/task_sets.hpp
@@ -22,7 +22,8 @@
 [[nodiscard]] std::optional<TaskName> parse_task_name(std::string_view name);
 
 // Encodes a set of task indices in the shorter of two forms: an array of half-open ranges [begin, end, ...], or a
-// hexadecimal bitmap with four tasks per digit. The bitmap keeps scattered sets within the value limit of 8 KiB.
+// hexadecimal bitmap with four tasks per digit, lowest index in the lowest bit. The bitmap keeps scattered sets within
+// the state service's value limit of 8 KiB.
 [[nodiscard]] Json task_set_to_json(const Ranges &ranges);
 [[nodiscard]] std::optional<Ranges> task_set_from_json(const Json &json);
 
--- a/tests/wire_heartbeat_test.cpp
+++ b/tests/wire_heartbeat_test.cpp
@@ -44,13 +44,13 @@
   }
 
 private:
-  std::string text(const Json &json, const char *name) {
+  std::string required_text(const Json &json, const char *name) {
     std::string value = json.contains(name) && json[name].is_string() ? json[name].get<std::string>() : "";
     failed_ |= value.empty() || value.size() > 200;
     return value;
   }
 
-  std::uint64_t number(const Json &json, const char *name) {
+  std::uint64_t required_integer(const Json &json, const char *name) {
     const bool valid = json.is_object() && json.contains(name) && json[name].is_number_integer() &&
                        (json[name].is_number_unsigned() || json[name].get<std::int64_t>() >= 0);
     failed_ |= !valid;
@@ -58,13 +58,13 @@
   }
 
   void read_fields(const Json &json) {
-    heartbeat_.machine = text(json, "box");
-    heartbeat_.address = text(json, "address");
-    heartbeat_.type = text(json, "hull");
-    heartbeat_.zone = text(json, "yard");
-    heartbeat_.incarnation = number(json, "shift");
-    heartbeat_.sequence = number(json, "tick");
-    heartbeat_.fencing_token = number(json, "baton");
+    heartbeat_.machine = required_text(json, "box");
+    heartbeat_.address = required_text(json, "address");
+    heartbeat_.type = required_text(json, "hull");
+    heartbeat_.zone = required_text(json, "yard");
+    heartbeat_.incarnation = required_integer(json, "shift");
+    heartbeat_.sequence = required_integer(json, "tick");
+    heartbeat_.fencing_token = required_integer(json, "baton");
     const Json spot = json.value("standby", Json());
     failed_ |= !spot.is_boolean();
     heartbeat_.spot = spot == Json(true);
@@ -89,7 +89,7 @@
     static const std::vector<std::string> causes{"",      "done", "stopped", "mates_gone", "alone",
                                                  "error", "full", "busy",    "no_such"};
     TaskStatus task;
-    task.attempt = number(json, "try");
+    task.attempt = required_integer(json, "try");
     if (failed_) return;
     read_name(json.value("piece", Json()), task);
     if (failed_) return;
--- a/tests/wire_job_test.cpp
+++ b/tests/wire_job_test.cpp
@@ -24,17 +24,17 @@
   EXPECT_EQ(spec.tasks, 16u);
   EXPECT_EQ(spec.priority, Priority::High);
   EXPECT_FALSE(spec.zone);
-  const auto again = job_from_json(to_json(spec));
-  ASSERT_TRUE(std::holds_alternative<JobSpec>(again)) << std::get<FieldError>(again).message;
-  EXPECT_EQ(to_json(std::get<JobSpec>(again)), to_json(spec));
+  const auto decoded_again = job_from_json(to_json(spec));
+  ASSERT_TRUE(std::holds_alternative<JobSpec>(decoded_again)) << std::get<FieldError>(decoded_again).message;
+  EXPECT_EQ(to_json(std::get<JobSpec>(decoded_again)), to_json(spec));
 }
 
 TEST(WireJob, NullAndEmptyDependenciesEncodeLikeNone) {
   auto json = valid_job();
-  const auto plain = to_json(std::get<JobSpec>(decode_job(encode(json)))).dump();
-  for (Json none : {Json(), Json(Json::array())}) {
-    json["waits_on"] = none;
-    EXPECT_EQ(to_json(std::get<JobSpec>(decode_job(encode(json)))).dump(), plain);
+  const auto without_dependencies = to_json(std::get<JobSpec>(decode_job(encode(json)))).dump();
+  for (Json no_dependencies : {Json(), Json(Json::array())}) {
+    json["waits_on"] = no_dependencies;
+    EXPECT_EQ(to_json(std::get<JobSpec>(decode_job(encode(json)))).dump(), without_dependencies);
   }
 }
 
@@ -50,9 +50,10 @@
   Json too_many = Json::array();
   for (std::size_t i = 0; i <= kMaxDependencies; ++i)
     too_many.push_back("j-1" + std::to_string(1000 + i));
-  for (Json bad : {Json("j-000398"), Json({{"j-000398", 1}}), Json({"j-000412"}), Json({"x-1"}), Json({7}), too_many}) {
-    json["waits_on"] = bad;
-    EXPECT_FALSE(accepted(json)) << bad;
+  for (Json invalid_value :
+       {Json("j-000398"), Json({{"j-000398", 1}}), Json({"j-000412"}), Json({"x-1"}), Json({7}), too_many}) {
+    json["waits_on"] = invalid_value;
+    EXPECT_FALSE(accepted(json)) << invalid_value;
   }
 }
 
@@ -60,13 +61,13 @@
   for (const std::string field :
        {"id", "jobclass", "crew", "shape", "urgency", "pieces", "cores", "cards", "ram_gb", "bundle", "image_gb",
         "one_zone", "apart", "standby", "guess_s", "bookmark_s", "stash_s"}) {
-    const bool any_text = field == "jobclass" || field == "crew" || field == "bundle";
-    for (Json bad : {Json(), Json(Json::array()), Json(-1), Json("?"), Json(1e300)}) {
-      if (bad.is_string() && any_text) continue;
+    const bool accepts_any_text = field == "jobclass" || field == "crew" || field == "bundle";
+    for (Json invalid_value : {Json(), Json(Json::array()), Json(-1), Json("?"), Json(1e300)}) {
+      if (invalid_value.is_string() && accepts_any_text) continue;
       auto json = valid_job();
-      json[field] = bad;
+      json[field] = invalid_value;
       const auto decoded = decode_job(encode(json));
-      ASSERT_TRUE(std::holds_alternative<FieldError>(decoded)) << field << " " << bad;
+      ASSERT_TRUE(std::holds_alternative<FieldError>(decoded)) << field << " " << invalid_value;
       EXPECT_NE(std::get<FieldError>(decoded).message.find(field), std::string::npos);
     }
     auto json = valid_job();
@@ -76,10 +77,10 @@
 }
 
 TEST(WireJob, NullableFieldsMayBeOmitted) {
-  for (const char *nullable : {"hulls", "yard", "due_s"}) {
+  for (const char *nullable_field : {"hulls", "yard", "due_s"}) {
     auto json = valid_job();
-    json.erase(nullable);
-    EXPECT_TRUE(accepted(json)) << nullable;
+    json.erase(nullable_field);
+    EXPECT_TRUE(accepted(json)) << nullable_field;
   }
 }
 
