--- a/tests/wire_heartbeat_test.cpp
+++ b/tests/wire_heartbeat_test.cpp
@@ -17,40 +17,40 @@
   const std::string heartbeat = encode(valid_heartbeat());
   const std::string job = encode(valid_job());
   ASSERT_TRUE(decode_heartbeat(heartbeat));
-  int read = 0;
+  int accepted = 0;
   for (int i = 0; i < 20000; ++i) {
     std::string body = i % 2 ? heartbeat : job;
     for (unsigned count = 1 + rng() % 3; count-- > 0;)
       body[rng() % body.size()] = static_cast<char>(rng());
     if (i % 5 == 0) body.resize(rng() % body.size());
-    read += decode_heartbeat(body).has_value() || std::holds_alternative<JobSpec>(decode_job(body));
+    accepted += decode_heartbeat(body).has_value() || std::holds_alternative<JobSpec>(decode_job(body));
   }
-  EXPECT_GT(read, 0);
+  EXPECT_GT(accepted, 0);
 }
 
 namespace {
 
-// What a heartbeat says, read slowly from a whole tree: the model that the streaming reader has to agree with.
-class HeartbeatModel {
+// Decodes heartbeats from a parsed tree, as the reference for the streaming reader.
+class ReferenceDecoder {
 public:
   static std::optional<Heartbeat> read(std::string_view bytes) {
     const auto tree = decode(bytes);
     if (!tree || !tree->is_object()) return std::nullopt;
-    HeartbeatModel model;
-    model.read_fields(*tree);
-    if (!model.failed_) model.read_tasks(tree->value("pieces", Json()));
-    if (model.failed_) return std::nullopt;
-    return model.heartbeat_;
+    ReferenceDecoder decoder;
+    decoder.read_fields(*tree);
+    if (!decoder.failed_) decoder.read_tasks(tree->value("pieces", Json()));
+    if (decoder.failed_) return std::nullopt;
+    return decoder.heartbeat_;
   }
 
 private:
-  std::string text(const Json &json, const char *name) {
+  std::string required_text(const Json &json, const char *name) {
     std::string value = json.contains(name) && json[name].is_string() ? json[name].get<std::string>() : "";
     failed_ |= value.empty() || value.size() > 200;
     return value;
   }
 
-  std::uint64_t number(const Json &json, const char *name) {
+  std::uint64_t required_integer(const Json &json, const char *name) {
     const bool valid = json.is_object() && json.contains(name) && json[name].is_number_integer() &&
                        (json[name].is_number_unsigned() || json[name].get<std::int64_t>() >= 0);
     failed_ |= !valid;
@@ -58,13 +58,13 @@
   }
 
   void read_fields(const Json &json) {
-    heartbeat_.machine = text(json, "box");
-    heartbeat_.address = text(json, "address");
-    heartbeat_.type = text(json, "hull");
-    heartbeat_.zone = text(json, "yard");
-    heartbeat_.incarnation = number(json, "shift");
-    heartbeat_.sequence = number(json, "tick");
-    heartbeat_.fencing_token = number(json, "baton");
+    heartbeat_.machine = required_text(json, "box");
+    heartbeat_.address = required_text(json, "address");
+    heartbeat_.type = required_text(json, "hull");
+    heartbeat_.zone = required_text(json, "yard");
+    heartbeat_.incarnation = required_integer(json, "shift");
+    heartbeat_.sequence = required_integer(json, "tick");
+    heartbeat_.fencing_token = required_integer(json, "baton");
     const Json spot = json.value("standby", Json());
     failed_ |= !spot.is_boolean();
     heartbeat_.spot = spot == Json(true);
@@ -89,7 +89,7 @@
     static const std::vector<std::string> causes{"",      "done", "stopped", "mates_gone", "alone",
                                                  "error", "full", "busy",    "no_such"};
     TaskStatus task;
-    task.attempt = number(json, "try");
+    task.attempt = required_integer(json, "try");
     if (failed_) return;
     read_name(json.value("piece", Json()), task);
     if (failed_) return;
@@ -123,7 +123,7 @@
     task.index = static_cast<std::uint32_t>(index);
   }
 
-  // The number of names if there is none.
+  // Returns names.size() if the value is not among the names.
   static std::size_t index_of(const std::vector<std::string> &names, const Json &json) {
     if (!json.is_string()) return names.size();
     const auto found = std::find(names.begin(), names.end(), json.get<std::string>());
@@ -134,7 +134,7 @@
   bool failed_ = false;
 };
 
-// Heartbeats with some of their fields replaced, and some of their bytes.
+// Generates heartbeats with random fields and bytes replaced.
 class HeartbeatMutations {
 public:
   std::string next() {
@@ -194,13 +194,13 @@
 
 } // namespace
 
-TEST(WireHeartbeat, StreamingReaderAgreesWithTheModel) {
+TEST(WireHeartbeat, StreamingReaderMatchesReferenceDecoder) {
   HeartbeatMutations mutations;
   int valid = 0;
   int invalid = 0;
   for (int i = 0; i < 6000; ++i) {
     const auto bytes = mutations.next();
-    const auto expected = HeartbeatModel::read(bytes);
+    const auto expected = ReferenceDecoder::read(bytes);
     const auto actual = decode_heartbeat(bytes);
     ASSERT_EQ(expected.has_value(), actual.has_value()) << testing::PrintToString(bytes);
     ++(expected ? valid : invalid);
