--- a/src/wire/cell.cpp
+++ b/src/wire/cell.cpp
@@ -19,14 +19,14 @@
 constexpr std::size_t kPriorities = 4;
 constexpr std::size_t kMaxTypes = 100;
 constexpr std::uint32_t kMaxTasks = 100'000;
-constexpr std::uint32_t kMaxIndex = 1'000'000;
+constexpr std::uint32_t kMaxRangeEnd = 1'000'000;
 constexpr double kMaxAmount = 1e12;
 constexpr std::uint64_t kMaxThousandths = 1'000'000'000'000'000;
-constexpr std::uint64_t kUsageLimit = 1ULL << 53; // whole numbers below are held exactly by a double
+constexpr std::uint64_t kUsageLimit = 1ULL << 53; // a double represents smaller integers exactly
 
-// ---- values ----
+// ---- Common values ----
 
-// Amounts are sent in thousandths.
+// Encodes an amount in thousandths.
 void write_amount(PackedWriter &writer, double amount) {
   const double thousandths = std::clamp(amount, 0.0, kMaxAmount) * 1000;
   writer.u64(static_cast<std::uint64_t>(std::floor(thousandths + 0.5)));
@@ -66,7 +66,7 @@
   }
 }
 
-// Ranges have to be sorted and apart, as the delegation's tasks are counted by them.
+// Requires sorted ranges without overlap; otherwise tasks would be counted twice.
 bool read_ranges(PackedReader &reader, Ranges &ranges) {
   const auto count = reader.u16();
   if (count > kCellMaxRanges) return reader.fail();
@@ -74,7 +74,7 @@
   for (unsigned i = 0; reader.ok() && i < count; ++i) {
     const auto begin = reader.u32();
     const auto end = reader.u32();
-    if (begin >= end || end > kMaxIndex || begin < previous_end) return reader.fail();
+    if (begin >= end || end > kMaxRangeEnd || begin < previous_end) return reader.fail();
     ranges.emplace_back(begin, end);
     previous_end = end;
   }
@@ -100,8 +100,8 @@
 
 constexpr unsigned kSpotFlag = 1;
 constexpr unsigned kRefusedFlag = 2;
-constexpr unsigned kAllAtOnceFlag = 2; // of a CapacityRequest
-constexpr unsigned kMaxFlags = 3;
+constexpr unsigned kAllAtOnceFlag = 2; // CapacityRequest only
+constexpr unsigned kKnownFlags = 3;
 
 void write_kind(PackedWriter &writer, const CellKind &kind) {
   writer.text(kind.type);
@@ -118,7 +118,7 @@
 bool read_kind(PackedReader &reader, CellKind &kind) {
   if (!read_name(reader, kind.type) || !read_name(reader, kind.zone)) return false;
   const auto flags = reader.u8();
-  if (flags > kMaxFlags) return reader.fail();
+  if (flags > kKnownFlags) return reader.fail();
   kind.spot = flags & kSpotFlag;
   kind.refused = flags & kRefusedFlag;
   kind.machines = reader.u32();
@@ -170,7 +170,7 @@
   message.tasks = reader.u32();
   const auto flags = reader.u8();
   const auto count = reader.u8();
-  if (flags > kMaxFlags || count > kMaxTypes || message.tasks > kMaxTasks) return reader.fail();
+  if (flags > kKnownFlags || count > kMaxTypes || message.tasks > kMaxTasks) return reader.fail();
   message.spot = flags & kSpotFlag;
   message.all_at_once = flags & kAllAtOnceFlag;
   for (unsigned i = 0; reader.ok() && i < count; ++i)
@@ -209,8 +209,8 @@
   writer.u64(message.origin_term);
   writer.flag(message.ended);
   writer.u32(message.running);
-  for (std::int64_t column : message.usage.values)
-    writer.u64(static_cast<std::uint64_t>(std::max<std::int64_t>(0, column)));
+  for (std::int64_t quantity : message.usage.values)
+    writer.u64(static_cast<std::uint64_t>(std::max<std::int64_t>(0, quantity)));
   write_ranges(writer, message.ranges);
 }
 
@@ -219,10 +219,10 @@
   message.origin_term = reader.u64();
   message.ended = reader.flag();
   message.running = reader.u32();
-  for (std::int64_t &column : message.usage.values) {
+  for (std::int64_t &quantity : message.usage.values) {
     const auto value = reader.u64();
     if (value >= kUsageLimit) return reader.fail();
-    column = static_cast<std::int64_t>(value);
+    quantity = static_cast<std::int64_t>(value);
   }
   return read_ranges(reader, message.ranges);
 }
@@ -265,7 +265,7 @@
   return reader.body(message.body);
 }
 
-// ---- by kind ----
+// ---- Dispatch by message kind ----
 
 void write_fields(PackedWriter &writer, const CellMessage &message) {
   switch (message.kind) {
@@ -350,8 +350,8 @@
 
 FrameRead read_cell(std::string_view &buffer, CellMessage &out) {
   FrameView frame;
-  const auto found = find_frame(kFormat, buffer, frame);
-  if (found != FrameRead::Frame) return found;
+  const auto result = find_frame(kFormat, buffer, frame);
+  if (result != FrameRead::Frame) return result;
   out = {};
   out.kind = static_cast<Kind>(frame.kind);
   PackedReader reader(frame.body);
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -13,7 +13,7 @@
 
 using Kind = PeerMessage::Kind;
 
-// By the order of kinds: what one node says of itself, what it forwards, and frames of other cells.
+// Relies on the order of kinds: node state, then forwarded messages, then cell frames.
 std::size_t max_body(std::uint16_t kind) {
   if (kind > static_cast<std::uint16_t>(Kind::UserResponse)) return kPeerMaxCellBody;
   if (kind > static_cast<std::uint16_t>(Kind::Digest)) return kPeerMaxForwardedBody;
@@ -24,15 +24,15 @@
 
 constexpr double kMillisecondsPerSecond = 1000;
 constexpr double kTenthsPerSecond = 10;
-constexpr double kMaxMilliseconds = 4e9; // of 32 bits
+constexpr double kMaxMilliseconds = 4e9; // fits into 32 bits
 
 std::uint32_t to_milliseconds(double seconds) {
   return static_cast<std::uint32_t>(std::min(kMaxMilliseconds, seconds * kMillisecondsPerSecond));
 }
 
-// ---- tasks ----
+// ---- Task IDs ----
 
-// The tasks of one machine are mostly of a few jobs in a row: an empty name stands for the one before.
+// Encodes task IDs; an empty job ID repeats the previous one, as consecutive tasks mostly share their job.
 class TaskWriter {
 public:
   explicit TaskWriter(PackedWriter &writer) : writer_(writer) {}
@@ -72,8 +72,8 @@
 
 constexpr unsigned kSpotFlag = 1;
 constexpr unsigned kNoticeFlag = 2;
-constexpr unsigned kHeartbeatFlags = kSpotFlag | kNoticeFlag;
-// The phase of a task and whether it saved its progress share a byte.
+constexpr unsigned kKnownHeartbeatFlags = kSpotFlag | kNoticeFlag;
+// A byte holds the task's phase and, in its highest bit, whether it saved a checkpoint.
 constexpr unsigned kSavedFlag = 0x80;
 constexpr unsigned kPhaseMask = 0x7f;
 
@@ -114,7 +114,7 @@
   for (auto *text : {&heartbeat.machine, &heartbeat.address, &heartbeat.type, &heartbeat.zone})
     if (!reader.text(*text) || text->empty() || !valid_utf8(*text)) return reader.fail();
   const auto flags = reader.u8();
-  if (flags > kHeartbeatFlags) return reader.fail();
+  if (flags > kKnownHeartbeatFlags) return reader.fail();
   heartbeat.spot = flags & kSpotFlag;
   heartbeat.incarnation = reader.u64();
   heartbeat.sequence = reader.u64();
@@ -198,8 +198,8 @@
 constexpr unsigned kLeadsFlag = 2;
 constexpr unsigned kSpreadsFlag = 4;
 constexpr unsigned kForwardsFlag = 8;
-constexpr unsigned kNodeFlags = kCutOffFlag | kLeadsFlag | kSpreadsFlag | kForwardsFlag;
-// Whether workers and the cloud are reached share a byte.
+constexpr unsigned kKnownNodeFlags = kCutOffFlag | kLeadsFlag | kSpreadsFlag | kForwardsFlag;
+// A byte holds the reachability of workers (low two bits) and the health of the cloud provider.
 constexpr unsigned kWorkersMask = 3;
 constexpr unsigned kCloudShift = 2;
 
@@ -214,9 +214,9 @@
 }
 
 bool read_connectivity(PackedReader &reader, ConnectivityRecord &connectivity) {
-  const auto reached = reader.u8();
-  const unsigned workers = reached & kWorkersMask;
-  const unsigned cloud = reached >> kCloudShift;
+  const auto packed_health = reader.u8();
+  const unsigned workers = packed_health & kWorkersMask;
+  const unsigned cloud = packed_health >> kCloudShift;
   if (workers > static_cast<unsigned>(WorkerReachability::Unreachable)) return reader.fail();
   if (cloud > static_cast<unsigned>(ProviderHealth::Unhealthy)) return reader.fail();
   connectivity.workers = static_cast<WorkerReachability>(workers);
@@ -263,7 +263,7 @@
   message.store_reads = reader.u16();
   message.store_writes = reader.u16();
   const auto flags = reader.u8();
-  if (flags > kNodeFlags) return reader.fail();
+  if (flags > kKnownNodeFlags) return reader.fail();
   message.cut_off = flags & kCutOffFlag;
   message.leads = flags & kLeadsFlag;
   message.spreads = flags & kSpreadsFlag;
@@ -305,7 +305,7 @@
   return reader.ok();
 }
 
-// ---- by kind ----
+// ---- Dispatch by message kind ----
 
 void write_fields(PackedWriter &writer, const PeerMessage &message) {
   switch (message.kind) {
@@ -353,8 +353,8 @@
 } // namespace
 
 std::size_t job_digest_size(const PeerMessage::JobDigest &job) {
-  constexpr std::size_t fixed = 11; // two numbers of four bytes, a flag, and the lengths of two texts
-  return fixed + job.id.size() + std::min(job.reason.size(), kPeerMaxReason);
+  constexpr std::size_t kFixedBytes = 11; // two 32-bit numbers, a flag and two length bytes
+  return kFixedBytes + job.id.size() + std::min(job.reason.size(), kPeerMaxReason);
 }
 
 std::string encode_peer(const PeerMessage &message) {
@@ -368,8 +368,8 @@
 
 FrameRead read_peer(std::string_view &buffer, PeerMessage &out) {
   FrameView frame;
-  const auto found = find_frame(kFormat, buffer, frame);
-  if (found != FrameRead::Frame) return found;
+  const auto result = find_frame(kFormat, buffer, frame);
+  if (result != FrameRead::Frame) return result;
   out = {};
   out.kind = static_cast<Kind>(frame.kind);
   PackedReader reader(frame.body);
--- a/tests/wire_cell_test.cpp
+++ b/tests/wire_cell_test.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST(WireCell, FramesOfEveryKindSurvive) {
+TEST(WireCell, EveryKindRoundTrips) {
   for (int kind = 1; kind <= static_cast<int>(CellMessage::Kind::QuotaOutcome); ++kind) {
     auto sent = message_of(static_cast<CellMessage::Kind>(kind));
     sent.term = 4;
@@ -45,26 +45,26 @@
   }
 }
 
-TEST(WireCell, FrameThatIsNotCompleteIsWaitedFor) {
+TEST(WireCell, IncompleteFrameNeedsMoreBytes) {
   const auto bytes = encode_cell(message_of(CellMessage::Kind::Summary));
   CellMessage received;
   for (std::size_t size = 0; size < bytes.size(); ++size)
     EXPECT_EQ(read_one(std::string_view(bytes).substr(0, size), received), FrameRead::NeedMore) << size;
 }
 
-TEST(WireCell, RangesThatOverlapAreRefused) {
+TEST(WireCell, OverlappingRangesAreRejected) {
   auto offer = message_of(CellMessage::Kind::DelegationOffer);
   offer.ranges = {{1, 5}, {4, 9}};
   CellMessage received;
   EXPECT_EQ(read_one(encode_cell(offer), received), FrameRead::Garbage);
 }
 
-TEST(WireCell, OfferWithoutTasksIsRefused) {
+TEST(WireCell, OfferWithoutTasksIsRejected) {
   CellMessage received;
   EXPECT_EQ(read_one(encode_cell(message_of(CellMessage::Kind::DelegationOffer)), received), FrameRead::Garbage);
 }
 
-TEST(WireCell, FrameThatNamesNoCellIsRefused) {
+TEST(WireCell, FrameWithoutSenderCellIsRejected) {
   auto summary = message_of(CellMessage::Kind::Summary);
   summary.from.clear();
   CellMessage received;
--- a/tests/wire_peer_test.cpp
+++ b/tests/wire_peer_test.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST(WirePeer, FramesSurviveAnySplit) {
+TEST(WirePeer, FramesRoundTripByteByByte) {
   PeerMessage sent;
   sent.kind = PeerMessage::Kind::Pong;
   sent.nonce = 0x1122334455667788;
@@ -79,7 +79,7 @@
   EXPECT_TRUE(buffer.empty());
 }
 
-TEST(WirePeer, DigestSurvives) {
+TEST(WirePeer, DigestRoundTrips) {
   PeerMessage sent;
   sent.kind = PeerMessage::Kind::Digest;
   sent.term = 9;
@@ -96,7 +96,7 @@
   EXPECT_EQ(received.jobs[1].id, "j-2");
 }
 
-TEST(WirePeer, ForwardedHeartbeatSurvives) {
+TEST(WirePeer, ForwardedHeartbeatRoundTrips) {
   PeerMessage sent;
   sent.kind = PeerMessage::Kind::Heartbeat;
   sent.nonce = 7;
@@ -112,7 +112,7 @@
   EXPECT_EQ(encode_heartbeat(received.heartbeat), encode_heartbeat(sent.heartbeat));
 }
 
-TEST(WirePeer, CommandsSurvive) {
+TEST(WirePeer, CommandsRoundTrip) {
   PeerMessage sent;
   sent.kind = PeerMessage::Kind::Commands;
   sent.status = 200;
@@ -123,7 +123,7 @@
   EXPECT_EQ(encode_commands(1, received.commands), encode_commands(1, sent.commands));
 }
 
-TEST(WirePeer, UserRequestSurvives) {
+TEST(WirePeer, UserRequestRoundTrips) {
   PeerMessage sent;
   sent.kind = PeerMessage::Kind::UserRequest;
   sent.verb = PeerMessage::Verb::Abort;
@@ -136,7 +136,7 @@
   EXPECT_EQ(received.body, sent.body);
 }
 
-TEST(WirePeer, UserRequestForAnInvalidJobIsRefused) {
+TEST(WirePeer, UserRequestWithInvalidJobIdIsRejected) {
   PeerMessage sent;
   sent.kind = PeerMessage::Kind::UserRequest;
   sent.id = "nonsense";
@@ -144,7 +144,7 @@
   EXPECT_EQ(read_one(encode_peer(sent), received), FrameRead::Garbage);
 }
 
-TEST(WirePeer, UserResponseSurvives) {
+TEST(WirePeer, UserResponseRoundTrips) {
   PeerMessage sent;
   sent.kind = PeerMessage::Kind::UserResponse;
   sent.status = 503;
@@ -157,7 +157,7 @@
   EXPECT_EQ(received.body, sent.body);
 }
 
-TEST(WirePeer, UserResponseWithoutAnHttpStatusIsRefused) {
+TEST(WirePeer, UserResponseWithInvalidHttpStatusIsRejected) {
   PeerMessage sent;
   sent.kind = PeerMessage::Kind::UserResponse;
   sent.status = 99;
@@ -165,8 +165,8 @@
   EXPECT_EQ(read_one(encode_peer(sent), received), FrameRead::Garbage);
 }
 
-// All of the header but the one byte of the length that may be true.
-TEST(WirePeer, WrongHeaderIsRefused) {
+// Corrupts each header byte except the one that still gives a permitted length.
+TEST(WirePeer, CorruptHeaderIsRejected) {
   const auto good = encode_peer(ping_with_cancellation());
   PeerMessage received;
   for (std::size_t i : {0, 1, 2, 3, 4, 5, 6, 7, 9, 10, 11}) {
@@ -176,20 +176,20 @@
   }
 }
 
-TEST(WirePeer, InvalidJobIdIsRefused) {
+TEST(WirePeer, InvalidJobIdIsRejected) {
   auto bytes = encode_peer(ping_with_cancellation());
   bytes[bytes.size() - 3] = '/';
   PeerMessage received;
   EXPECT_EQ(read_one(bytes, received), FrameRead::Garbage);
 }
 
-TEST(WirePeer, RequestOfAnotherProtocolIsRefused) {
+TEST(WirePeer, HttpRequestIsRejected) {
   PeerMessage received;
   EXPECT_EQ(read_one("GET /up HTTP/1.1\r\n\r\n", received), FrameRead::Garbage);
 }
 
-// A link must not hang or misread on anything a stray client may send.
-TEST(WirePeer, MutatedFramesNeverCrash) {
+// Guards against crashes on malformed input from the network.
+TEST(WirePeer, MutatedFramesDoNotThrow) {
   const std::string frames[] = {encode_peer(ping_with_cancellation()), encode_peer(heartbeat_message()),
                                 encode_peer(commands_message())};
   std::mt19937 rng(1);
