--- a/include/loftrouter/wire/admin_budgets.hpp
+++ b/include/loftrouter/wire/admin_budgets.hpp
@@ -1,4 +1,4 @@
-// Budgets of teams for accounting periods, as administration requests and the state service hold them.
+// Defines team budgets per accounting period, as used by administration requests and the state service.
 //
 // All functions are pure.
 #pragma once
@@ -15,26 +15,26 @@
 
 namespace loftrouter::wire {
 
-// What a team may use of the machines in a period.
+// TeamBudget limits what a team may use in an accounting period.
 struct TeamBudget {
-  double cpu_hours = -1;   // negative: no budget is set
-  double warn_share = 0.8; // of cpu_hours; from there on the status warns that it will run out
-  bool stop = false;       // running tasks are stopped, with saving, once it is spent; otherwise they may finish
-  // In the unit of accounts::Sums.
+  double cpu_hours = -1;   // negative: no budget
+  double warn_share = 0.8; // share of cpu_hours from which the status shows a warning
+  bool stop = false;       // checkpoint and stop running tasks once it is spent; otherwise let them finish
+  // Returns cpu_hours in the unit of accounts::Sums.
   [[nodiscard]] std::int64_t limit() const { return static_cast<std::int64_t>(cpu_hours * accounts::kSumsPerHour); }
 };
 
 struct Budgets {
-  accounts::PeriodSchedule clock; // the accounting periods
+  accounts::PeriodSchedule clock;
   std::map<std::string, TeamBudget> teams;
 };
 
 [[nodiscard]] Json to_json(const Budgets &budgets);
-// What `json` names replaces parts of `budgets`: the clock, and teams one by one (null: no budget). On an error, which
-// names the field, parts before it may have been replaced.
+// Overwrites the fields of `budgets` that `json` contains: the schedule, and each team listed (null removes its
+// budget). The error names the invalid field; fields before it may already have been overwritten.
 [[nodiscard]] std::optional<FieldError> apply_budgets(const Json &json, Budgets &budgets);
 
-// The answer of GET /admin/v1/budgets.
+// Encodes the response of GET /admin/v1/budgets.
 [[nodiscard]] std::string encode_budgets(const Budgets &budgets);
 
 } // namespace loftrouter::wire
--- a/include/loftrouter/wire/admin_cell_rules.hpp
+++ b/include/loftrouter/wire/admin_cell_rules.hpp
@@ -1,4 +1,4 @@
-// Operators' rules of delegation between cells, as administration requests and the state service hold them.
+// Defines the operators' delegation rules, as used by administration requests and the state service.
 //
 // All functions are pure.
 #pragma once
@@ -12,21 +12,21 @@
 
 namespace loftrouter::wire {
 
-// What may be delegated from this cell, and what is accepted from others.
+// CellRules restrict delegation to and from other cells.
 struct CellRules {
   bool delegate = true;
   bool accept = true;
   double max_accepted_cpus = 1e6;
-  std::vector<std::string> stay_teams;   // teams whose work is never delegated, however long the queue
-  std::vector<std::string> stay_classes; // job classes of which the same holds
+  std::vector<std::string> stay_teams;   // their jobs are never delegated
+  std::vector<std::string> stay_classes; // jobs of these classes are never delegated
 };
 
 [[nodiscard]] Json to_json(const CellRules &rules);
-// What `json` names replaces fields of `rules`; the rest stays. On an error, which names the field, fields before it
-// may have been replaced.
+// Overwrites the fields of `rules` that `json` contains. The error names the invalid field; fields before it may
+// already have been overwritten.
 [[nodiscard]] std::optional<FieldError> apply_cell_rules(const Json &json, CellRules &rules);
 
-// The answer of GET /admin/v1/cells.
+// Encodes the response of GET /admin/v1/cells.
 [[nodiscard]] std::string encode_cell_rules(const CellRules &rules);
 
 } // namespace loftrouter::wire
--- a/include/loftrouter/wire/admin_configuration.hpp
+++ b/include/loftrouter/wire/admin_configuration.hpp
@@ -1,6 +1,6 @@
-// Answers of the administration API about what is configured: quotas, and where records are in force.
+// Encodes the administration API's responses about quotas and the replication of configuration records.
 //
-// All functions are pure. The JSON keys are the API's; operators' tools read them, so they don't change.
+// All functions are pure. The JSON keys are a stable API read by operators' tools.
 #pragma once
 
 #include <cstddef>
@@ -16,12 +16,12 @@
 namespace loftrouter::wire {
 
 struct AdminQuota {
-  Team here;                 // in force at this node
-  Team over_all_cells;       // the same, over all cells
-  std::uint64_t version = 0; // 0: it was never changed
-  std::string owner;         // the cell that decides it; empty: this cell is alone
-  AmountsByCell caps;        // what each cell was last granted
-  AmountsByCell held;        // the most that each cell may still use
+  Team here;                 // in force at this node, for this cell
+  Team over_all_cells;       // summed over all cells
+  std::uint64_t version = 0; // 0: never changed
+  std::string owner;         // cell that commits changes; empty with a single cell
+  AmountsByCell caps;        // last granted to each cell
+  AmountsByCell held;        // upper bound of what each cell may still use
 };
 [[nodiscard]] std::string encode_quotas(const std::vector<AdminQuota> &quotas);
 
@@ -29,24 +29,24 @@
 struct AdminConfigRecord {
   std::string key;
   std::uint64_t revision = 0;
-  std::map<std::string, double> in_force;           // since when, by node of this cell; other nodes: not yet
-  std::map<std::string, double> acknowledged_cells; // since when, by other cell; as far as this node knows
+  std::map<std::string, double> in_force;           // since when, by node of this cell; missing: not yet
+  std::map<std::string, double> acknowledged_cells; // since when, by other cell, as known to this node
 };
 
 struct AdminConfiguration {
   std::string node;
-  std::uint64_t revision = 0;     // applied here
-  bool watch_open = false;        // a watch is open; otherwise changes come by lists alone
-  double current_s = -1;          // since the copy was last known to be complete; negative: never
+  std::uint64_t revision = 0;     // applied by this node
+  bool watch_open = false;        // otherwise changes arrive only with periodic lists
+  double current_s = -1;          // age of the last complete copy; negative: never
   std::vector<std::string> nodes; // of this cell
   std::vector<AdminConfigRecord> records;
-  std::string next; // the record after which to go on; empty: there is no more
+  std::string next; // record after which the next page starts; empty: last page
 };
-// Bytes that a record takes in `encode_configuration`, at the most.
+// Returns an upper bound of a record's size in the output of encode_configuration.
 [[nodiscard]] std::size_t listed_bytes(const AdminConfigRecord &record, std::size_t nodes);
 [[nodiscard]] std::string encode_configuration(const AdminConfiguration &configuration);
 
-// The latest changes of a team's quota, in the order of the record.
+// Encodes the latest changes of a team's quota in the order of its record.
 [[nodiscard]] std::string encode_quota_history(const std::string &team,
                                                const std::vector<QuotaRecord::Change> &history);
 
--- a/include/loftrouter/wire/admin_jobs.hpp
+++ b/include/loftrouter/wire/admin_jobs.hpp
@@ -1,7 +1,7 @@
-// Answers of the administration API about jobs and about what teams have used: /admin/v1/jobs, /foreseen, /report and
-// /statement.
+// Encodes the responses of /admin/v1/jobs, /foreseen, /report and /statement: jobs, and the usage of teams.
 //
-// All functions are pure. Answers are pages: `next` names the job after which to go on.
+// All functions are pure. Responses are paginated: `next` is the job after which the next page starts; empty: last
+// page.
 #pragma once
 
 #include <cstdint>
@@ -21,19 +21,18 @@
   std::string job_class;
   std::string team;
   std::string outcome;
-  std::string reason; // empty: none is known
+  std::string reason; // empty: unknown
   std::uint32_t tasks = 0;
   std::uint32_t done = 0;    // tasks
-  std::uint32_t running = 0; // tasks; shown of a job that has not ended
+  std::uint32_t running = 0; // tasks; shown only until the job has ended
   double submit_wall = 0;    // seconds since 1970
-  double end_wall = 0;       // seconds since 1970; 0: it has not ended
+  double end_wall = 0;       // seconds since 1970; 0: not ended
   bool late = false;
 };
 
-// `next` is empty if there is no more.
 [[nodiscard]] std::string encode_jobs(const std::vector<AdminJob> &jobs, std::string_view next);
 
-// What teams and their jobs have used in an accounting period.
+// AdminStatement is the usage of teams and their jobs in an accounting period.
 struct AdminStatement {
   std::string period; // name
   double begins = 0;  // seconds since 1970
@@ -46,11 +45,11 @@
   std::vector<Team> teams;
   struct Job {
     AdminJob job;
-    std::optional<accounts::Usage> usage; // nothing: it was not recorded
-    Resources need;                       // of each task
+    std::optional<accounts::Usage> usage; // nullopt: not recorded
+    Resources need;                       // per task
   };
   std::vector<Job> jobs;
-  std::string next; // empty: there is no more
+  std::string next;
 };
 [[nodiscard]] std::string encode_statement(const AdminStatement &statement);
 
--- a/include/loftrouter/wire/admin_request.hpp
+++ b/include/loftrouter/wire/admin_request.hpp
@@ -1,8 +1,6 @@
-// Requests of the administration API, /admin/v1, checked and read. Bodies are JSON, so that an operator can ask with
-// curl.
+// Parses and validates requests of the administration API, /admin/v1.
 //
-// All functions are pure. What read_admin_request accepts has been checked whole: the parts of the core that carry it
-// out don't check again.
+// All functions are pure. read_admin_request validates requests completely; the core does not validate them again.
 #pragma once
 
 #include <cstdint>
@@ -38,25 +36,25 @@
     QuotaHistory
   } kind = Kind::Status;
   std::string team;        // Jobs, Forecast, Report, Statement: only of this team, if not empty
-  std::string from;        // the same, Settings and Configuration: only entries after this one, if not empty
-  double period_s = 86400; // Report: how far back
-  std::string period;      // Statement: by name; empty: the present one
+  std::string from;        // the same, Settings, Configuration: only entries after this one; empty: all
+  double period_s = 86400; // Report: length of the period before now
+  std::string period;      // Statement: name; empty: the current one
   Json change;             // ChangeSettings, ChangeBudgets, ChangeCellRules: a map
   std::string machine;     // ChangeMachine
-  std::optional<MachineAdminState> machine_state; // ChangeMachine: nothing: release
+  std::optional<MachineAdminState> machine_state; // ChangeMachine; nullopt: release
   std::optional<QuotaChange> quota;               // ChangeQuota
-  ProcessLoad process;                            // Status: measured by the program around the core
+  ProcessLoad process;                            // Status: measured outside the core
 };
 
 struct AdminError {
   int status;       // HTTP
-  std::string text; // names the field, if one is wrong
+  std::string text; // names the invalid field, if any
 };
 
 [[nodiscard]] std::variant<AdminRequest, AdminError> read_admin_request(std::string_view method,
                                                                         std::string_view target, std::string_view body);
 
-// The body of a refusal.
+// Encodes the body of an error response.
 [[nodiscard]] std::string encode_admin_error(std::string_view text);
 
 } // namespace loftrouter::wire
--- a/include/loftrouter/wire/configuration.hpp
+++ b/include/loftrouter/wire/configuration.hpp
@@ -1,8 +1,8 @@
-// Records of what operators configure, one for each thing, as the state service and other cells hold them: keys,
-// values, and the requests that change them. docs/configuration.md describes how they spread.
+// Defines the configuration records that the state service and other cells store: their keys, values and change
+// requests. docs/configuration.md describes how they are replicated.
 //
-// All functions are pure. A record that can't be read whole is nothing, and what was in force stays so: limits that
-// were guessed could let a team use more than its quota (rule `quota`).
+// All functions are pure. Readers reject a malformed record as a whole, so that the previous one stays in force:
+// guessed limits could let a team exceed its quota (rule `quota`).
 #pragma once
 
 #include <cstddef>
@@ -20,22 +20,20 @@
 
 namespace loftrouter::wire {
 
-// Keys. The first is the common prefix of all of them, and of the documents that earlier versions wrote.
+// kConfigPrefix is the common prefix of all keys, including those of documents written by earlier versions.
 constexpr std::string_view kConfigPrefix = "conf";
-constexpr std::string_view kConfigRecords = "config/";         // config/<kind>/<name>
-constexpr std::string_view kConfigQuota = "config/quota/";     // by team
-constexpr std::string_view kConfigBudget = "config/budget/";   // by team
-constexpr std::string_view kConfigMachine = "config/machine/"; // by machine
-constexpr std::string_view kConfigChange = "config-change/";   // changes forwarded to another cell, by number
-constexpr std::string_view kConfigApplied = "config-applied/"; // by node
+constexpr std::string_view kConfigRecords = "config/";         // followed by <kind>/<name>
+constexpr std::string_view kConfigQuota = "config/quota/";     // followed by the team
+constexpr std::string_view kConfigBudget = "config/budget/";   // followed by the team
+constexpr std::string_view kConfigMachine = "config/machine/"; // followed by the machine
+constexpr std::string_view kConfigChange = "config-change/";   // followed by the number of a forwarded change
+constexpr std::string_view kConfigApplied = "config-applied/"; // followed by the node
 
-// Of a kind. Every one of 11,000 machines may be cordoned or drained at once, with some of machines that are gone.
-// A node keeps them all: 0.5 KB each, 6.1 MB, and 1.7 MB more while it lists.
-constexpr std::size_t kMaxConfigRecords = 12'000;
-constexpr std::size_t kMaxConfigChanges = 64; // under way
-constexpr std::size_t kMaxQuotaHistory = 8;   // changes kept in a quota's record
+constexpr std::size_t kMaxConfigRecords = 12'000; // per kind; allows cordoning all machines of a large cell
+constexpr std::size_t kMaxConfigChanges = 64;     // forwarded and not yet completed
+constexpr std::size_t kMaxQuotaHistory = 8;       // changes kept in a quota record
 
-// CPUs and GPUs; infinite where there is no limit.
+// Amounts is a number of CPUs and GPUs; kUnlimited means no limit.
 struct Amounts {
   double cpus = 0;
   double gpus = 0;
@@ -44,31 +42,31 @@
 };
 using AmountsByCell = std::map<std::string, Amounts>;
 
-// Of a team, over all cells.
+// QuotaLimits are a team's limits, summed over all cells.
 struct QuotaLimits {
-  Amounts guaranteed;                                     // within it, its jobs need not wait for other teams
-  Amounts most{Amounts::kUnlimited, Amounts::kUnlimited}; // that its tasks may use at any time
+  Amounts guaranteed;                                     // usage up to this does not wait for other teams
+  Amounts most{Amounts::kUnlimited, Amounts::kUnlimited}; // upper limit of usage
   bool operator==(const QuotaLimits &) const = default;
 };
 
-// `config/quota/<team>`
+// QuotaRecord is stored under `config/quota/<team>`.
 struct QuotaRecord {
   struct Change {
-    std::uint64_t number = 0; // of the request, never used again
+    std::uint64_t number = 0; // unique number of the request
     double wall = 0;          // seconds since 1970
     QuotaLimits limits;
   };
-  std::uint64_t version = 0; // grows with each commit of the owner
+  std::uint64_t version = 0; // incremented by each commit of the owner cell
   QuotaLimits limits;
-  AmountsByCell shares;        // as set by an operator; cells that are not named share the rest evenly
-  AmountsByCell caps;          // what each cell was last granted; empty: one cell alone
-  AmountsByCell held;          // the most that each cell may still use; empty: one cell alone
-  std::vector<Change> history; // the newest last, at most kMaxQuotaHistory
+  AmountsByCell shares;        // set by an operator; the other cells split the rest evenly
+  AmountsByCell caps;          // last granted to each cell; empty with a single cell
+  AmountsByCell held;          // upper bound of what each cell may still use; empty with a single cell
+  std::vector<Change> history; // oldest first, at most kMaxQuotaHistory
 };
 [[nodiscard]] Json to_json(const QuotaRecord &record);
 [[nodiscard]] std::optional<QuotaRecord> quota_from_json(const Json &json);
 
-// What an operator asks for. What is not set stays as it is.
+// QuotaChange is an operator's request. Fields that are not set keep their values.
 struct QuotaChange {
   std::string team;
   std::optional<double> guaranteed_cpus;
@@ -76,26 +74,26 @@
   std::optional<double> guaranteed_gpus;
   std::optional<double> max_gpus;
   std::optional<AmountsByCell> shares;
-  std::optional<std::uint64_t> version; // that the operator has seen; if it is not the present one: conflict
+  std::optional<std::uint64_t> version; // expected version; a different one is a conflict
 };
 [[nodiscard]] std::variant<QuotaChange, FieldError> read_quota_change(std::string_view team, const Json &json);
 [[nodiscard]] Json to_json(const QuotaChange &change);
 
-// `config-change/<number>`: a change that a node of another cell was asked for, and its answer once the owner has
-// given it.
+// ForwardedChange is a quota change that another cell forwards to the owner cell, with the owner's response. It is
+// stored under `config-change/<number>`.
 struct ForwardedChange {
   QuotaChange change;
-  std::string node; // that waits for the answer
-  int status = 0;   // HTTP; 0: no answer yet
-  std::string text; // of the answer
+  std::string node; // waits for the response
+  int status = 0;   // HTTP status; 0: no response yet
+  std::string text; // of the response
 };
 [[nodiscard]] Json to_json(const ForwardedChange &forwarded);
 [[nodiscard]] std::optional<ForwardedChange> forwarded_from_json(const Json &json);
 
-// `config-applied/<node>`
+// AppliedRecord is stored under `config-applied/<node>`.
 struct AppliedRecord {
-  std::uint64_t revision = 0; // all records up to this one are in force at the node
-  double wall = 0;            // since then, seconds since 1970
+  std::uint64_t revision = 0; // the node has applied all records up to this revision
+  double wall = 0;            // when it was applied, seconds since 1970
 };
 [[nodiscard]] Json to_json(const AppliedRecord &applied);
 [[nodiscard]] std::optional<AppliedRecord> applied_from_json(const Json &json);
--- a/src/wire/admin_budgets.cpp
+++ b/src/wire/admin_budgets.cpp
@@ -11,36 +11,36 @@
 constexpr std::size_t kMaxTeams = 100;
 constexpr double kMaxCpuHours = 1e6;
 
-std::optional<FieldError> apply_period(const Json &value, accounts::PeriodSchedule &clock) {
+std::optional<FieldError> apply_period(const Json &value, accounts::PeriodSchedule &schedule) {
   if (value != setting::kDaily && value != setting::kWeekly) return FieldError{"every: day or week is wanted"};
-  clock.weekly = value == setting::kWeekly;
+  schedule.weekly = value == setting::kWeekly;
   return std::nullopt;
 }
 
-std::optional<FieldError> apply_period_start(const Json &value, accounts::PeriodSchedule &clock) {
+std::optional<FieldError> apply_period_start(const Json &value, accounts::PeriodSchedule &schedule) {
   const auto minute = accounts::parse_minute(read_text_or_empty(value));
   if (!minute) return FieldError{"starts: a time of day is wanted, as 20:00"};
-  clock.starts_min = *minute;
+  schedule.starts_min = *minute;
   return std::nullopt;
 }
 
-std::optional<FieldError> apply_utc_offset(const Json &value, accounts::PeriodSchedule &clock) {
+std::optional<FieldError> apply_utc_offset(const Json &value, accounts::PeriodSchedule &schedule) {
   const auto offset = accounts::parse_offset(read_text_or_empty(value));
   if (!offset) return FieldError{"utc_offset: the distance of the local time from UTC is wanted, as +05:30"};
-  clock.offset_min = *offset;
+  schedule.offset_min = *offset;
   return std::nullopt;
 }
 
-std::optional<FieldError> apply_field(const std::string &name, const Json &value, accounts::PeriodSchedule &clock) {
-  if (name == setting::kPeriod) return apply_period(value, clock);
-  if (name == setting::kPeriodStart) return apply_period_start(value, clock);
-  if (name == setting::kUtcOffset) return apply_utc_offset(value, clock);
+std::optional<FieldError> apply_field(const std::string &name, const Json &value, accounts::PeriodSchedule &schedule) {
+  if (name == setting::kPeriod) return apply_period(value, schedule);
+  if (name == setting::kPeriodStart) return apply_period_start(value, schedule);
+  if (name == setting::kUtcOffset) return apply_utc_offset(value, schedule);
   if (name != setting::kTeams) return no_such_setting(name);
   if (!value.is_object() || value.size() > kMaxTeams) return FieldError{"teams: a map of at most 100 teams is wanted"};
   return std::nullopt;
 }
 
-// False: no such field, or its value is out of range.
+// Returns false if the field is unknown or its value is invalid.
 bool apply_team_field(const std::string &name, const Json &value, TeamBudget &budget) {
   if (name == setting::kCpuHours) {
     const auto cpu_hours = read_number(value, 0, kMaxCpuHours);
--- a/src/wire/admin_configuration.cpp
+++ b/src/wire/admin_configuration.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Unlike in stored records, where there is no limit the answer says null.
+// Encodes a missing limit as null, unlike stored records, which omit it.
 Json amounts_json(const Amounts &amounts) {
   const auto limit_json = [](double limit) { return std::isfinite(limit) ? Json(limit) : Json(); };
   return {{"cpus", limit_json(amounts.cpus)}, {"gpus", limit_json(amounts.gpus)}};
@@ -22,7 +22,7 @@
   return json;
 }
 
-// Guarantee and limit; a limit of 0 means that there is none.
+// Encodes guarantee and limit; a limit of 0 means no limit.
 Json limits_json(const Team &team) {
   return {{"cpus", team.cpus},
           {"gpus", team.gpus},
@@ -72,7 +72,7 @@
 
 std::size_t listed_bytes(const AdminConfigRecord &record, std::size_t nodes) {
   constexpr std::size_t fields = 200;
-  constexpr std::size_t line = 100; // of a node or cell: its name, of 64 characters, and a time
+  constexpr std::size_t line = 100; // bytes per node or cell: a name of up to 64 characters and a time
   return fields + record.key.size() + line * (nodes + record.acknowledged_cells.size());
 }
 
--- a/src/wire/admin_jobs.cpp
+++ b/src/wire/admin_jobs.cpp
@@ -30,7 +30,7 @@
   return static_cast<double>(sum) / accounts::kSumsPerHour;
 }
 
-// CPU hours by what they went to; `held` is their sum.
+// Encodes CPU hours by use; `held` is their sum.
 Json cpu_hours_json(const accounts::Sums &sums) {
   return {{"held", hours(sums.held())},
           {"useful", hours(sums[accounts::Useful])},
--- a/src/wire/admin_json.cpp
+++ b/src/wire/admin_json.cpp
@@ -42,7 +42,7 @@
 std::optional<double> read_number(const Json &json, double min, double max) {
   if (!json.is_number()) return std::nullopt;
   const double value = json.get<double>();
-  if (!(value >= min && value <= max)) return std::nullopt; // NaN is in no range
+  if (!(value >= min && value <= max)) return std::nullopt; // also rejects NaN
   return value;
 }
 
--- a/src/wire/admin_json.hpp
+++ b/src/wire/admin_json.hpp
@@ -1,5 +1,4 @@
-// What the parts of the administration API share: bodies are indented JSON, so that an operator can read them as they
-// come.
+// JSON helpers of the administration API. Bodies are indented for reading in a terminal.
 #pragma once
 
 #include <optional>
@@ -11,23 +10,23 @@
 
 namespace loftrouter::wire {
 
-// The body of an answer. Text that is not UTF-8 is replaced rather than thrown for.
+// Serializes a response body. Invalid UTF-8 is replaced instead of throwing.
 [[nodiscard]] std::string dump_admin_json(const Json &json);
 
-// An age in seconds, to one place; null for a negative one, "never".
+// Rounds an age to 0.1 s; a negative age means "never" and becomes null.
 [[nodiscard]] Json age_json(double age_s);
 
-// Null for an empty text.
+// Returns null for an empty text.
 [[nodiscard]] Json text_or_null(std::string_view text);
 
-// Whether a text can name a team, job class or machine: 1 to 64 letters, digits, '-', '_' and '.'. Only such texts
-// are repeated in errors.
+// Returns whether a text is a valid name of a team, job class or machine: 1 to 64 letters, digits, '-', '_' and '.'.
+// Error messages quote only valid names.
 [[nodiscard]] bool valid_name(std::string_view name);
 
-// The error for a field that isn't known.
+// Returns the error for an unknown field.
 [[nodiscard]] FieldError no_such_setting(std::string_view name);
 
-// A number from `min` to `max`.
+// Reads a number from `min` to `max`, or returns nullopt.
 [[nodiscard]] std::optional<double> read_number(const Json &json, double min, double max);
 
 } // namespace loftrouter::wire
--- a/src/wire/admin_request.cpp
+++ b/src/wire/admin_request.cpp
@@ -45,7 +45,7 @@
   return value;
 }
 
-// Where a listing goes on: a job's id, a machine's name, or a record's key.
+// Validates a page's start: a job id, machine name or record key.
 bool valid_key(std::string_view key) {
   return !key.empty() && key.size() <= kMaxKeyBytes &&
          std::all_of(key.begin(), key.end(), [](char character) { return character > ' ' && character <= '~'; });
@@ -77,7 +77,7 @@
   return std::nullopt;
 }
 
-// The text before the first `separator`; `rest` becomes what follows it, or empty.
+// Returns the text before the first `separator` and sets `rest` to the text after it, or to empty.
 std::string_view split_off(std::string_view &rest, char separator) {
   const auto end = rest.find(separator);
   const auto first = rest.substr(0, end);
@@ -94,7 +94,7 @@
   return std::nullopt;
 }
 
-// How deep maps and lists are nested at the most; what stands within strings doesn't count.
+// Returns the maximum nesting depth of maps and lists, ignoring brackets within strings.
 int nesting(std::string_view json) {
   int depth = 0;
   int max_depth = 0;
@@ -102,7 +102,7 @@
   for (std::size_t i = 0; i < json.size(); ++i) {
     const char character = json[i];
     if (in_string && character == '\\') {
-      ++i; // whatever is escaped
+      ++i; // skip the escaped character
     } else if (character == '"') {
       in_string = !in_string;
     } else if (!in_string && (character == '{' || character == '[')) {
@@ -115,7 +115,7 @@
   return max_depth;
 }
 
-// A JSON map. The parser recurses, so what is nested too deep is refused before it is parsed.
+// Parses a JSON map. Rejects deep nesting first, because the parser is recursive and could exhaust the stack.
 std::variant<Json, AdminError> parse_body(std::string_view body) {
   const AdminError error{400, "body: not a JSON object"};
   if (body.size() > kMaxBodyBytes || nesting(body) > kMaxNesting) return error;
@@ -124,7 +124,7 @@
   return json;
 }
 
-// Checks a change by applying it to the defaults.
+// Validates a change by applying it to the defaults.
 using CheckChange = std::optional<FieldError> (*)(const Json &);
 template <class Document, std::optional<FieldError> (*Apply)(const Json &, Document &)>
 std::optional<FieldError> check_change(const Json &change) {
@@ -136,7 +136,7 @@
   std::string_view path;
   std::string_view method;
   Kind kind;
-  CheckChange check = nullptr; // of a request with a body
+  CheckChange check = nullptr; // only for requests with a body
 };
 constexpr Route kRoutes[] = {
     {"status", "GET", Kind::Status},
--- a/src/wire/admin_settings.cpp
+++ b/src/wire/admin_settings.cpp
@@ -81,7 +81,7 @@
 }
 
 std::size_t listed_bytes(const std::string &machine) {
-  constexpr std::size_t line_without_name = 24; // indentation, quotes, the longest state, a comma and the line's end
+  constexpr std::size_t line_without_name = 24; // bytes: indentation, quotes, the longest state, comma and newline
   return machine.size() + line_without_name;
 }
 
--- a/src/wire/configuration.cpp
+++ b/src/wire/configuration.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxCells = 17; // a cell and 16 others
+constexpr std::size_t kMaxCells = 17; // this cell and 16 others
 
 void put_unless_unlimited(Json &json, const char *name, double value) {
   if (std::isfinite(value)) json[name] = value;
@@ -24,7 +24,7 @@
   return json;
 }
 
-// False: there is an amount that is invalid, null included. One that is left out is unlimited.
+// Reads an amount; a missing one is unlimited. Returns false if it is invalid, which includes null.
 bool read_amount_or_unlimited(const Json &json, const char *name, double &out) {
   out = Amounts::kUnlimited;
   if (!json.contains(name)) return true;
@@ -67,7 +67,7 @@
   const auto guaranteed = amounts_from_json(member(json, setting::kGuaranteed));
   const auto maximum = amounts_from_json(member(json, setting::kMaximum));
   if (!guaranteed || !maximum) return std::nullopt;
-  // A guarantee without bound could never be met.
+  // An unlimited guarantee could never be met.
   if (!std::isfinite(guaranteed->cpus) || !std::isfinite(guaranteed->gpus)) return std::nullopt;
   return QuotaLimits{*guaranteed, *maximum};
 }
@@ -82,13 +82,13 @@
 
 std::optional<QuotaRecord::Change> change_from_json(const Json &json) {
   const auto number = read_count(member(json, setting::kNumber));
-  const auto wall = wall_time_from_json(member(json, setting::kAt));
+  const auto wall_time_s = wall_time_from_json(member(json, setting::kAt));
   const auto limits = limits_from_json(member(json, setting::kLimits));
-  if (!number || !wall || !limits) return std::nullopt;
-  return QuotaRecord::Change{*number, *wall, *limits};
+  if (!number || !wall_time_s || !limits) return std::nullopt;
+  return QuotaRecord::Change{*number, *wall_time_s, *limits};
 }
 
-// Nothing: there is a history, and it can't be read. A record without one has an empty history.
+// Returns nullopt if the history is malformed; a missing history is empty.
 std::optional<std::vector<QuotaRecord::Change>> history_from_json(const Json &record) {
   std::vector<QuotaRecord::Change> history;
   if (!record.contains(setting::kHistory)) return history;
@@ -102,11 +102,11 @@
   return history;
 }
 
-// Fields of a quota change that hold an amount.
+// AmountField describes a field of a quota change that holds an amount.
 struct AmountField {
   const char *name;
   std::optional<double> QuotaChange::*field;
-  bool limit; // null stands for the limit of the settings file
+  bool nullable; // null resets to the limit of the settings file
 };
 constexpr AmountField kAmountFields[] = {
     {setting::kCpus, &QuotaChange::guaranteed_cpus, false},
@@ -116,11 +116,11 @@
 };
 
 std::optional<FieldError> read_amount_field(const AmountField &amount, const Json &value, QuotaChange &change) {
-  auto wanted = amount.limit && value.is_null() ? std::optional(Amounts::kUnlimited) : read_amount(value);
-  if (!wanted)
+  auto requested = amount.nullable && value.is_null() ? std::optional(Amounts::kUnlimited) : read_amount(value);
+  if (!requested)
     return FieldError{fmt::format("{}: a number from 0 to {:g} is wanted{}", amount.name, kMaxAmount,
-                                  amount.limit ? ", or null for the limit of the settings file" : "")};
-  change.*amount.field = wanted;
+                                  amount.nullable ? ", or null for the limit of the settings file" : "")};
+  change.*amount.field = requested;
   return std::nullopt;
 }
 
@@ -213,9 +213,9 @@
 
 std::optional<AppliedRecord> applied_from_json(const Json &json) {
   const auto revision = read_count(member(json, setting::kRevision));
-  const auto wall = wall_time_from_json(member(json, setting::kAt));
-  if (!revision || !wall) return std::nullopt;
-  return AppliedRecord{*revision, *wall};
+  const auto wall_time_s = wall_time_from_json(member(json, setting::kAt));
+  if (!revision || !wall_time_s) return std::nullopt;
+  return AppliedRecord{*revision, *wall_time_s};
 }
 
 } // namespace loftrouter::wire
--- a/tests/wire_configuration_test.cpp
+++ b/tests/wire_configuration_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace loftrouter::wire;
 
-TEST(WireConfiguration, ForwardedChangeSurvivesItsRecord) {
+TEST(WireConfiguration, ForwardedChangeRoundTripsThroughJson) {
   ForwardedChange forwarded;
   forwarded.change.team = "red";
   forwarded.change.max_cpus = 4.5;
@@ -20,8 +20,8 @@
   EXPECT_EQ(read->text, "conflict");
 }
 
-// Another cell sends this record: a field of the wrong kind must not end the process.
-TEST(WireConfiguration, ForwardedChangeWithFieldsOfTheWrongKindThrowsNothing) {
+// The record comes from another cell: a field of the wrong type must not crash the process.
+TEST(WireConfiguration, MalformedForwardedChangeDoesNotThrow) {
   const Json change = {{"cpus", 3}};
   for (const char *field : {"team", "node", "status", "text"})
     for (const Json &wrong : {Json(Json::array()), Json(Json::object()), Json(true), Json()}) {
