--- a/include/loftrouter/wire/admin_configuration.hpp
+++ b/include/loftrouter/wire/admin_configuration.hpp
@@ -37,7 +37,7 @@
   std::string node;
   std::uint64_t revision = 0;     // applied by this node
   bool watch_open = false;        // otherwise changes arrive only with periodic lists
-  double current_s = -1;          // age of the last complete copy; negative: never
+  double current_s = -1;          // time since the copy was last known to be complete; negative: never
   std::vector<std::string> nodes; // of this cell
   std::vector<AdminConfigRecord> records;
   std::string next; // record after which the next page starts; empty: last page
--- a/include/loftrouter/wire/admin_request.hpp
+++ b/include/loftrouter/wire/admin_request.hpp
@@ -35,7 +35,7 @@
     Configuration,
     QuotaHistory
   } kind = Kind::Status;
-  std::string team;        // Jobs, Forecast, Report, Statement: only of this team, if not empty
+  std::string team;        // Jobs, Forecast, Report, Statement: filter; empty: all teams
   std::string from;        // the same, Settings, Configuration: only entries after this one; empty: all
   double period_s = 86400; // Report: length of the period before now
   std::string period;      // Statement: name; empty: the current one
--- a/include/loftrouter/wire/admin_settings.hpp
+++ b/include/loftrouter/wire/admin_settings.hpp
@@ -40,7 +40,8 @@
   Quarantine // start no tasks and keep the machine
 };
 using MachineAdminStates = std::map<std::string, MachineAdminState>; // by machine
-// Limits the machines in the settings document; earlier versions read no more. Separate records are not limited.
+// Limits the machines in the settings document; earlier versions read no more. Machines with records of their own do
+// not count.
 constexpr std::size_t kMaxMachineOrders = 100;
 // Limits the entries of one page of a configuration listing.
 constexpr std::size_t kMaxListingBytes = std::size_t{48} * 1024;
--- a/include/loftrouter/wire/admin_status.hpp
+++ b/include/loftrouter/wire/admin_status.hpp
@@ -39,7 +39,7 @@
   struct Replica {
     std::string node;
     double last_contact_s; // since its last message
-    bool cut_off;          // has no connection to the state service
+    bool cut_off;          // gets no responses from the state service
     bool forwards_heartbeats;
     std::size_t direct_workers = 0;  // workers whose heartbeats it forwards to this node
     ConnectivityRecord connectivity; // as reported by the replica
@@ -67,7 +67,7 @@
     double cpu_share = 1; // share of a core that the process may use
   } load;
 
-  // Kind counts the machines of one type, zone and purchase option (spot or on demand).
+  // Kind counts the machines of one type, zone and kind (spot or not).
   struct Kind {
     std::string type;
     std::string zone;
--- a/src/wire/admin_budgets.cpp
+++ b/src/wire/admin_budgets.cpp
@@ -12,21 +12,21 @@
 constexpr double kMaxCpuHours = 1e6;
 
 std::optional<FieldError> apply_period(const Json &value, accounts::PeriodSchedule &schedule) {
-  if (value != setting::kDaily && value != setting::kWeekly) return FieldError{"every: day or week is wanted"};
+  if (value != setting::kDaily && value != setting::kWeekly) return FieldError{"every: must be day or week"};
   schedule.weekly = value == setting::kWeekly;
   return std::nullopt;
 }
 
 std::optional<FieldError> apply_period_start(const Json &value, accounts::PeriodSchedule &schedule) {
   const auto minute = accounts::parse_minute(read_text_or_empty(value));
-  if (!minute) return FieldError{"starts: a time of day is wanted, as 20:00"};
+  if (!minute) return FieldError{"starts: must be a time of day such as 20:00"};
   schedule.starts_min = *minute;
   return std::nullopt;
 }
 
 std::optional<FieldError> apply_utc_offset(const Json &value, accounts::PeriodSchedule &schedule) {
   const auto offset = accounts::parse_offset(read_text_or_empty(value));
-  if (!offset) return FieldError{"utc_offset: the distance of the local time from UTC is wanted, as +05:30"};
+  if (!offset) return FieldError{"utc_offset: must be an offset from UTC such as +05:30"};
   schedule.offset_min = *offset;
   return std::nullopt;
 }
@@ -36,7 +36,7 @@
   if (name == setting::kPeriodStart) return apply_period_start(value, schedule);
   if (name == setting::kUtcOffset) return apply_utc_offset(value, schedule);
   if (name != setting::kTeams) return no_such_setting(name);
-  if (!value.is_object() || value.size() > kMaxTeams) return FieldError{"teams: a map of at most 100 teams is wanted"};
+  if (!value.is_object() || value.size() > kMaxTeams) return FieldError{"teams: must be a map of at most 100 teams"};
   return std::nullopt;
 }
 
@@ -63,13 +63,13 @@
     return std::nullopt;
   }
   const std::string path = "teams." + (valid_name(team) ? team : std::string("a team"));
-  if (!value.is_object()) return FieldError{path + ": a map is wanted, or null for no budget"};
+  if (!value.is_object()) return FieldError{path + ": must be a map, or null for no budget"};
   TeamBudget budget;
   if (const auto known = budgets.teams.find(team); known != budgets.teams.end()) budget = known->second;
   for (const auto &[name, field] : value.items())
     if (!apply_team_field(name, field, budget))
       return FieldError{path +
-                        ": cpu_hours (0 to 1000000), warn_share (0 to 1) and when_spent (finish or stop) are wanted"};
+                        ": expected cpu_hours (0 to 1000000), warn_share (0 to 1) and when_spent (finish or stop)"};
   budgets.teams[team] = budget;
   return std::nullopt;
 }
--- a/src/wire/admin_cell_rules.cpp
+++ b/src/wire/admin_cell_rules.cpp
@@ -11,25 +11,24 @@
 constexpr double kMaxCpus = 1e6;
 
 std::optional<FieldError> apply_flag(const std::string &name, const Json &value, bool &out) {
-  if (!value.is_boolean()) return FieldError{name + ": true or false is wanted"};
+  if (!value.is_boolean()) return FieldError{name + ": must be true or false"};
   out = value.get<bool>();
   return std::nullopt;
 }
 
 std::optional<FieldError> apply_max_accepted_cpus(const Json &value, CellRules &rules) {
   const auto cpus = read_number(value, 0, kMaxCpus);
-  if (!cpus) return FieldError{"most_borrowed_cpus: a number from 0 to 1000000 is wanted"};
+  if (!cpus) return FieldError{"most_borrowed_cpus: must be a number from 0 to 1000000"};
   rules.max_accepted_cpus = *cpus;
   return std::nullopt;
 }
 
 std::optional<FieldError> apply_names(const std::string &field, const Json &value, std::vector<std::string> &out) {
-  if (!value.is_array() || value.size() > kMaxNames)
-    return FieldError{field + ": a list of at most 100 names is wanted"};
+  if (!value.is_array() || value.size() > kMaxNames) return FieldError{field + ": must be a list of at most 100 names"};
   std::vector<std::string> names;
   for (const auto &element : value) {
     if (!element.is_string() || !valid_name(element.get_ref<const std::string &>()))
-      return FieldError{field + ": names are wanted"};
+      return FieldError{field + ": contains an invalid name"};
     names.push_back(element.get<std::string>());
   }
   out = std::move(names);
--- a/src/wire/admin_request.cpp
+++ b/src/wire/admin_request.cpp
@@ -45,7 +45,7 @@
   return value;
 }
 
-// Validates a page's start: a job id, machine name or record key.
+// Checks the entry after which a page starts: a job id, machine name or record key.
 bool valid_key(std::string_view key) {
   return !key.empty() && key.size() <= kMaxKeyBytes &&
          std::all_of(key.begin(), key.end(), [](char character) { return character > ' ' && character <= '~'; });
@@ -58,7 +58,7 @@
 std::optional<FieldError> read_period_s(std::string_view value, AdminRequest &request) {
   const auto period_s = parse_number(value);
   if (!period_s || !(*period_s >= kMinPeriodS && *period_s <= kMaxPeriodS))
-    return FieldError{"period_s: a number of seconds from 1 to 100000000"};
+    return FieldError{"period_s: must be a number of seconds from 1 to 100000000"};
   request.period_s = *period_s;
   return std::nullopt;
 }
@@ -72,7 +72,7 @@
   } else if (name == "period" && value.size() == kPeriodNameBytes && valid_name(value)) {
     request.period = value;
   } else {
-    return FieldError{fmt::format("{}: unknown, or its value cannot be read", valid_name(name) ? name : "query")};
+    return FieldError{fmt::format("{}: unknown parameter or invalid value", valid_name(name) ? name : "query")};
   }
   return std::nullopt;
 }
@@ -117,7 +117,7 @@
 
 // Parses a JSON map. Rejects deep nesting first, because the parser is recursive and could exhaust the stack.
 std::variant<Json, AdminError> parse_body(std::string_view body) {
-  const AdminError error{400, "body: not a JSON object"};
+  const AdminError error{400, "body: must be a JSON object"};
   if (body.size() > kMaxBodyBytes || nesting(body) > kMaxNesting) return error;
   Json json = Json::parse(body, nullptr, false);
   if (!json.is_object()) return error;
@@ -157,7 +157,7 @@
 Result read_route(const Route &route, std::string_view body, AdminRequest request) {
   request.kind = route.kind;
   if (lists_jobs(request.kind) && !request.from.empty() && !valid_job_id(request.from))
-    return AdminError{400, "from: unknown, or its value cannot be read"};
+    return AdminError{400, "from: unknown parameter or invalid value"};
   if (!route.check) return request;
   auto json = parse_body(body);
   if (auto *error = std::get_if<AdminError>(&json)) return std::move(*error);
@@ -168,7 +168,7 @@
 
 Result read_quota_change_request(std::string_view method, std::string_view team, std::string_view body) {
   if (method != "PUT") return method_not_allowed();
-  if (!valid_name(team)) return AdminError{400, "team: not a name"};
+  if (!valid_name(team)) return AdminError{400, "team: invalid name"};
   auto json = parse_body(body);
   if (auto *error = std::get_if<AdminError>(&json)) return std::move(*error);
   auto change = read_quota_change(team, std::get<Json>(json));
@@ -181,7 +181,7 @@
 
 Result read_quota_history_request(std::string_view method, std::string_view team, AdminRequest request) {
   if (method != "GET") return method_not_allowed();
-  if (!valid_name(team)) return AdminError{400, "team: not a name"};
+  if (!valid_name(team)) return AdminError{400, "team: invalid name"};
   request.kind = Kind::QuotaHistory;
   request.team = team;
   return request;
@@ -192,12 +192,12 @@
   std::string_view action = path;
   const auto machine = split_off(action, '/');
   if (method != "POST") return method_not_allowed();
-  if (!valid_name(machine)) return AdminError{400, "machine: not a name"};
+  if (!valid_name(machine)) return AdminError{400, "machine: invalid name"};
   request.kind = Kind::ChangeMachine;
   request.machine = machine;
   request.machine_state = machine_admin_state_from_json(Json(action));
   if (!request.machine_state && action != setting::kRelease)
-    return AdminError{404, "a machine can be told drain, quarantine or release"};
+    return AdminError{404, "unknown action for a machine: must be drain, quarantine or release"};
   return request;
 }
 
--- a/src/wire/admin_settings.cpp
+++ b/src/wire/admin_settings.cpp
@@ -48,8 +48,7 @@
                                       [&name](const TunableField &field) { return name == field.name; });
     if (tunable == std::end(kTunableFields)) return no_such_setting(name);
     const auto value = read_number(item.value(), tunable->min, tunable->max);
-    if (!value)
-      return FieldError{fmt::format("{}: a number from {} to {} is wanted", name, tunable->min, tunable->max)};
+    if (!value) return FieldError{fmt::format("{}: must be a number from {} to {}", name, tunable->min, tunable->max)};
     tunables.*tunable->field = *value;
   }
   return std::nullopt;
--- a/src/wire/configuration.cpp
+++ b/src/wire/configuration.cpp
@@ -118,7 +118,7 @@
 std::optional<FieldError> read_amount_field(const AmountField &amount, const Json &value, QuotaChange &change) {
   auto requested = amount.nullable && value.is_null() ? std::optional(Amounts::kUnlimited) : read_amount(value);
   if (!requested)
-    return FieldError{fmt::format("{}: a number from 0 to {:g} is wanted{}", amount.name, kMaxAmount,
+    return FieldError{fmt::format("{}: must be a number from 0 to {:g}{}", amount.name, kMaxAmount,
                                   amount.nullable ? ", or null for the limit of the settings file" : "")};
   change.*amount.field = requested;
   return std::nullopt;
@@ -126,13 +126,13 @@
 
 std::optional<FieldError> read_shares(const Json &value, QuotaChange &change) {
   change.shares = amounts_by_cell_from_json(value.is_null() ? Json::object() : value);
-  if (!change.shares) return FieldError{"shares: a map from cells to cpus and gpus is wanted, or null"};
+  if (!change.shares) return FieldError{"shares: must be a map from cells to cpus and gpus, or null"};
   return std::nullopt;
 }
 
 std::optional<FieldError> read_version(const Json &value, QuotaChange &change) {
   change.version = read_count(value);
-  if (!change.version) return FieldError{"version: a whole number is wanted"};
+  if (!change.version) return FieldError{"version: must be a whole number"};
   return std::nullopt;
 }
 
@@ -141,7 +141,7 @@
     if (name == amount.name) return read_amount_field(amount, value, change);
   if (name == setting::kShares) return read_shares(value, change);
   if (name == setting::kVersion) return read_version(value, change);
-  return FieldError{"no such field; cpus, cpus_max, gpus, gpus_max, shares and version are known"};
+  return FieldError{"unknown field; expected cpus, cpus_max, gpus, gpus_max, shares or version"};
 }
 
 } // namespace
@@ -171,7 +171,7 @@
 }
 
 std::variant<QuotaChange, FieldError> read_quota_change(std::string_view team, const Json &json) {
-  if (!json.is_object()) return FieldError{"body: a map is wanted"};
+  if (!json.is_object()) return FieldError{"body: must be a map"};
   QuotaChange change;
   change.team = team;
   for (const auto &[name, value] : json.items())
