--- a/include/loftrouter/wire/admin_configuration.hpp
+++ b/include/loftrouter/wire/admin_configuration.hpp
@@ -36,7 +36,7 @@
 struct AdminConfiguration {
   std::string node;
   std::uint64_t revision = 0;     // applied by this node
-  bool watch_open = false;        // otherwise changes arrive only with periodic lists
+  bool watch_open = false;        // otherwise changes arrive only through list requests
   double current_s = -1;          // time since the copy was last known to be complete; negative: never
   std::vector<std::string> nodes; // of this cell
   std::vector<AdminConfigRecord> records;
--- a/include/loftrouter/wire/admin_status.hpp
+++ b/include/loftrouter/wire/admin_status.hpp
@@ -67,7 +67,7 @@
     double cpu_share = 1; // share of a core that the process may use
   } load;
 
-  // Kind counts the machines of one type, zone and kind (spot or not).
+  // Kind counts the machines of one type and zone that are either spot or not.
   struct Kind {
     std::string type;
     std::string zone;
