--- a/include/loftrouter/wire/admin_budgets.hpp
+++ b/include/loftrouter/wire/admin_budgets.hpp
@@ -19,11 +19,12 @@
 struct TeamBudget {
   double cpu_hours = -1;   // negative: no budget
   double warn_share = 0.8; // share of cpu_hours from which the status shows a warning
-  bool stop = false;       // checkpoint and stop running tasks once it is spent; otherwise let them finish
+  bool stop = false;       // checkpoint and stop running tasks once the budget is spent; otherwise let them finish
   // Returns cpu_hours in the unit of accounts::Sums.
   [[nodiscard]] std::int64_t limit() const { return static_cast<std::int64_t>(cpu_hours * accounts::kSumsPerHour); }
 };
 
+// Budgets are the accounting schedule and the budget of each team that has one.
 struct Budgets {
   accounts::PeriodSchedule clock;
   std::map<std::string, TeamBudget> teams;
--- a/include/loftrouter/wire/admin_cell_rules.hpp
+++ b/include/loftrouter/wire/admin_cell_rules.hpp
@@ -12,7 +12,7 @@
 
 namespace loftrouter::wire {
 
-// CellRules restrict delegation to and from other cells.
+// CellRules restrict the delegation of jobs to other cells and the acceptance of theirs.
 struct CellRules {
   bool delegate = true;
   bool accept = true;
--- a/include/loftrouter/wire/admin_configuration.hpp
+++ b/include/loftrouter/wire/admin_configuration.hpp
@@ -15,6 +15,7 @@
 
 namespace loftrouter::wire {
 
+// AdminQuota is a team's quota as known to one node.
 struct AdminQuota {
   Team here;                 // in force at this node, for this cell
   Team over_all_cells;       // summed over all cells
@@ -25,7 +26,7 @@
 };
 [[nodiscard]] std::string encode_quotas(const std::vector<AdminQuota> &quotas);
 
-// Times are in seconds since 1970.
+// AdminConfigRecord tells where a configuration record is in force. Times are in seconds since 1970.
 struct AdminConfigRecord {
   std::string key;
   std::uint64_t revision = 0;
@@ -33,6 +34,7 @@
   std::map<std::string, double> acknowledged_cells; // since when, by other cell, as known to this node
 };
 
+// AdminConfiguration is one page of a node's configuration records.
 struct AdminConfiguration {
   std::string node;
   std::uint64_t revision = 0;     // applied by this node
--- a/include/loftrouter/wire/admin_jobs.hpp
+++ b/include/loftrouter/wire/admin_jobs.hpp
@@ -16,6 +16,7 @@
 
 namespace loftrouter::wire {
 
+// AdminJob is a job in a response.
 struct AdminJob {
   std::string id;
   std::string job_class;
--- a/include/loftrouter/wire/admin_request.hpp
+++ b/include/loftrouter/wire/admin_request.hpp
@@ -35,15 +35,17 @@
     Configuration,
     QuotaHistory
   } kind = Kind::Status;
-  std::string team;        // Jobs, Forecast, Report, Statement: filter; empty: all teams
-  std::string from;        // the same, Settings, Configuration: only entries after this one; empty: all
-  double period_s = 86400; // Report: length of the period before now
+  std::string team; // Jobs, Forecast, Report, Statement: filter; empty: all teams
+  // Jobs, Forecast, Report, Statement, Settings, Configuration: only entries after this one; empty: all.
+  std::string from;
+  double period_s = 86400; // Report: length of the reported period, which ends now
   std::string period;      // Statement: name; empty: the current one
   Json change;             // ChangeSettings, ChangeBudgets, ChangeCellRules: a map
   std::string machine;     // ChangeMachine
-  std::optional<MachineAdminState> machine_state; // ChangeMachine; nullopt: release
-  std::optional<QuotaChange> quota;               // ChangeQuota
-  ProcessLoad process;                            // Status: measured outside the core
+  // ChangeMachine; nullopt: release.
+  std::optional<MachineAdminState> machine_state;
+  std::optional<QuotaChange> quota; // ChangeQuota
+  ProcessLoad process;              // Status: measured outside the core
 };
 
 struct AdminError {
--- a/include/loftrouter/wire/admin_settings.hpp
+++ b/include/loftrouter/wire/admin_settings.hpp
@@ -34,7 +34,7 @@
 // already have been overwritten.
 [[nodiscard]] std::optional<FieldError> apply_tunables(const Json &json, Tunables &tunables);
 
-// MachineAdminState is a machine's state set by an operator.
+// MachineAdminState is a machine state that an operator has set.
 enum class MachineAdminState : std::uint8_t {
   Drain,     // evict tasks gracefully and start none
   Quarantine // start no tasks and keep the machine
--- a/include/loftrouter/wire/admin_status.hpp
+++ b/include/loftrouter/wire/admin_status.hpp
@@ -1,4 +1,4 @@
-// Encodes the response of GET /admin/v1/status: one node's view of the service.
+// Encodes the response of GET /admin/v1/status.
 //
 // All functions are pure. The JSON keys are a stable API read by operators' tools. Ages are in seconds; negative
 // ones mean "never" and are encoded as null.
@@ -26,6 +26,7 @@
   double cpu_s = 0;               // processor time used by this process
 };
 
+// AdminStatus is one node's view of the service.
 struct AdminStatus {
   std::string node;
   std::string role;
@@ -43,7 +44,7 @@
     bool forwards_heartbeats;
     std::size_t direct_workers = 0;  // workers whose heartbeats it forwards to this node
     ConnectivityRecord connectivity; // as reported by the replica
-    std::string source;              // of that report: link, state service or nothing
+    std::string source;              // where `connectivity` came from: link, state service or nothing
     std::string version; // earlier, this or later, unknown; by whether it supports dependencies between jobs
   };
   std::vector<Replica> replicas;
--- a/include/loftrouter/wire/cell.hpp
+++ b/include/loftrouter/wire/cell.hpp
@@ -34,7 +34,7 @@
   double fetch_gb_per_s = 1;
 };
 
-// A message of any kind. Only the fields of its kind are encoded and decoded.
+// A message from one cell to another. Only the fields of its kind are encoded and decoded.
 struct CellMessage {
   enum class Kind : std::uint16_t {
     Summary = 1,     // the sender's capacity; answered by SummaryReply
@@ -67,7 +67,7 @@
   std::vector<double> wait_s;  // expected queueing delay, by priority
   std::vector<CellKind> kinds; // at most kCellMaxKinds
 
-  // CapacityRequest. CapacityReply has only `tasks`.
+  // CapacityRequest; CapacityReply uses only `tasks`.
   Resources need; // per task
   std::uint32_t tasks = 0;
   std::vector<std::string> types; // allowed machine types; empty allows any
--- a/include/loftrouter/wire/configuration.hpp
+++ b/include/loftrouter/wire/configuration.hpp
@@ -20,7 +20,7 @@
 
 namespace loftrouter::wire {
 
-// kConfigPrefix is the common prefix of all keys, including those of documents written by earlier versions.
+// kConfigPrefix starts all configuration keys, including those written by earlier versions.
 constexpr std::string_view kConfigPrefix = "conf";
 constexpr std::string_view kConfigRecords = "config/";         // followed by <kind>/<name>
 constexpr std::string_view kConfigQuota = "config/quota/";     // followed by the team
@@ -33,7 +33,7 @@
 constexpr std::size_t kMaxConfigChanges = 64;     // forwarded and not yet completed
 constexpr std::size_t kMaxQuotaHistory = 8;       // changes kept in a quota record
 
-// Amounts is a number of CPUs and GPUs; kUnlimited means no limit.
+// Amounts are numbers of CPUs and GPUs, or kUnlimited.
 struct Amounts {
   double cpus = 0;
   double gpus = 0;
@@ -58,7 +58,7 @@
   };
   std::uint64_t version = 0; // incremented by each commit of the owner cell
   QuotaLimits limits;
-  AmountsByCell shares;        // set by an operator; the other cells split the rest evenly
+  AmountsByCell shares;        // set by an operator; cells without a share split the rest evenly
   AmountsByCell caps;          // last granted to each cell; empty with a single cell
   AmountsByCell held;          // upper bound of what each cell may still use; empty with a single cell
   std::vector<Change> history; // oldest first, at most kMaxQuotaHistory
@@ -83,9 +83,9 @@
 // stored under `config-change/<number>`.
 struct ForwardedChange {
   QuotaChange change;
-  std::string node; // waits for the response
+  std::string node; // node that waits for the response
   int status = 0;   // HTTP status; 0: no response yet
-  std::string text; // of the response
+  std::string text; // response text
 };
 [[nodiscard]] Json to_json(const ForwardedChange &forwarded);
 [[nodiscard]] std::optional<ForwardedChange> forwarded_from_json(const Json &json);
@@ -93,7 +93,7 @@
 // AppliedRecord is stored under `config-applied/<node>`.
 struct AppliedRecord {
   std::uint64_t revision = 0; // the node has applied all records up to this revision
-  double wall = 0;            // when it was applied, seconds since 1970
+  double wall = 0;            // time of applying, seconds since 1970
 };
 [[nodiscard]] Json to_json(const AppliedRecord &applied);
 [[nodiscard]] std::optional<AppliedRecord> applied_from_json(const Json &json);
--- a/include/loftrouter/wire/peer.hpp
+++ b/include/loftrouter/wire/peer.hpp
@@ -1,8 +1,8 @@
 // Binary protocol between the controller nodes of one cell: little-endian, versioned frames with checked lengths. The
 // caller closes the connection on a frame that doesn't decode.
 //
-// All functions are pure. Older nodes reject a newer frame version, so extensions have to fit into fields that they
-// echo or ignore (kKnowsDependencies).
+// All functions are pure. Nodes reject frames of a newer version, so an extension must fit into a field that older
+// nodes echo or ignore, as kKnowsDependencies does.
 #pragma once
 
 #include <cstddef>
@@ -20,7 +20,7 @@
 // Older versions use smaller nonces and echo any, so the formats stay compatible.
 constexpr std::uint64_t kKnowsDependencies = std::uint64_t(1) << 63;
 
-// A message of any kind. Only the fields of its kind are encoded and decoded.
+// A message between two nodes of a cell. Only the fields of its kind are encoded and decoded.
 struct PeerMessage {
   enum class Kind : std::uint16_t {
     Ping = 1,         // the sender's state; answered by Pong
@@ -69,7 +69,7 @@
   // Commands, if the status is 200.
   std::vector<TaskCommand> commands;
 
-  // UserRequest.
+  // UserRequest. Look returns the state of a job.
   enum class Verb : std::uint8_t { Submit, Look, Abort } verb = Verb::Look;
   std::string id; // job ID
 
@@ -80,7 +80,7 @@
   std::uint16_t retry_s = 0;
 };
 
-// Size limits. A forwarded body may be as large as the request of a worker or user; a cell frame adds its own header.
+// A forwarded body may be as large as the request of a worker or user; a cell frame adds its own header.
 constexpr std::size_t kPeerMaxBody = 4096;                             // bytes; Ping, Pong, Digest
 constexpr std::size_t kPeerMaxForwardedBody = std::size_t{64} * 1024;  // bytes; Heartbeat to UserResponse
 constexpr std::size_t kPeerMaxCellBody = kPeerMaxForwardedBody + 4096; // bytes; CellRequest, CellResponse
--- a/src/wire/admin_budgets.cpp
+++ b/src/wire/admin_budgets.cpp
@@ -31,7 +31,8 @@
   return std::nullopt;
 }
 
-std::optional<FieldError> apply_field(const std::string &name, const Json &value, accounts::PeriodSchedule &schedule) {
+std::optional<FieldError> apply_budgets_field(const std::string &name, const Json &value,
+                                              accounts::PeriodSchedule &schedule) {
   if (name == setting::kPeriod) return apply_period(value, schedule);
   if (name == setting::kPeriodStart) return apply_period_start(value, schedule);
   if (name == setting::kUtcOffset) return apply_utc_offset(value, schedule);
@@ -65,7 +66,7 @@
   const std::string path = "teams." + (valid_name(team) ? team : std::string("a team"));
   if (!value.is_object()) return FieldError{path + ": must be a map, or null for no budget"};
   TeamBudget budget;
-  if (const auto known = budgets.teams.find(team); known != budgets.teams.end()) budget = known->second;
+  if (const auto existing = budgets.teams.find(team); existing != budgets.teams.end()) budget = existing->second;
   for (const auto &[name, field] : value.items())
     if (!apply_team_field(name, field, budget))
       return FieldError{path +
@@ -95,7 +96,7 @@
 
 std::optional<FieldError> apply_budgets(const Json &json, Budgets &budgets) {
   for (const auto &[name, value] : json.items())
-    if (auto error = apply_field(name, value, budgets.clock)) return error;
+    if (auto error = apply_budgets_field(name, value, budgets.clock)) return error;
   if (!json.contains(setting::kTeams)) return std::nullopt;
   for (const auto &[team, value] : json[setting::kTeams].items())
     if (auto error = apply_team(team, value, budgets)) return error;
--- a/src/wire/admin_configuration.cpp
+++ b/src/wire/admin_configuration.cpp
@@ -22,7 +22,7 @@
   return json;
 }
 
-// Encodes guarantee and limit; a limit of 0 means no limit.
+// Encodes a team's guarantee and limit. A limit of 0 means no limit and becomes null.
 Json limits_json(const Team &team) {
   return {{"cpus", team.cpus},
           {"gpus", team.gpus},
@@ -71,9 +71,9 @@
 }
 
 std::size_t listed_bytes(const AdminConfigRecord &record, std::size_t nodes) {
-  constexpr std::size_t fields = 200;
-  constexpr std::size_t line = 100; // bytes per node or cell: a name of up to 64 characters and a time
-  return fields + record.key.size() + line * (nodes + record.acknowledged_cells.size());
+  constexpr std::size_t fixed_bytes = 200;
+  constexpr std::size_t line_bytes = 100; // per node or cell: a name of up to 64 bytes and a time
+  return fixed_bytes + record.key.size() + line_bytes * (nodes + record.acknowledged_cells.size());
 }
 
 std::string encode_configuration(const AdminConfiguration &configuration) {
--- a/src/wire/admin_jobs.cpp
+++ b/src/wire/admin_jobs.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr double kMillionths = 1e6; // of the cloud's unit of price
+constexpr double kMillionthsPerUnit = 1e6; // sums count costs in millionths of the cloud's price unit
 
 Json to_json(const AdminJob &job) {
   Json json = {
@@ -47,7 +47,7 @@
   json["gpu_hours"] = hours(sums[accounts::Gpu]);
   json["attempts"] = sums[accounts::Attempts];
   json["retries"] = sums[accounts::Retries];
-  json["cost"] = static_cast<double>(sums[accounts::Cost]) / kMillionths;
+  json["cost"] = static_cast<double>(sums[accounts::Cost]) / kMillionthsPerUnit;
 }
 
 Json to_json(const AdminStatement::Team &team) {
@@ -76,19 +76,20 @@
   return list;
 }
 
-std::string date_time(double wall) {
+std::string utc_date_time(double wall) {
   return fmt::format("{:%Y-%m-%dT%H:%M:%SZ}", fmt::gmtime(static_cast<std::time_t>(wall)));
 }
 
 } // namespace
 
 std::string encode_statement(const AdminStatement &statement) {
-  return dump_admin_json(
-      {{"period",
-        {{"name", statement.period}, {"begins", date_time(statement.begins)}, {"ends", date_time(statement.ends)}}},
-       {"teams", list_json(statement.teams)},
-       {"jobs", list_json(statement.jobs)},
-       {"next", text_or_null(statement.next)}});
+  return dump_admin_json({{"period",
+                           {{"name", statement.period},
+                            {"begins", utc_date_time(statement.begins)},
+                            {"ends", utc_date_time(statement.ends)}}},
+                          {"teams", list_json(statement.teams)},
+                          {"jobs", list_json(statement.jobs)},
+                          {"next", text_or_null(statement.next)}});
 }
 
 std::string encode_jobs(const std::vector<AdminJob> &jobs, std::string_view next) {
--- a/src/wire/admin_json.hpp
+++ b/src/wire/admin_json.hpp
@@ -1,4 +1,4 @@
-// JSON helpers of the administration API. Bodies are indented for reading in a terminal.
+// JSON helpers of the administration API.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 namespace loftrouter::wire {
 
-// Serializes a response body. Invalid UTF-8 is replaced instead of throwing.
+// Serializes a response body, indented for reading in a terminal. Replaces invalid UTF-8 instead of throwing.
 [[nodiscard]] std::string dump_admin_json(const Json &json);
 
 // Rounds an age to 0.1 s; a negative age means "never" and becomes null.
--- a/src/wire/admin_request.cpp
+++ b/src/wire/admin_request.cpp
@@ -45,7 +45,7 @@
   return value;
 }
 
-// Checks the entry after which a page starts: a job id, machine name or record key.
+// Returns whether `key` may name the entry after which a page starts: a job ID, machine name or record key.
 bool valid_key(std::string_view key) {
   return !key.empty() && key.size() <= kMaxKeyBytes &&
          std::all_of(key.begin(), key.end(), [](char character) { return character > ' ' && character <= '~'; });
@@ -128,8 +128,8 @@
 using CheckChange = std::optional<FieldError> (*)(const Json &);
 template <class Document, std::optional<FieldError> (*Apply)(const Json &, Document &)>
 std::optional<FieldError> check_change(const Json &change) {
-  Document scratch;
-  return Apply(change, scratch);
+  Document document;
+  return Apply(change, document);
 }
 
 struct Route {
@@ -187,7 +187,7 @@
   return request;
 }
 
-// machines/<machine>/<drain, quarantine or release>
+// Reads a request to machines/<path>, where `path` is <machine>/<drain, quarantine or release>.
 Result read_machine_request(std::string_view method, std::string_view path, AdminRequest request) {
   std::string_view action = path;
   const auto machine = split_off(action, '/');
--- a/src/wire/admin_settings.cpp
+++ b/src/wire/admin_settings.cpp
@@ -80,8 +80,8 @@
 }
 
 std::size_t listed_bytes(const std::string &machine) {
-  constexpr std::size_t line_without_name = 24; // bytes: indentation, quotes, the longest state, comma and newline
-  return machine.size() + line_without_name;
+  constexpr std::size_t bytes_without_name = 24; // indentation, quotes, the longest state, comma and newline
+  return machine.size() + bytes_without_name;
 }
 
 std::string encode_settings(const Tunables &tunables, const MachineAdminStates &states, std::string_view next) {
--- a/src/wire/admin_status.cpp
+++ b/src/wire/admin_status.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-double two_places(double value) {
+double round_to_hundredths(double value) {
   return std::round(value * 100) / 100;
 }
 
 Json to_json(const LatencyQuantiles &quantiles) {
-  return {{"p50", two_places(quantiles.p50)}, {"p99", two_places(quantiles.p99)}};
+  return {{"p50", round_to_hundredths(quantiles.p50)}, {"p99", round_to_hundredths(quantiles.p99)}};
 }
 
 Json to_json(const AdminStatus::Replica &replica) {
@@ -94,14 +94,16 @@
   return {{"reported_s_ago", age_json(status.heartbeat_age_s)},
           {"here", load.workers},
           {"here_most", load.max_workers},
-          {"reports_a_second", two_places(load.heartbeats_per_s)},
-          {"reports_a_second_most", two_places(load.max_heartbeats_per_s)},
-          {"passed_on_a_second", two_places(load.forwarded_per_s)},
+          {"reports_a_second", round_to_hundredths(load.heartbeats_per_s)},
+          {"reports_a_second_most", round_to_hundredths(load.max_heartbeats_per_s)},
+          {"passed_on_a_second", round_to_hundredths(load.forwarded_per_s)},
           {"siblings_keep_some", load.spreads}};
 }
 
 Json processor_json(const AdminStatus::Load &load) {
-  return {{"used_s", two_places(load.cpu_s)}, {"up_s", two_places(load.up_s)}, {"allowed_share", load.cpu_share}};
+  return {{"used_s", round_to_hundredths(load.cpu_s)},
+          {"up_s", round_to_hundredths(load.up_s)},
+          {"allowed_share", load.cpu_share}};
 }
 
 } // namespace
--- a/src/wire/cell.cpp
+++ b/src/wire/cell.cpp
@@ -16,7 +16,7 @@
 constexpr FrameFormat kFormat{0x4c434c4c, 1, static_cast<std::uint16_t>(Kind::QuotaOutcome), // "LLCL"
                               [](std::uint16_t) { return kCellMaxBody; }};
 
-constexpr std::size_t kPriorities = 4;
+constexpr std::size_t kPriorityCount = 4;
 constexpr std::size_t kMaxTypes = 100;
 constexpr std::uint32_t kMaxTasks = 100'000;
 constexpr std::uint32_t kMaxRangeEnd = 1'000'000;
@@ -24,8 +24,6 @@
 constexpr std::uint64_t kMaxThousandths = 1'000'000'000'000'000;
 constexpr std::uint64_t kUsageLimit = 1ULL << 53; // a double represents smaller integers exactly
 
-// ---- Common values ----
-
 // Encodes an amount in thousandths.
 void write_amount(PackedWriter &writer, double amount) {
   const double thousandths = std::clamp(amount, 0.0, kMaxAmount) * 1000;
@@ -52,9 +50,10 @@
   return resources;
 }
 
-bool read_name(PackedReader &reader, std::string &name) {
-  if (!reader.text(name)) return false;
-  return valid_utf8(name) || reader.fail();
+// Reads a text that must be valid UTF-8.
+bool read_utf8(PackedReader &reader, std::string &text) {
+  if (!reader.text(text)) return false;
+  return valid_utf8(text) || reader.fail();
 }
 
 void write_ranges(PackedWriter &writer, const Ranges &ranges) {
@@ -66,7 +65,7 @@
   }
 }
 
-// Requires sorted ranges without overlap; otherwise tasks would be counted twice.
+// Rejects unsorted or overlapping ranges, whose tasks would be counted twice.
 bool read_ranges(PackedReader &reader, Ranges &ranges) {
   const auto count = reader.u16();
   if (count > kCellMaxRanges) return reader.fail();
@@ -99,7 +98,7 @@
 // ---- Summary, SummaryReply ----
 
 constexpr unsigned kSpotFlag = 1;
-constexpr unsigned kRefusedFlag = 2;
+constexpr unsigned kRefusedFlag = 2;   // CellKind only
 constexpr unsigned kAllAtOnceFlag = 2; // CapacityRequest only
 constexpr unsigned kKnownFlags = 3;
 
@@ -116,7 +115,7 @@
 }
 
 bool read_kind(PackedReader &reader, CellKind &kind) {
-  if (!read_name(reader, kind.type) || !read_name(reader, kind.zone)) return false;
+  if (!read_utf8(reader, kind.type) || !read_utf8(reader, kind.zone)) return false;
   const auto flags = reader.u8();
   if (flags > kKnownFlags) return reader.fail();
   kind.spot = flags & kSpotFlag;
@@ -133,7 +132,7 @@
 void write_summary(PackedWriter &writer, const CellMessage &message) {
   writer.text(message.address);
   write_amount(writer, message.lease_s);
-  for (std::size_t i = 0; i < kPriorities; ++i)
+  for (std::size_t i = 0; i < kPriorityCount; ++i)
     write_amount(writer, i < message.wait_s.size() ? message.wait_s[i] : 0);
   const auto count = std::min(message.kinds.size(), kCellMaxKinds);
   writer.u8(static_cast<std::uint8_t>(count));
@@ -142,9 +141,9 @@
 }
 
 bool read_summary(PackedReader &reader, CellMessage &message) {
-  if (!read_name(reader, message.address)) return false;
+  if (!read_utf8(reader, message.address)) return false;
   message.lease_s = read_amount(reader);
-  for (std::size_t i = 0; i < kPriorities; ++i)
+  for (std::size_t i = 0; i < kPriorityCount; ++i)
     message.wait_s.push_back(read_amount(reader));
   const auto count = reader.u8();
   if (count > kCellMaxKinds) return reader.fail();
@@ -174,7 +173,7 @@
   message.spot = flags & kSpotFlag;
   message.all_at_once = flags & kAllAtOnceFlag;
   for (unsigned i = 0; reader.ok() && i < count; ++i)
-    if (!read_name(reader, message.types.emplace_back())) return false;
+    if (!read_utf8(reader, message.types.emplace_back())) return false;
   return reader.ok();
 }
 
@@ -355,7 +354,7 @@
   out = {};
   out.kind = static_cast<Kind>(frame.kind);
   PackedReader reader(frame.body);
-  if (!read_name(reader, out.from) || !read_name(reader, out.to)) return FrameRead::Garbage;
+  if (!read_utf8(reader, out.from) || !read_utf8(reader, out.to)) return FrameRead::Garbage;
   if (out.from.empty() || out.to.empty()) return FrameRead::Garbage;
   out.term = reader.u64();
   out.number = reader.u64();
--- a/src/wire/configuration.cpp
+++ b/src/wire/configuration.cpp
@@ -88,14 +88,14 @@
   return QuotaRecord::Change{*number, *wall_time_s, *limits};
 }
 
-// Returns nullopt if the history is malformed; a missing history is empty.
+// Returns the history of a quota record, empty if it is missing, or nullopt if it is malformed.
 std::optional<std::vector<QuotaRecord::Change>> history_from_json(const Json &record) {
   std::vector<QuotaRecord::Change> history;
   if (!record.contains(setting::kHistory)) return history;
   const Json &list = record[setting::kHistory];
   if (!list.is_array() || list.size() > kMaxQuotaHistory) return std::nullopt;
-  for (const auto &element : list) {
-    auto change = change_from_json(element);
+  for (const auto &entry : list) {
+    auto change = change_from_json(entry);
     if (!change) return std::nullopt;
     history.push_back(*change);
   }
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -13,14 +13,15 @@
 
 using Kind = PeerMessage::Kind;
 
-// Relies on the order of kinds: node state, then forwarded messages, then cell frames.
-std::size_t max_body(std::uint16_t kind) {
+// Returns the size limit of a body in bytes. Relies on the order of kinds: node state, then forwarded messages, then
+// cell frames.
+std::size_t max_body_bytes(std::uint16_t kind) {
   if (kind > static_cast<std::uint16_t>(Kind::UserResponse)) return kPeerMaxCellBody;
   if (kind > static_cast<std::uint16_t>(Kind::Digest)) return kPeerMaxForwardedBody;
   return kPeerMaxBody;
 }
 
-constexpr FrameFormat kFormat{0x5254464c, 4, static_cast<std::uint16_t>(Kind::CellResponse), max_body}; // "LFTR"
+constexpr FrameFormat kFormat{0x5254464c, 4, static_cast<std::uint16_t>(Kind::CellResponse), max_body_bytes}; // "LFTR"
 
 constexpr double kMillisecondsPerSecond = 1000;
 constexpr double kTenthsPerSecond = 10;
@@ -30,9 +31,7 @@
   return static_cast<std::uint32_t>(std::min(kMaxMilliseconds, seconds * kMillisecondsPerSecond));
 }
 
-// ---- Task IDs ----
-
-// Encodes task IDs; an empty job ID repeats the previous one, as consecutive tasks mostly share their job.
+// Encodes task IDs. To save space, an empty job ID stands for that of the previous task.
 class TaskWriter {
 public:
   explicit TaskWriter(PackedWriter &writer) : writer_(writer) {}
@@ -49,6 +48,7 @@
   std::string_view previous_job_;
 };
 
+// Decodes the task IDs written by TaskWriter.
 class TaskReader {
 public:
   explicit TaskReader(PackedReader &reader) : reader_(reader) {}
@@ -71,8 +71,8 @@
 // ---- Heartbeat ----
 
 constexpr unsigned kSpotFlag = 1;
-constexpr unsigned kNoticeFlag = 2;
-constexpr unsigned kKnownHeartbeatFlags = kSpotFlag | kNoticeFlag;
+constexpr unsigned kTerminationNoticeFlag = 2;
+constexpr unsigned kKnownHeartbeatFlags = kSpotFlag | kTerminationNoticeFlag;
 // A byte holds the task's phase and, in its highest bit, whether it saved a checkpoint.
 constexpr unsigned kSavedFlag = 0x80;
 constexpr unsigned kPhaseMask = 0x7f;
@@ -99,7 +99,8 @@
 void write_heartbeat(PackedWriter &writer, const Heartbeat &heartbeat) {
   for (const auto *text : {&heartbeat.machine, &heartbeat.address, &heartbeat.type, &heartbeat.zone})
     writer.text(*text);
-  writer.u8(static_cast<std::uint8_t>((heartbeat.spot ? kSpotFlag : 0) | (heartbeat.notice_s ? kNoticeFlag : 0)));
+  writer.u8(
+      static_cast<std::uint8_t>((heartbeat.spot ? kSpotFlag : 0) | (heartbeat.notice_s ? kTerminationNoticeFlag : 0)));
   writer.u64(heartbeat.incarnation);
   writer.u64(heartbeat.sequence);
   writer.u64(heartbeat.fencing_token);
@@ -119,7 +120,7 @@
   heartbeat.incarnation = reader.u64();
   heartbeat.sequence = reader.u64();
   heartbeat.fencing_token = reader.u64();
-  if (flags & kNoticeFlag) heartbeat.notice_s = reader.u32() / kMillisecondsPerSecond;
+  if (flags & kTerminationNoticeFlag) heartbeat.notice_s = reader.u32() / kMillisecondsPerSecond;
   const auto count = reader.u16();
   TaskReader tasks(reader);
   for (unsigned i = 0; reader.ok() && i < count; ++i) {
--- a/tests/wire_cell_test.cpp
+++ b/tests/wire_cell_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-CellMessage message_of(CellMessage::Kind kind) {
+CellMessage make_message(CellMessage::Kind kind) {
   CellMessage message;
   message.kind = kind;
   message.from = "north";
@@ -17,7 +17,7 @@
   return message;
 }
 
-FrameRead read_one(std::string_view bytes, CellMessage &out) {
+FrameRead read_frame(std::string_view bytes, CellMessage &out) {
   return read_cell(bytes, out);
 }
 
@@ -25,7 +25,7 @@
 
 TEST(WireCell, EveryKindRoundTrips) {
   for (int kind = 1; kind <= static_cast<int>(CellMessage::Kind::QuotaOutcome); ++kind) {
-    auto sent = message_of(static_cast<CellMessage::Kind>(kind));
+    auto sent = make_message(static_cast<CellMessage::Kind>(kind));
     sent.term = 4;
     sent.number = 5;
     sent.address = "10.0.0.1:9000";
@@ -40,33 +40,33 @@
     const auto bytes = encode_cell(sent);
     EXPECT_TRUE(looks_like_cell(bytes));
     CellMessage received;
-    ASSERT_EQ(read_one(bytes, received), FrameRead::Frame) << kind;
+    ASSERT_EQ(read_frame(bytes, received), FrameRead::Frame) << kind;
     EXPECT_EQ(encode_cell(received), bytes) << kind;
   }
 }
 
 TEST(WireCell, IncompleteFrameNeedsMoreBytes) {
-  const auto bytes = encode_cell(message_of(CellMessage::Kind::Summary));
+  const auto bytes = encode_cell(make_message(CellMessage::Kind::Summary));
   CellMessage received;
   for (std::size_t size = 0; size < bytes.size(); ++size)
-    EXPECT_EQ(read_one(std::string_view(bytes).substr(0, size), received), FrameRead::NeedMore) << size;
+    EXPECT_EQ(read_frame(std::string_view(bytes).substr(0, size), received), FrameRead::NeedMore) << size;
 }
 
 TEST(WireCell, OverlappingRangesAreRejected) {
-  auto offer = message_of(CellMessage::Kind::DelegationOffer);
+  auto offer = make_message(CellMessage::Kind::DelegationOffer);
   offer.ranges = {{1, 5}, {4, 9}};
   CellMessage received;
-  EXPECT_EQ(read_one(encode_cell(offer), received), FrameRead::Garbage);
+  EXPECT_EQ(read_frame(encode_cell(offer), received), FrameRead::Garbage);
 }
 
 TEST(WireCell, OfferWithoutTasksIsRejected) {
   CellMessage received;
-  EXPECT_EQ(read_one(encode_cell(message_of(CellMessage::Kind::DelegationOffer)), received), FrameRead::Garbage);
+  EXPECT_EQ(read_frame(encode_cell(make_message(CellMessage::Kind::DelegationOffer)), received), FrameRead::Garbage);
 }
 
 TEST(WireCell, FrameWithoutSenderCellIsRejected) {
-  auto summary = message_of(CellMessage::Kind::Summary);
+  auto summary = make_message(CellMessage::Kind::Summary);
   summary.from.clear();
   CellMessage received;
-  EXPECT_EQ(read_one(encode_cell(summary), received), FrameRead::Garbage);
+  EXPECT_EQ(read_frame(encode_cell(summary), received), FrameRead::Garbage);
 }
--- a/tests/wire_peer_test.cpp
+++ b/tests/wire_peer_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-FrameRead read_one(std::string_view bytes, PeerMessage &out) {
+FrameRead read_frame(std::string_view bytes, PeerMessage &out) {
   return read_peer(bytes, out);
 }
 
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST(WirePeer, FramesRoundTripByteByByte) {
+TEST(WirePeer, PongRoundTripsByteByByte) {
   PeerMessage sent;
   sent.kind = PeerMessage::Kind::Pong;
   sent.nonce = 0x1122334455667788;
@@ -86,8 +86,8 @@
   sent.jobs = {{"j-000001", 3, 4, true, "waiting: \u00e4"}, {"j-2", 0, 0, false, ""}};
   const auto bytes = encode_peer(sent);
   PeerMessage received;
-  EXPECT_EQ(read_one(bytes.substr(0, bytes.size() - 1), received), FrameRead::NeedMore);
-  ASSERT_EQ(read_one(bytes, received), FrameRead::Frame);
+  EXPECT_EQ(read_frame(bytes.substr(0, bytes.size() - 1), received), FrameRead::NeedMore);
+  ASSERT_EQ(read_frame(bytes, received), FrameRead::Frame);
   ASSERT_EQ(received.jobs.size(), 2u);
   EXPECT_EQ(received.jobs[0].reason, sent.jobs[0].reason);
   EXPECT_EQ(received.jobs[0].done, 3u);
@@ -107,7 +107,7 @@
                           {"j-000412", 4, 2, TaskPhase::Exited, ExitCause::Stopped, true},
                           {"j-77", 0, 3, TaskPhase::Exited, ExitCause::Unknown, false}};
   PeerMessage received;
-  ASSERT_EQ(read_one(encode_peer(sent), received), FrameRead::Frame);
+  ASSERT_EQ(read_frame(encode_peer(sent), received), FrameRead::Frame);
   EXPECT_EQ(std::tuple(received.nonce, received.term, received.sender), std::tuple(7u, 9u, 2u));
   EXPECT_EQ(encode_heartbeat(received.heartbeat), encode_heartbeat(sent.heartbeat));
 }
@@ -118,7 +118,7 @@
   sent.status = 200;
   sent.commands = {{TaskCommand::Verb::Start, "j-77", 5, 6, 0}, {TaskCommand::Verb::Stop, "j-77", 6, 7, 3.5}};
   PeerMessage received;
-  ASSERT_EQ(read_one(encode_peer(sent), received), FrameRead::Frame);
+  ASSERT_EQ(read_frame(encode_peer(sent), received), FrameRead::Frame);
   EXPECT_EQ(received.status, 200);
   EXPECT_EQ(encode_commands(1, received.commands), encode_commands(1, sent.commands));
 }
@@ -130,7 +130,7 @@
   sent.id = "j-000412";
   sent.body = std::string(5000, 'x');
   PeerMessage received;
-  ASSERT_EQ(read_one(encode_peer(sent), received), FrameRead::Frame);
+  ASSERT_EQ(read_frame(encode_peer(sent), received), FrameRead::Frame);
   EXPECT_EQ(received.verb, sent.verb);
   EXPECT_EQ(received.id, sent.id);
   EXPECT_EQ(received.body, sent.body);
@@ -141,7 +141,7 @@
   sent.kind = PeerMessage::Kind::UserRequest;
   sent.id = "nonsense";
   PeerMessage received;
-  EXPECT_EQ(read_one(encode_peer(sent), received), FrameRead::Garbage);
+  EXPECT_EQ(read_frame(encode_peer(sent), received), FrameRead::Garbage);
 }
 
 TEST(WirePeer, UserResponseRoundTrips) {
@@ -151,7 +151,7 @@
   sent.retry_s = 2;
   sent.body = std::string(5000, 'x');
   PeerMessage received;
-  ASSERT_EQ(read_one(encode_peer(sent), received), FrameRead::Frame);
+  ASSERT_EQ(read_frame(encode_peer(sent), received), FrameRead::Frame);
   EXPECT_EQ(received.status, 503);
   EXPECT_EQ(received.retry_s, 2);
   EXPECT_EQ(received.body, sent.body);
@@ -162,30 +162,30 @@
   sent.kind = PeerMessage::Kind::UserResponse;
   sent.status = 99;
   PeerMessage received;
-  EXPECT_EQ(read_one(encode_peer(sent), received), FrameRead::Garbage);
+  EXPECT_EQ(read_frame(encode_peer(sent), received), FrameRead::Garbage);
 }
 
-// Corrupts each header byte except the one that still gives a permitted length.
+// Skips byte 8, the low byte of the body length: the corrupted length would be permitted.
 TEST(WirePeer, CorruptHeaderIsRejected) {
-  const auto good = encode_peer(ping_with_cancellation());
+  const auto valid_frame = encode_peer(ping_with_cancellation());
   PeerMessage received;
   for (std::size_t i : {0, 1, 2, 3, 4, 5, 6, 7, 9, 10, 11}) {
-    auto bytes = good;
+    auto bytes = valid_frame;
     bytes[i] = static_cast<char>(0xee);
-    EXPECT_EQ(read_one(bytes, received), FrameRead::Garbage) << i;
+    EXPECT_EQ(read_frame(bytes, received), FrameRead::Garbage) << i;
   }
 }
 
-TEST(WirePeer, InvalidJobIdIsRejected) {
+TEST(WirePeer, PingWithInvalidJobIdIsRejected) {
   auto bytes = encode_peer(ping_with_cancellation());
   bytes[bytes.size() - 3] = '/';
   PeerMessage received;
-  EXPECT_EQ(read_one(bytes, received), FrameRead::Garbage);
+  EXPECT_EQ(read_frame(bytes, received), FrameRead::Garbage);
 }
 
 TEST(WirePeer, HttpRequestIsRejected) {
   PeerMessage received;
-  EXPECT_EQ(read_one("GET /up HTTP/1.1\r\n\r\n", received), FrameRead::Garbage);
+  EXPECT_EQ(read_frame("GET /up HTTP/1.1\r\n\r\n", received), FrameRead::Garbage);
 }
 
 // Guards against crashes on malformed input from the network.
@@ -198,6 +198,6 @@
     bytes[rng() % bytes.size()] = static_cast<char>(rng());
     bytes.resize(1 + rng() % bytes.size());
     PeerMessage received;
-    EXPECT_NO_THROW((void)read_one(bytes, received));
+    EXPECT_NO_THROW((void)read_frame(bytes, received));
   }
 }
