--- a/src/wire/admin_settings.cpp
+++ b/src/wire/admin_settings.cpp
@@ -48,8 +48,7 @@
                                       [&name](const TunableField &field) { return name == field.name; });
     if (tunable == std::end(kTunableFields)) return no_such_setting(name);
     const auto value = read_number(item.value(), tunable->min, tunable->max);
-    if (!value)
-      return FieldError{fmt::format("{}: a number from {} to {} is wanted", name, tunable->min, tunable->max)};
+    if (!value) return FieldError{fmt::format("{}: must be a number from {} to {}", name, tunable->min, tunable->max)};
     tunables.*tunable->field = *value;
   }
   return std::nullopt;
@@ -81,8 +80,8 @@
 }
 
 std::size_t listed_bytes(const std::string &machine) {
-  constexpr std::size_t line_without_name = 24; // indentation, quotes, the longest state, a comma and the line's end
-  return machine.size() + line_without_name;
+  constexpr std::size_t bytes_without_name = 24; // indentation, quotes, the longest state, comma and newline
+  return machine.size() + bytes_without_name;
 }
 
 std::string encode_settings(const Tunables &tunables, const MachineAdminStates &states, std::string_view next) {
