--- a/include/loftrouter/wire/configuration.hpp
+++ b/include/loftrouter/wire/configuration.hpp
@@ -79,8 +79,8 @@
 [[nodiscard]] std::variant<QuotaChange, FieldError> read_quota_change(std::string_view team, const Json &json);
 [[nodiscard]] Json to_json(const QuotaChange &change);
 
-// ForwardedChange is a quota change that another cell forwards to the owner cell, with the owner's response. It is
-// stored under `config-change/<number>`.
+// ForwardedChange is a quota change that a cell forwards to the quota's owner cell, with the owner's response. The
+// forwarding cell stores it under `config-change/<number>`.
 struct ForwardedChange {
   QuotaChange change;
   std::string node; // node that waits for the response
--- a/include/loftrouter/wire/peer.hpp
+++ b/include/loftrouter/wire/peer.hpp
@@ -40,7 +40,7 @@
   std::uint8_t sender = 0; // index in the sorted list of all node names
 
   // Ping, Pong, Digest.
-  std::uint32_t uptime_ms = 0;        // capped
+  std::uint32_t uptime_ms = 0;        // capped at 4e9
   std::uint16_t store_reads = 0;      // from the state service for users, in tenths per second
   std::uint16_t store_writes = 0;     // to the state service for users, in tenths per second
   bool cut_off = false;               // the sender can't reach the state service
--- a/src/wire/admin_jobs.cpp
+++ b/src/wire/admin_jobs.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr double kMillionthsPerUnit = 1e6; // sums count costs in millionths of the cloud's price unit
+constexpr double kMillionthsPerUnit = 1e6; // accounts::Cost is in millionths of the cloud's currency
 
 Json to_json(const AdminJob &job) {
   Json json = {
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -354,8 +354,8 @@
 } // namespace
 
 std::size_t job_digest_size(const PeerMessage::JobDigest &job) {
-  constexpr std::size_t kFixedBytes = 11; // two 32-bit numbers, a flag and two length bytes
-  return kFixedBytes + job.id.size() + std::min(job.reason.size(), kPeerMaxReason);
+  constexpr std::size_t fixed_bytes = 11; // two 32-bit numbers, a flag and two length bytes
+  return fixed_bytes + job.id.size() + std::min(job.reason.size(), kPeerMaxReason);
 }
 
 std::string encode_peer(const PeerMessage &message) {
