--- a/tests/fingerprint/effects_hash.hpp
+++ b/tests/fingerprint/effects_hash.hpp
@@ -43,9 +43,9 @@
   std::string content;
 };
 
-// Whether the hash covers what texts for people say: the fields `error` and `reason` of a response to a user or
-// operator, also while a replica forwards it, and the reason in a digest of jobs. Everything else is hashed either way,
-// and so is whether such a field is there.
+// Whether the hash covers what texts for people say: the fields `error`, `reason` and `troubles` of a response to
+// a user or operator, also while a replica forwards it, and the reason in a digest of jobs. Everything else is hashed
+// either way, and so is whether such a field is there.
 enum class TextContents : std::uint8_t { Hashed, LeftOut };
 
 class EffectsHash {
