--- a/src/wire/progress_record.cpp
+++ b/src/wire/progress_record.cpp
@@ -149,8 +149,8 @@
 
 Json progress_shard(std::vector<std::pair<std::string, Json>> records_by_job, const SumsByTeam &sums) {
   Json jobs = Json::object();
-  for (auto &[job_id, record] : records_by_job)
-    jobs[job_id] = std::move(record);
+  for (auto &entry : records_by_job)
+    jobs[entry.first] = std::move(entry.second);
   Json json = {{stored::kShardJobs, std::move(jobs)}};
   if (!sums.empty()) {
     json[stored::kShardVersion] = kCurrentShardVersion;
