--- a/include/loftrouter/wire/cbor.hpp
+++ b/include/loftrouter/wire/cbor.hpp
@@ -1,7 +1,7 @@
-// CBOR bodies of messages to and from other components.
+// Encodes and decodes CBOR message bodies.
 //
-// All functions are pure. `decode` takes input from anybody: the parser's recursion and memory are bounded, so that no
-// message can end the process.
+// All functions are pure. `decode` accepts untrusted input: nesting and item count are bounded, so that no message can
+// exhaust the stack or memory.
 #pragma once
 
 #include <cstddef>
@@ -16,17 +16,17 @@
 using Json = nlohmann::json;
 
 struct DecodeLimits {
-  std::size_t depth = 16;      // of nested maps and lists
-  std::size_t items = 200'000; // values in all
+  std::size_t depth = 16;      // nested maps and arrays
+  std::size_t items = 200'000; // maps, arrays and scalars in total
 };
 
-// Nothing on: truncated or trailing input, nesting too deep, too many items, duplicate or non-text keys, byte strings,
-// tags, NaN or infinity, text that is not UTF-8.
+// Returns nullopt for truncated or trailing input, exceeded limits, duplicate or non-text keys, byte strings, tags,
+// NaN, infinity and text that is not UTF-8.
 [[nodiscard]] std::optional<Json> decode(std::string_view bytes, DecodeLimits limits = {});
 
 [[nodiscard]] std::string encode(const Json &value);
 
-// Whether a text is well-formed UTF-8: no overlong forms, surrogates or code points beyond U+10FFFF.
+// Returns whether `text` is well-formed UTF-8, without overlong forms, surrogates or code points beyond U+10FFFF.
 [[nodiscard]] bool valid_utf8(std::string_view text);
 
 } // namespace loftrouter::wire
--- a/include/loftrouter/wire/field_error.hpp
+++ b/include/loftrouter/wire/field_error.hpp
@@ -1,13 +1,12 @@
-// The error of a request or stored document with a field that is missing, unknown or invalid.
+// Defines the error for a missing, unknown or invalid field of a request or stored document.
 #pragma once
 
 #include <string>
 
 namespace loftrouter::wire {
 
-// Shown to the user or operator who sent the request.
 struct FieldError {
-  std::string message; // names the field and, where it helps, what is expected
+  std::string message; // shown to the user or operator; names the field
 };
 
 } // namespace loftrouter::wire
--- a/include/loftrouter/wire/frame.hpp
+++ b/include/loftrouter/wire/frame.hpp
@@ -1,5 +1,5 @@
-// What reading a frame off the front of a buffer comes to. Frames carry the messages between controller nodes and
-// between cells; loftrouter/wire/peer.hpp and cell.hpp say what they hold.
+// Defines the result of reading a frame from a receive buffer. Frames carry the messages between controller nodes
+// (loftrouter/wire/peer.hpp) and between cells (cell.hpp).
 #pragma once
 
 #include <cstdint>
@@ -7,9 +7,9 @@
 namespace loftrouter::wire {
 
 enum class FrameRead : std::uint8_t {
-  NeedMore, // the frame is not complete yet; the buffer stays as it is
-  Frame,    // a message was read, and its bytes were taken off the buffer
-  Garbage   // no valid frame: the connection has to be closed, as the next frame can't be found
+  NeedMore, // the frame is incomplete; the buffer is unchanged
+  Frame,    // a message was read and removed from the buffer
+  Garbage   // invalid frame; the connection must be closed, as the next frame boundary is unknown
 };
 
 } // namespace loftrouter::wire
--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A sequence of UTF-8 by its first byte. The bounds of the second byte rule out overlong forms, surrogates and code
-// points that are too large; later bytes are plain continuations.
+// Describes the UTF-8 sequences whose first byte is in a given range. The bounds of the second byte exclude overlong
+// forms, surrogates and code points beyond U+10FFFF.
 struct Utf8Sequence {
   unsigned char first_min;
   unsigned char first_max;
@@ -21,13 +21,13 @@
 constexpr Utf8Sequence kUtf8Sequences[] = {
     {0x00, 0x7F, 1, 0, 0},
     {0xC2, 0xDF, 2, kContinuationMin, kContinuationMax},
-    {0xE0, 0xE0, 3, 0xA0, kContinuationMax}, // not overlong
+    {0xE0, 0xE0, 3, 0xA0, kContinuationMax}, // excludes overlong forms
     {0xE1, 0xEC, 3, kContinuationMin, kContinuationMax},
-    {0xED, 0xED, 3, kContinuationMin, 0x9F}, // no surrogate
+    {0xED, 0xED, 3, kContinuationMin, 0x9F}, // excludes surrogates
     {0xEE, 0xEF, 3, kContinuationMin, kContinuationMax},
-    {0xF0, 0xF0, 4, 0x90, kContinuationMax}, // not overlong
+    {0xF0, 0xF0, 4, 0x90, kContinuationMax}, // excludes overlong forms
     {0xF1, 0xF3, 4, kContinuationMin, kContinuationMax},
-    {0xF4, 0xF4, 4, kContinuationMin, 0x8F}, // at most U+10FFFF
+    {0xF4, 0xF4, 4, kContinuationMin, 0x8F}, // excludes code points beyond U+10FFFF
 };
 
 bool within(char byte, unsigned char min, unsigned char max) {
@@ -35,7 +35,7 @@
   return value >= min && value <= max;
 }
 
-// The length of the sequence that a text begins with; 0: it is malformed.
+// Returns the length of the sequence at the front of `text`, which must not be empty, or 0 if it is malformed.
 std::size_t utf8_sequence_length(std::string_view text) {
   for (const auto &sequence : kUtf8Sequences) {
     if (!within(text[0], sequence.first_min, sequence.first_max)) continue;
@@ -48,8 +48,8 @@
   return 0;
 }
 
-// Builds a tree from the parser's events. Returning false ends the parse: the parser recurses, so the depth is bounded
-// here.
+// Builds a JSON tree from parser events and stops the parse by returning false. The parser is recursive, so the depth
+// limit also bounds its stack.
 class BoundedTreeBuilder final : public nlohmann::json_sax<Json> {
 public:
   BoundedTreeBuilder(Json &root, DecodeLimits limits) : root_(root), limits_(limits) {}
@@ -66,8 +66,8 @@
   bool end_object() override { return close(); }
   bool end_array() override { return close(); }
   bool key(string_t &name) override {
-    if (!valid_utf8(name) || open_.back()->contains(name)) return false;
-    key_ = std::move(name);
+    if (!valid_utf8(name) || open_containers_.back()->contains(name)) return false;
+    next_key_ = std::move(name);
     return true;
   }
   bool parse_error(std::size_t, const std::string &, const nlohmann::detail::exception &) override { return false; }
@@ -75,41 +75,41 @@
 private:
   template <class Value> bool put(Value &&value) { return add(Json(std::forward<Value>(value))) != nullptr; }
 
-  // Where the value stands in the tree; null: there are too many.
+  // Returns the value's place in the tree, or null if the item limit is exceeded.
   Json *add(Json &&value) {
-    if (++items_ > limits_.items) return nullptr;
-    if (open_.empty()) {
+    if (++item_count_ > limits_.items) return nullptr;
+    if (open_containers_.empty()) {
       root_ = std::move(value);
       return &root_;
     }
-    Json &parent = *open_.back();
+    Json &parent = *open_containers_.back();
     if (parent.is_array()) {
       parent.push_back(std::move(value));
       return &parent.back();
     }
-    Json &member = parent[key_];
+    Json &member = parent[next_key_];
     member = std::move(value);
     return &member;
   }
 
   bool open(Json &&empty) {
-    if (open_.size() >= limits_.depth) return false;
+    if (open_containers_.size() >= limits_.depth) return false;
     Json *const added = add(std::move(empty));
     if (!added) return false;
-    open_.push_back(added);
+    open_containers_.push_back(added);
     return true;
   }
 
   bool close() {
-    open_.pop_back();
+    open_containers_.pop_back();
     return true;
   }
 
   Json &root_;
   DecodeLimits limits_;
-  std::vector<Json *> open_; // maps and lists that are open, the innermost last
-  std::string key_;          // of the next value, in a map
-  std::size_t items_ = 0;
+  std::vector<Json *> open_containers_; // unfinished maps and arrays, innermost last
+  std::string next_key_;                // key of the next value of the innermost map
+  std::size_t item_count_ = 0;
 };
 
 } // namespace
--- a/src/wire/json_fields.hpp
+++ b/src/wire/json_fields.hpp
@@ -1,7 +1,6 @@
-// Checked reading of single JSON values and of the required fields of a map.
+// Reads and validates JSON values and map fields from untrusted input.
 //
-// Everything here takes input from other programs: a value of the wrong kind or beyond its bound is reported, never
-// thrown, so that no message can end the process.
+// A value of the wrong type or out of range is reported by the return value, never by an exception.
 #pragma once
 
 #include <cstddef>
@@ -15,26 +14,26 @@
 
 namespace loftrouter::wire {
 
-inline constexpr std::size_t kMaxTextBytes = 200; // of a name, unless a field says otherwise
-inline constexpr double kMaxAmount = 1e9;         // of an amount, unless a field says otherwise
-inline constexpr double kMaxWallTimeS = 1e12;     // seconds since 1970
+inline constexpr std::size_t kMaxTextBytes = 200; // default limit of a text field
+inline constexpr double kMaxAmount = 1e9;         // default limit of an amount
+inline constexpr double kMaxWallTimeS = 1e12;     // since the Unix epoch
 
-// The value of a field; null if `json` is no map or has no such field.
+// Returns the value of a field, or a JSON null if `json` is not a map or lacks the field.
 [[nodiscard]] const Json &member(const Json &json, const char *name);
 
-// Text that is neither empty nor longer than `max_bytes`.
+// Returns a string of 1 to `max_bytes` bytes; otherwise nullopt.
 [[nodiscard]] std::optional<std::string> read_text(const Json &json, std::size_t max_bytes = kMaxTextBytes);
 
-// A finite number from 0 to `max`.
+// Returns a finite number from 0 to `max`; otherwise nullopt.
 [[nodiscard]] std::optional<double> read_amount(const Json &json, double max = kMaxAmount);
 
-// A whole number from 0 to 2^64 - 1.
+// Returns an integer from 0 to 2^64 - 1; otherwise nullopt.
 [[nodiscard]] std::optional<std::uint64_t> read_count(const Json &json);
 
-// Any text, or empty if it is none.
+// Returns a string of any length, or an empty one if `json` is not a string.
 [[nodiscard]] std::string read_text_or_empty(const Json &json);
 
-// True only for the boolean true: a field that is missing or of another kind is false.
+// Returns true only for the boolean true; missing fields and other types count as false.
 [[nodiscard]] bool read_flag(const Json &json);
 
 template <class Enum, std::size_t Count>
@@ -43,8 +42,8 @@
   return spellings.find(json.get_ref<const std::string &>());
 }
 
-// Reads required fields of one map into variables and remembers the first that was missing or invalid. A variable
-// whose field is refused keeps its value.
+// Reads required fields of a map and records the first one that is missing or invalid. The output variable of such a
+// field is left unchanged. `json` must outlive the reader.
 class FieldReader {
 public:
   explicit FieldReader(const Json &json) : json_(json) {}
@@ -57,13 +56,13 @@
     store(name, read_spelling(member(json_, name), spellings), out);
   }
 
-  // The value of an optional field, or nothing if it is missing or null.
+  // Returns the value of an optional field, or nullptr if it is missing or null.
   [[nodiscard]] const Json *optional(const char *name) const;
-  // Reports a field as invalid that the caller has checked itself.
+  // Marks a field as invalid after a check by the caller.
   void refuse(const char *name) {
     if (!refused_) refused_ = name;
   }
-  // The first field that was missing or invalid; null: all were read.
+  // Returns the first missing or invalid field, or nullptr if there is none.
   [[nodiscard]] const char *refused() const { return refused_; }
 
 private:
--- a/src/wire/packed.hpp
+++ b/src/wire/packed.hpp
@@ -1,7 +1,7 @@
-// Reading and writing of the bodies of frames: little-endian numbers, short text, and bytes.
+// Serializes and parses frames: little-endian integers and length-prefixed strings.
 //
-// Every length is checked against what is left. After the first value that can't be read, `ok` stays false and the
-// values that follow mean nothing; a caller may check once at the end, but must not loop on a count before.
+// The reader checks every length against the remaining input. After the first error `ok` stays false and later values
+// are meaningless: callers may check once at the end, but must check before they use a count as a loop bound.
 #pragma once
 
 #include <cstddef>
@@ -22,14 +22,14 @@
   void u64(std::uint64_t value) { number(value); }
   void flag(bool value) { u8(value ? 1 : 0); }
 
-  // Short text: its length in one byte, then its bytes. What is longer is cut.
+  // Writes a one-byte length and the text, truncated to 255 bytes.
   void text(std::string_view text) {
     text = text.substr(0, std::numeric_limits<std::uint8_t>::max());
     u8(static_cast<std::uint8_t>(text.size()));
     out_ += text;
   }
 
-  // Bytes as they are, the last of their frame: their length in four bytes, then they.
+  // Writes a four-byte length and the bytes. Must be the last value, as PackedReader::body() reads up to the end.
   void body(std::string_view bytes) {
     u32(static_cast<std::uint32_t>(bytes.size()));
     out_ += bytes;
@@ -50,11 +50,10 @@
 public:
   explicit PackedReader(std::string_view bytes) : rest_(bytes) {}
 
-  // Whether everything so far could be read.
   [[nodiscard]] bool ok() const { return ok_; }
-  // Whether, besides, nothing is left.
+  // Returns whether all input was read without an error.
   [[nodiscard]] bool complete() const { return ok_ && rest_.empty(); }
-  // Reports a value that was read but is invalid. Returns false, so that a reading function can end with it.
+  // Marks the input as invalid. Always returns false, so that a parse function can return the result.
   bool fail() {
     ok_ = false;
     return false;
@@ -65,7 +64,7 @@
   std::uint32_t u32() { return number<std::uint32_t>(); }
   std::uint64_t u64() { return number<std::uint64_t>(); }
 
-  // Anything but 0 and 1 is invalid.
+  // Fails on any byte other than 0 and 1.
   bool flag() {
     const auto value = u8();
     if (value > 1) fail();
--- a/src/wire/protocol_names.hpp
+++ b/src/wire/protocol_names.hpp
@@ -1,8 +1,7 @@
-// The one table of the spellings that the platform's protocol and the stored records use, with the term that this
-// code uses for each. Nothing outside src/wire knows a spelling; docs/PROTOCOL-loftrouter.md defines the protocol's.
+// Maps the terms of this code to the names used in protocol messages (docs/PROTOCOL-loftrouter.md) and stored records.
+// Only src/wire uses these names.
 //
-// Every constant here is part of bytes that other programs read or that lie in the state service: a changed value is
-// a changed protocol, or a record that an earlier version cannot read.
+// Changing a value breaks compatibility with other programs or with records already in the state service.
 #pragma once
 
 #include <array>
@@ -14,7 +13,7 @@
 
 namespace loftrouter::wire {
 
-// The spellings of an enum whose values count up from 0, in the order of the values.
+// Holds the wire names of an enum with values 0, 1, 2, ..., in that order.
 template <class Enum, std::size_t Count> struct EnumSpellings {
   std::array<const char *, Count> spellings;
 
@@ -30,9 +29,9 @@
 // Fields of messages to and from users, workers, the cloud and the state service.
 namespace field {
 
-// Users: a job and its state. Records of jobs are written in the same spelling.
+// User API: a job and its state. Stored job records use the same names.
 inline constexpr const char *kId = "id";                  // of a job; in the cloud's list, of a machine
-inline constexpr const char *kJobClass = "jobclass";      // class that objectives are set for
+inline constexpr const char *kJobClass = "jobclass";      // job class with service-level objectives
 inline constexpr const char *kTeam = "crew";              // team whose quota applies
 inline constexpr const char *kShape = "shape";            // job array, gang or service
 inline constexpr const char *kPriority = "urgency";       // priority class
@@ -51,12 +50,12 @@
 inline constexpr const char *kCheckpointS = "bookmark_s"; // checkpoint interval
 inline constexpr const char *kSaveS = "stash_s";          // time to save a checkpoint when stopped
 inline constexpr const char *kDeadlineS = "due_s";        // deadline, from the submission
-inline constexpr const char *kDependencies = "waits_on";  // jobs that have to be done first
+inline constexpr const char *kDependencies = "waits_on";  // jobs that must complete first
 inline constexpr const char *kState = "status";           // of a job, a task or a machine
-inline constexpr const char *kTasksDone = "done";         // tasks that have completed
-inline constexpr const char *kTasksRunning = "running";   // tasks that run
+inline constexpr const char *kTasksDone = "done";         // completed tasks
+inline constexpr const char *kTasksRunning = "running";   // running tasks
 inline constexpr const char *kPendingReason = "reason";   // why a job waits
-inline constexpr const char *kError = "error";            // text of a refusal
+inline constexpr const char *kError = "error";            // error message
 
 // Workers: heartbeats and commands.
 inline constexpr const char *kMachine = "box";        // name of the machine
@@ -70,7 +69,7 @@
 inline constexpr const char *kTask = "piece";         // name of a task: job/index
 inline constexpr const char *kAttempt = "try";        // attempt of a task
 inline constexpr const char *kExitCause = "cause";    // why a task exited
-inline constexpr const char *kSaved = "stored";       // its progress was saved
+inline constexpr const char *kSaved = "stored";       // checkpoint was saved
 inline constexpr const char *kCommands = "orders";    // commands for the worker
 inline constexpr const char *kCommand = "verb";       // start, stop or forget
 inline constexpr const char *kGraceS = "leeway_s";    // grace period of a stop
@@ -83,7 +82,7 @@
 inline constexpr const char *kKey = "k";                // key
 inline constexpr const char *kValue = "v";              // value
 inline constexpr const char *kEntries = "entries";      // keys and values of a list
-inline constexpr const char *kMore = "truncated";       // a list goes on after its last entry
+inline constexpr const char *kMore = "truncated";       // the list has further entries
 inline constexpr const char *kPreconditions = "guards"; // of a transaction
 inline constexpr const char *kMutations = "writes";     // of a transaction
 inline constexpr const char *kPut = "set";              // key that is put
@@ -107,7 +106,7 @@
 
 } // namespace field
 
-// Values that stand for a state or kind.
+// Names of enum values.
 namespace spelling {
 
 inline constexpr EnumSpellings<Shape, 3> kShapes{{"array", "gang", "service"}};
@@ -118,10 +117,10 @@
     {"", "done", "stopped", "mates_gone", "alone", "error", "full", "busy", "no_such"}};
 inline constexpr EnumSpellings<TaskCommand::Verb, 3> kCommands{{"start", "kill", "reap"}}; // start, stop, forget
 inline constexpr const char *kNoCapacity = "no capacity";                                  // cloud: error of a 503
-// A machine in the cloud's list; any other spelling is taken for one that boots.
+// Machine states in the cloud's list; any other name counts as booting.
 inline constexpr const char *kMachineRunning = "running";
 inline constexpr const char *kMachineFailed = "failed";
-// Connectivity record: whether heartbeats arrive, and whether the cloud answers.
+// Connectivity record: heartbeat state and cloud provider health.
 inline constexpr EnumSpellings<WorkerReachability, 3> kWorkerReachability{{"unknown", "hears", "silent"}};
 inline constexpr EnumSpellings<ProviderHealth, 3> kProviderHealth{{"unknown", "answers", "fails"}};
 
@@ -130,23 +129,23 @@
 // Fields of the records that controllers keep in the state service.
 namespace stored {
 
-// Open record: a job that is not over.
+// Open record: a job that has not ended.
 inline constexpr const char *kSpec = "spec";                // the job's description
 inline constexpr const char *kSubmittedAt = "at";           // wall time of the submission
-inline constexpr const char *kCancelled = "cancelled";      // cancelled; in an open record written only if so
+inline constexpr const char *kCancelled = "cancelled";      // in an open record written only if true
 inline constexpr const char *kDelegationSource = "lent";    // delegated here by another cell
 inline constexpr const char *kOriginCell = "home";          // cell that delegated the tasks
 inline constexpr const char *kDelegationGeneration = "gen"; // generation of the delegation
 inline constexpr const char *kDelegatedTasks = "tasks";     // set of task indices
 inline constexpr const char *kFinal = "final";              // the job's end record, until it is moved
 
-// End record: a job that is over.
+// End record: a job that has ended.
 inline constexpr const char *kTaskCount = "tasks"; // number of tasks
-inline constexpr const char *kJobClass = "class";  // class that objectives are set for
+inline constexpr const char *kJobClass = "class";  // job class with service-level objectives
 inline constexpr const char *kTeam = "team";       // team whose quota applied
 inline constexpr const char *kEndedAt = "end";     // wall time of the end
-inline constexpr const char *kLate = "late";       // its deadline was missed
-inline constexpr const char *kReason = "reason";   // why it ended so
+inline constexpr const char *kLate = "late";       // missed its deadline
+inline constexpr const char *kReason = "reason";   // why the job ended
 inline constexpr const char *kUsage = "used";      // packed usage
 inline constexpr const char *kNeed = "need";       // CPUs, GPUs and memory of each task
 
@@ -155,15 +154,15 @@
 inline constexpr const char *kFinished = "f";      // set of tasks that have completed
 inline constexpr const char *kFailedOn = "x";      // machines that its tasks failed on
 inline constexpr const char *kProgressUsage = "u"; // packed usage
-inline constexpr const char *kRunningMs = "h";     // held by attempts under way
-inline constexpr const char *kWrittenAtMs = "t";   // wall time that usage and attempts are of
-inline constexpr const char *kDelegatedHere = "b"; // generation of the delegation it came by
+inline constexpr const char *kRunningMs = "h";     // time that attempts in progress have held resources
+inline constexpr const char *kWrittenAtMs = "t";   // wall time of the usage and attempts
+inline constexpr const char *kDelegatedHere = "b"; // generation of the delegation from the origin cell
 inline constexpr const char *kDelegations = "l";   // tasks delegated to other cells
 
 // One entry of a progress record's delegations.
 inline constexpr const char *kGeneration = "g";      // generation of the delegation
 inline constexpr const char *kCell = "c";            // remote cell
-inline constexpr const char *kLeaseS = "l";          // lease of that cell's workers
+inline constexpr const char *kLeaseS = "l";          // worker lease of the remote cell
 inline constexpr const char *kChargedUsage = "u";    // packed usage charged to the job
 inline constexpr const char *kDelegatedRanges = "r"; // set of task indices
 inline constexpr const char *kExpired = "x";         // written only if the delegation expired
@@ -174,12 +173,12 @@
 inline constexpr const char *kShardSums = "sums"; // sums by period and team
 
 // Leader record.
-inline constexpr const char *kLeaderNode = "node";   // node that leads
-inline constexpr const char *kLeaderNonce = "nonce"; // of its election
+inline constexpr const char *kLeaderNode = "node";   // leader
+inline constexpr const char *kLeaderNonce = "nonce"; // of the election
 
 // Connectivity record of a node.
 inline constexpr const char *kWorkers = "workers";      // whether heartbeats arrive
-inline constexpr const char *kMachines = "machines";    // about so many report to it
+inline constexpr const char *kMachines = "machines";    // approximate number of reporting machines
 inline constexpr const char *kQuietS = "quiet_s";       // since the last heartbeat
 inline constexpr const char *kForwardedS = "carried_s"; // since the last heartbeat to a forwarding replica
 inline constexpr const char *kCloud = "cloud";          // provider health
@@ -187,23 +186,22 @@
 
 } // namespace stored
 
-// Fields of the documents and records that operators configure, as administration requests and the state service hold
-// them.
+// Fields of operator configuration in admin requests and stored records.
 namespace setting {
 
-// Scheduling parameters. MachineAdminState: a machine that operators have drained or quarantined.
+// Scheduling parameters, and MachineAdminState for machines drained or quarantined by operators.
 inline constexpr const char *kFullPlanBonus = "whole_bonus";         // for filling a machine completely
-inline constexpr const char *kAgeWeight = "age_weight";              // of the time that a job has waited
-inline constexpr const char *kImageWeight = "image_weight";          // of images that a machine has cached
-inline constexpr const char *kPriceWeight = "price_weight";          // of a machine's price
+inline constexpr const char *kAgeWeight = "age_weight";              // weight of a job's waiting time
+inline constexpr const char *kImageWeight = "image_weight";          // weight of cached images
+inline constexpr const char *kPriceWeight = "price_weight";          // weight of the machine's price
 inline constexpr const char *kInTimeBonus = "in_time_bonus";         // for a placement that meets the deadline
 inline constexpr const char *kReserveAfterS = "reserve_after_s";     // wait after which large tasks get reservations
 inline constexpr const char *kIdleBoots = "idle_boots";              // idle time before scale-in, in boot times
 inline constexpr const char *kProbePauseS = "probe_pause_s";         // between tests of a quarantined machine
-inline constexpr const char *kLateNoticeShare = "late_notice_share"; // of a spot notice that is relied on
+inline constexpr const char *kLateNoticeShare = "late_notice_share"; // usable share of a spot termination notice
 inline constexpr const char *kDrain = "drain";                       // evict gracefully, start nothing
-inline constexpr const char *kQuarantine = "quarantine";             // start nothing, keep
-inline constexpr const char *kRelease = "release";                   // neither any more
+inline constexpr const char *kQuarantine = "quarantine";             // start nothing, keep running tasks
+inline constexpr const char *kRelease = "release";                   // end drain or quarantine
 
 // Budgets.
 inline constexpr const char *kPeriod = "every";         // accounting period
@@ -213,7 +211,7 @@
 inline constexpr const char *kUtcOffset = "utc_offset"; // local time minus UTC
 inline constexpr const char *kTeams = "teams";          // budgets by team
 inline constexpr const char *kCpuHours = "cpu_hours";   // budget of a team for a period
-inline constexpr const char *kWarnShare = "warn_share"; // share from which on a warning is shown
+inline constexpr const char *kWarnShare = "warn_share"; // share of the budget that triggers a warning
 inline constexpr const char *kWhenSpent = "when_spent"; // what happens to running tasks
 inline constexpr const char *kStop = "stop";            // they are stopped
 inline constexpr const char *kFinish = "finish";        // they may finish
@@ -228,26 +226,26 @@
 // Quota records and changes.
 inline constexpr const char *kVersion = "version";       // grows with each change
 inline constexpr const char *kLimits = "limits";         // over all cells
-inline constexpr const char *kGuaranteed = "guaranteed"; // amounts that need not wait for other teams
-inline constexpr const char *kMaximum = "most";          // amounts that are never exceeded
+inline constexpr const char *kGuaranteed = "guaranteed"; // guaranteed amounts
+inline constexpr const char *kMaximum = "most";          // upper limits
 inline constexpr const char *kCpus = "cpus";             // amount; in a change, guaranteed
 inline constexpr const char *kGpus = "gpus";             // amount; in a change, guaranteed
 inline constexpr const char *kMaxCpus = "cpus_max";      // in a change: maximum
 inline constexpr const char *kMaxGpus = "gpus_max";      // in a change: maximum
-inline constexpr const char *kShares = "shares";         // amounts by cell, as an operator has set them
-inline constexpr const char *kCaps = "caps";             // amounts by cell, as last granted
+inline constexpr const char *kShares = "shares";         // amounts by cell, set by an operator
+inline constexpr const char *kCaps = "caps";             // amounts by cell, last granted
 inline constexpr const char *kHeld = "held";             // amounts by cell that may still be in use
 inline constexpr const char *kHistory = "history";       // latest changes
 inline constexpr const char *kNumber = "number";         // of the request
 inline constexpr const char *kAt = "at";                 // wall time
 
 // Changes forwarded to another cell, and the revision that a node has applied.
-inline constexpr const char *kTeam = "team";         // whose quota is to be changed
-inline constexpr const char *kChange = "change";     // what is asked for
-inline constexpr const char *kNode = "node";         // that waits for the answer
-inline constexpr const char *kStatus = "status";     // HTTP status of the answer
-inline constexpr const char *kText = "text";         // text of the answer
-inline constexpr const char *kRevision = "revision"; // applied
+inline constexpr const char *kTeam = "team";         // team whose quota changes
+inline constexpr const char *kChange = "change";     // requested change
+inline constexpr const char *kNode = "node";         // node waiting for the response
+inline constexpr const char *kStatus = "status";     // HTTP status of the response
+inline constexpr const char *kText = "text";         // response text
+inline constexpr const char *kRevision = "revision"; // applied revision
 
 } // namespace setting
 
--- a/src/wire/task_sets.cpp
+++ b/src/wire/task_sets.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr std::uint32_t kTasksPerDigit = 4;
-constexpr std::uint64_t kMaxIndex = 1'000'000; // of a stored range; a job has at most 100,000 tasks
+constexpr std::uint64_t kMaxIndex = 1'000'000; // range end; jobs have at most 100,000 tasks
 constexpr std::string_view kDigits = "0123456789abcdef";
 
-std::size_t list_length(const Ranges &ranges) {
+std::size_t list_characters(const Ranges &ranges) {
   std::size_t characters = 2; // brackets
   for (auto [begin, end] : ranges)
     characters += fmt::formatted_size("{},{},", begin, end);
@@ -25,9 +25,9 @@
 std::string format_bitmap(const Ranges &ranges, std::size_t digit_count) {
   std::string digits(digit_count, '\0');
   for (auto [begin, end] : ranges)
-    for (auto i = begin; i < end; ++i) {
-      char &digit = digits[i / kTasksPerDigit];
-      digit = static_cast<char>(digit | 1 << i % kTasksPerDigit);
+    for (auto index = begin; index < end; ++index) {
+      char &digit = digits[index / kTasksPerDigit];
+      digit = static_cast<char>(digit | 1 << index % kTasksPerDigit);
     }
   for (char &digit : digits)
     digit = kDigits[static_cast<std::size_t>(digit)];
@@ -82,7 +82,7 @@
 
 Json task_set_to_json(const Ranges &ranges) {
   const std::size_t digit_count = ranges.empty() ? 0 : (ranges.back().second + kTasksPerDigit - 1) / kTasksPerDigit;
-  if (digit_count + 2 < list_length(ranges)) return format_bitmap(ranges, digit_count);
+  if (digit_count + 2 < list_characters(ranges)) return format_bitmap(ranges, digit_count);
   Json list = Json::array();
   for (auto [begin, end] : ranges) {
     list.push_back(begin);
--- a/src/wire/task_sets.hpp
+++ b/src/wire/task_sets.hpp
@@ -1,4 +1,4 @@
-// Names and sets of tasks, as messages and stored records spell them.
+// Encodes task names and sets of task indices for messages and stored records.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,13 @@
   std::uint32_t index = 0;
 };
 
-// job/index
+// Returns "job/index".
 [[nodiscard]] std::string format_task_name(std::string_view job, std::uint32_t index);
-// Nothing unless the job's id is valid and the index is a number of 32 bits.
+// Returns nullopt unless the job id is valid and the index is a 32-bit unsigned integer.
 [[nodiscard]] std::optional<TaskName> parse_task_name(std::string_view name);
 
-// A set of task indices in the shorter of two forms: a list of range ends, or a bitmap in hexadecimal digits of four
-// tasks each, which scattered tasks need. 1,800 scattered tasks as a list would not fit into a value of 8 KiB.
+// Encodes a set of task indices in the shorter of two forms: an array of half-open ranges [begin, end, ...], or a
+// hexadecimal bitmap with four tasks per digit. The bitmap keeps scattered sets within the value limit of 8 KiB.
 [[nodiscard]] Json task_set_to_json(const Ranges &ranges);
 [[nodiscard]] std::optional<Ranges> task_set_from_json(const Json &json);
 
